--- a/crates/cli/benches/doors.rs
+++ b/crates/cli/benches/doors.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/platform/rig.rs"]
 mod rig;
 
-use magpiewick_drill::spread;
+use magpiewick_scenario::spread;
 use rig::{command, Limits, Rig};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -65,7 +65,7 @@
     let program = Path::new(env!("CARGO_BIN_EXE_magpiewick"));
     let (mut ratios, mut memory) = (Vec::new(), Vec::new());
     for _ in 0..ROUNDS {
-        let other = magpiewick_drill::bench(program, &[NODES], Some(RATE)).unwrap();
+        let other = magpiewick_scenario::bench(program, &[NODES], Some(RATE)).unwrap();
         let other = other.iter().find(|m| m.way == "host").unwrap();
         let (cpu, held) = platform();
         println!(
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -5,11 +5,11 @@
 mod sheet;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use magpiewick_drill::{bench, bench_reads, drill, load, relay, Drilled, Planted, Rule, Said, Sheet};
+use magpiewick_scenario::{bench, bench_reads, drill, load, relay, Drilled, Planted, Rule, Said, Sheet};
 use magpiewick_gateway::sheet::LogSheet;
 use magpiewick_gateway::{Gateway, HostEnd};
-use magpiewick_link::Clock;
-use magpiewick_standin::{play, Handle};
+use magpiewick_transport::Clock;
+use magpiewick_emulator::{play, Handle};
 
 use std::hash::{BuildHasher, Hasher};
 use std::io::{self, Write};
--- a/crates/cli/src/sheet.rs
+++ b/crates/cli/src/sheet.rs
@@ -1,7 +1,7 @@
 //! Reads a settings file as a whole, so that all its faults are told at once.
 
-use magpiewick_drill::{read_all, Sheet};
-use magpiewick_settings::{read_file, Faults};
+use magpiewick_scenario::{read_all, Sheet};
+use magpiewick_hcl_settings::{read_file, Faults};
 use std::path::Path;
 
 pub fn read(path: &Path, seed: u64) -> Result<Sheet, Faults> {
--- a/crates/merge/benches/planning.rs
+++ b/crates/coalescing/benches/planning.rs
@@ -1,7 +1,7 @@
 //! What planning a write costs, by how many are held: it is held, leaves with its company, and those are held anew.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use magpiewick_merge::{Bounds, Company, Gate, Piece, Write};
+use magpiewick_coalescing::{Bounds, Company, Gate, Piece, Write};
 
 const BLOCKS: u64 = 1 << 20;
 
--- a/crates/merge/tests/plain.rs
+++ b/crates/coalescing/tests/plain.rs
@@ -1,6 +1,6 @@
 //! The planner beside plain slow models, on generated commands.
 
-use magpiewick_merge::{cut, Bounds, Company, Gate, Gather, Piece, Progress, Write};
+use magpiewick_coalescing::{cut, Bounds, Company, Gate, Gather, Piece, Progress, Write};
 use quickcheck::quickcheck;
 use std::collections::BTreeMap;
 
--- a/crates/standin/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -5,8 +5,8 @@
 use crate::sheet::{FleetSheet, Group};
 use crate::{Ms, Seen};
 use magpiewick_extents::{Change, Changes, Extent, Stage};
-use magpiewick_link::{listen, Clock, Connection, Poll, Registered, Timers, Woken, NOTHING};
-use magpiewick_nodewire::{
+use magpiewick_transport::{listen, Clock, Connection, Poll, Registered, Timers, Woken, NOTHING};
+use magpiewick_node_protocol::{
     self as wire, Code, Final, Frames, HandOff, Hello, Line, List, MapLine, MapNews, Mapped, Message,
     MoveStage, Outcome, Role, State, Verdict, LONG_AGO, MOST_MAP_LINES,
 };
--- a/crates/standin/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet::{Fleet, Handle};
 use crate::Ms;
-use magpiewick_link::Clock;
-use magpiewick_settings::Part;
+use magpiewick_transport::Clock;
+use magpiewick_hcl_settings::Part;
 use std::time::Duration;
 
 /// A kind of trouble, as the file names it.
--- a/crates/standin/src/sheet.rs
+++ b/crates/emulator/src/sheet.rs
@@ -2,7 +2,7 @@
 
 use crate::Ms;
 use magpiewick_extents::Pace;
-use magpiewick_settings::Part;
+use magpiewick_hcl_settings::Part;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// How a node that has just started does its work.
--- a/crates/desk/tests/answers.rs
+++ b/crates/engine/tests/answers.rs
@@ -2,7 +2,7 @@
 //! final answer, nothing is sent after it, and nothing is kept once all is over.
 
 use magpiewick::{Answer, Band, Command, Ending, Group, Ms, News, Outcome, Plan, Repeats, Start};
-use magpiewick_desk::{Desk, Part, Reason, Taken, World};
+use magpiewick_engine::{Desk, Part, Reason, Taken, World};
 use quickcheck::quickcheck;
 use std::collections::btree_map::{BTreeMap, Entry};
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -3,7 +3,7 @@
 
 use crate::contact::Process;
 use magpiewick::{Condition, Entry, Ms, News};
-use magpiewick_nodewire::{Line, List, State, LONG_AGO};
+use magpiewick_node_protocol::{Line, List, State, LONG_AGO};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -15,11 +15,11 @@
 use floor::{key_of, place_of, Admitted, Floor, PieceEnded, Place, Timer, Whole, WHOLE};
 use follow::Heard;
 use magpiewick::{Answer, Command, Ms, News, Outcome, Repeats};
-use magpiewick_desk::{Desk, Stood, Taken};
+use magpiewick_engine::{Desk, Stood, Taken};
 use magpiewick_extents::{Fault, Place as At};
-use magpiewick_link::{Clock, Ended, Poll, Registered, Woken};
-use magpiewick_merge::{cut, Gather, Progress};
-use magpiewick_nodewire::{
+use magpiewick_transport::{Clock, Ended, Poll, Registered, Woken};
+use magpiewick_coalescing::{cut, Gather, Progress};
+use magpiewick_node_protocol::{
     self as wire, Code, Final, Frames, Hello, List, MapNews, Message, Read, Role, Take, Verdict,
     MOST_PAYLOAD, VERSION,
 };
@@ -69,7 +69,7 @@
     pub fn bind(mut sheet: HostSheet, stop: UnixStream, life: u64) -> io::Result<Gateway> {
         let clock = Clock::start();
         let poll = Poll::new()?;
-        let listener = magpiewick_link::listen(sheet.listen)?;
+        let listener = magpiewick_transport::listen(sheet.listen)?;
         let address = listener.local_addr()?;
         stop.set_nonblocking(true)?;
         let now = clock.now();
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -1,7 +1,7 @@
 //! Turns the map service's news, as the wire has it, into the map that a host follows.
 
 use magpiewick_extents::{Change, Changes, Fault, Follower, Line};
-use magpiewick_nodewire::{MapLine, MapNews, Mapped};
+use magpiewick_node_protocol::{MapLine, MapNews, Mapped};
 
 /// Stands for a shard that no node holds: commands whose data is on its way wait there, outside all lines.
 pub const NOWHERE: usize = usize::MAX;
--- a/crates/gateway/src/sheet.rs
+++ b/crates/gateway/src/sheet.rs
@@ -1,7 +1,7 @@
 //! What a host is told by its settings file, read and checked as a whole. `docs/settings.md` lists it.
 
 use magpiewick::{Band, Budget, Group, Ms, Plan, Repeats, Start};
-use magpiewick_settings::Part;
+use magpiewick_hcl_settings::Part;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -69,7 +69,7 @@
     pub bounds: Bounds,
     pub log: LogSheet,
     /// What travels together; one part where merging is off.
-    pub merge: magpiewick_merge::Bounds,
+    pub merge: magpiewick_coalescing::Bounds,
     pub split: Split,
 }
 
@@ -210,9 +210,9 @@
 }
 
 /// Without the block a batch weighs at most two of the largest commands.
-fn merge(part: Option<Part>, most_units: f64) -> magpiewick_merge::Bounds {
+fn merge(part: Option<Part>, most_units: f64) -> magpiewick_coalescing::Bounds {
     let (parts, units, bytes, reach) = (8, 2.0 * most_units, 64 << 10, 64);
-    part.map_or(magpiewick_merge::Bounds { parts, units, bytes, reach }, |p| magpiewick_merge::Bounds {
+    part.map_or(magpiewick_coalescing::Bounds { parts, units, bytes, reach }, |p| magpiewick_coalescing::Bounds {
         parts: p.field("parts").whole_or(1..=256, parts as u64) as usize,
         units: p.field("units").number_or(units),
         bytes: p.field("bytes").whole_or(1..=512 << 10, bytes as u64) as usize,
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -2,8 +2,8 @@
 
 use magpiewick_gateway::sheet::{host, HostSheet};
 use magpiewick_gateway::{Gateway, HostEnd};
-use magpiewick_nodewire::*;
-use magpiewick_settings::read_text;
+use magpiewick_node_protocol::*;
+use magpiewick_hcl_settings::read_text;
 use std::io::{Read as _, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::os::unix::net::UnixStream;
@@ -430,14 +430,14 @@
     let mut bytes = [0; 300];
     let word = loop {
         let length = other.recv(&mut bytes).unwrap();
-        let told = magpiewick_peers::read(&bytes[..length]).unwrap();
+        let told = magpiewick_gossip::read(&bytes[..length]).unwrap();
         if let Some((tag, said)) = told.first() {
             assert_eq!((told.len(), said.out), (1, 1));
             break (*tag, magpiewick::Told { out: 7, waits: true, ..*said });
         }
     };
     // Of no length, of an odd one, too long, from a build to come; and what would count, from nobody it knows.
-    let crowd: Vec<u8> = magpiewick_peers::written(&[word]).flatten().collect();
+    let crowd: Vec<u8> = magpiewick_gossip::written(&[word]).flatten().collect();
     for bad in [&[][..], &crowd[..4], &[1; 300], &[2, 0, 0, 0, 0]] {
         other.send_to(bad, own).unwrap();
     }
--- a/crates/peers/tests/bytes.rs
+++ b/crates/gossip/tests/bytes.rs
@@ -1,7 +1,7 @@
 //! What is written is read again, and bytes from anywhere are refused or read, never worse.
 
 use magpiewick::Told;
-use magpiewick_peers::{read, written, Fault, MOST};
+use magpiewick_gossip::{read, written, Fault, MOST};
 use quickcheck::quickcheck;
 
 quickcheck! {
--- a/crates/settings/tests/faults.rs
+++ b/crates/hcl-settings/tests/faults.rs
@@ -1,6 +1,6 @@
 //! Good files are read; of bad ones every fault is named, with its place.
 
-use magpiewick_settings::{read_text, Part};
+use magpiewick_hcl_settings::{read_text, Part};
 use quickcheck::quickcheck;
 
 fn band(part: &Part) -> (f64, f64, u64) {
--- a/crates/facts/tests/forms.rs
+++ b/crates/instance-settings/tests/forms.rs
@@ -1,6 +1,6 @@
 //! Both forms of one object give the same view.
 
-use magpiewick_facts::Facts;
+use magpiewick_instance_settings::Facts;
 use serde_json::{json, Value};
 
 fn settings() -> Value {
--- a/crates/nodewire/tests/codec.rs
+++ b/crates/node-protocol/tests/codec.rs
@@ -1,6 +1,6 @@
 //! The codec on generated messages and on bytes that lie.
 
-use magpiewick_nodewire::*;
+use magpiewick_node_protocol::*;
 use quickcheck::{quickcheck, Arbitrary, Gen};
 
 /// A generated message with its payload apart, as a message borrows it.
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -1,8 +1,8 @@
 //! Whether what a client asks is a command, by the settings; free of I/O.
 
 use magpiewick::{Command, Ms};
-use magpiewick_desk::Taken;
-use magpiewick_facts::Door;
+use magpiewick_engine::Taken;
+use magpiewick_instance_settings::Door;
 use magpiewick_http1::{Refused, Request};
 
 /// No client waits longer, and no volume comes through more hosts.
--- a/crates/platform/src/ask/tests.rs
+++ b/crates/platform/src/ask/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use magpiewick_facts::DoorBand;
+use magpiewick_instance_settings::DoorBand;
 use magpiewick_http1::Framing;
 use quickcheck::quickcheck;
 
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -10,7 +10,7 @@
 use magpiewick::Ms;
 use magpiewick_exchange::{Next, RequestQueue};
 use magpiewick_http1::{self as http1, Refused};
-use magpiewick_link::Stream;
+use magpiewick_transport::Stream;
 
 /// What a client is told that began a request and did not go on with it.
 const INCOMPLETE: Refused = Refused { status: 408, why: "the request did not come whole" };
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::{self, listing, Listing};
 use magpiewick::{ListClient, Ms, Start};
-use magpiewick_facts::{Door, Facts};
+use magpiewick_instance_settings::{Door, Facts};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeSet;
--- a/crates/platform/src/discovery_calls.rs
+++ b/crates/platform/src/discovery_calls.rs
@@ -9,7 +9,7 @@
 use magpiewick::{Answered, Failure, Ms, News, Step, Target, Validity, Verdict};
 use magpiewick_exchange::{Arrived, Doubt, Upstream};
 use magpiewick_http1::{self as http1, Answers};
-use magpiewick_link::{out_of_descriptors, reach, Ended, Reach, Stream};
+use magpiewick_transport::{out_of_descriptors, reach, Ended, Reach, Stream};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
--- a/crates/platform/src/request_log.rs
+++ b/crates/platform/src/request_log.rs
@@ -4,7 +4,7 @@
 use crate::log_limit::LogLimit;
 use crate::outcome::Sign;
 use magpiewick::{Ms, Outcome};
-use magpiewick_desk::Reason;
+use magpiewick_engine::Reason;
 use std::collections::BTreeMap;
 
 /// Lines of each kind at the default level: as many at once, and so many a second for long.
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -6,10 +6,10 @@
 use crate::outcome::{outcome, Sign};
 use crate::request_log::UpstreamClosed;
 use magpiewick::{Answer, Condition, Ms, Outcome};
-use magpiewick_desk::{Part, Reason};
+use magpiewick_engine::{Part, Reason};
 use magpiewick_exchange::{Arrived, Doubt, Upstream};
 use magpiewick_http1::{self as http1, Answers};
-use magpiewick_link::{out_of_descriptors, reach, Ended, Reach, Stream};
+use magpiewick_transport::{out_of_descriptors, reach, Ended, Reach, Stream};
 use std::net::SocketAddr;
 
 /// A connection to a node that does not stand by then has not come up, where the settings do not say.
--- a/crates/drill/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -8,8 +8,8 @@
 use crate::storm::{storms, Storms};
 use magpiewick::{Group, Repeats};
 use magpiewick_gateway::sheet::HostSheet;
-use magpiewick_nodewire::Verdict as Answer;
-use magpiewick_standin::{FleetSheet, NodeSheet, Seen};
+use magpiewick_node_protocol::Verdict as Answer;
+use magpiewick_emulator::{FleetSheet, NodeSheet, Seen};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
--- a/crates/drill/src/plant.rs
+++ b/crates/scenario/src/plant.rs
@@ -3,7 +3,7 @@
 use crate::audit::Rule;
 use magpiewick::Repeats;
 use magpiewick_gateway::sheet::HostSheet;
-use magpiewick_standin::{Arrived, Tamper};
+use magpiewick_emulator::{Arrived, Tamper};
 use std::collections::HashMap;
 
 type Ms = f64;
--- a/crates/drill/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -1,8 +1,8 @@
 //! A bare relay over the same connections and poller as the host's, without desk and module: what a host's
 //! latency and processor time are measured against.
 
-use magpiewick_link::{listen, Connection, Poll, Woken, NOTHING};
-use magpiewick_nodewire::{Code, Final, Frames, HandOff, Hello, Message, Role, Verdict, LONG_AGO};
+use magpiewick_transport::{listen, Connection, Poll, Woken, NOTHING};
+use magpiewick_node_protocol::{Code, Final, Frames, HandOff, Hello, Message, Role, Verdict, LONG_AGO};
 use slab::Slab;
 use std::io::{self, Write};
 use std::net::SocketAddr;
--- a/crates/drill/src/sheet.rs
+++ b/crates/scenario/src/sheet.rs
@@ -1,8 +1,8 @@
 //! What a drill or a load is told.
 
 use magpiewick_gateway::sheet::{host, HostSheet, Volume};
-use magpiewick_settings::Part;
-use magpiewick_standin::{read_fleet, read_troubles, FleetSheet, Trouble};
+use magpiewick_hcl_settings::Part;
+use magpiewick_emulator::{read_fleet, read_troubles, FleetSheet, Trouble};
 
 type Ms = f64;
 
--- a/crates/drill/src/storm.rs
+++ b/crates/scenario/src/storm.rs
@@ -4,8 +4,8 @@
 use crate::audit::{units_a_ms, Evidence, Finding, Rule};
 use crate::clients::Said;
 use crate::sheet::Storm;
-use magpiewick_nodewire::Verdict as Answer;
-use magpiewick_standin::Seen;
+use magpiewick_node_protocol::Verdict as Answer;
+use magpiewick_emulator::Seen;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
--- a/crates/benchlink/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -2,8 +2,8 @@
 
 use crate::wire::Reply;
 use magpiewick::{Answer, Ending, Entry, Ms, News, Start, Told};
-use magpiewick_desk::{Desk, Part, Reason, Taken, World};
-use magpiewick_facts::NS_PER_MS;
+use magpiewick_engine::{Desk, Part, Reason, Taken, World};
+use magpiewick_instance_settings::NS_PER_MS;
 
 pub struct Host {
     number: u32,
@@ -61,7 +61,7 @@
     }
 
     fn tell(&mut self, to: &[usize], told: &[(u16, Told)]) {
-        for message in magpiewick_peers::written(told) {
+        for message in magpiewick_gossip::written(told) {
             for peer in to {
                 self.reply.u8(9).u32(self.number).u16(*peer as u16).u16(message.len() as u16).put(&message);
             }
@@ -108,7 +108,7 @@
 
     /// A message from another host; one that cannot be read counts as one that got lost.
     pub fn told(&mut self, now: u64, from: u16, message: &[u8]) {
-        if let Ok(told) = magpiewick_peers::read(message) {
+        if let Ok(told) = magpiewick_gossip::read(message) {
             self.desk.heard(ms(now), usize::from(from), &told);
         }
     }
--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,8 +5,8 @@
 
 use host::{ms, Host};
 use magpiewick::{Answer, Command, Condition, Entry, News, Outcome};
-use magpiewick_desk::Taken;
-use magpiewick_facts::Facts;
+use magpiewick_engine::Taken;
+use magpiewick_instance_settings::Facts;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
 use wire::{Fault, Fields, Reply};
--- a/crates/link/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection that carries frames over a stream of bytes.
 
 use crate::{Ended, Poll, Stream};
-use magpiewick_nodewire::{write, Message};
+use magpiewick_node_protocol::{write, Message};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/link/src/connection/tests.rs
+++ b/crates/transport/src/connection/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::listen;
-use magpiewick_nodewire::{read, Message as M, Read as R, Take};
+use magpiewick_node_protocol::{read, Message as M, Read as R, Take};
 use std::io::ErrorKind;
 
 fn pair(poll: &Poll) -> (Connection, Connection) {
--- a/drills/bad-day.hcl
+++ b/scenarios/bad-day.hcl
@@ -1,5 +1,5 @@
 # The bad day: three hosts, eight nodes and their successors, and most kinds of trouble the first users told of.
-#   cargo run --release -- drill drills/bad-day.hcl
+#   cargo run --release -- drill scenarios/bad-day.hcl
 host {
   hosts       = 3
   hand_offs   = 3
--- a/drills/extent-moves.hcl
+++ b/scenarios/extent-moves.hcl
@@ -1,5 +1,5 @@
 # Extents move between shards while hosts serve, under a surge, twice in a row, and while what moves them fails.
-#   cargo run --release -- drill drills/extent-moves.hcl
+#   cargo run --release -- drill scenarios/extent-moves.hcl
 host {
   hosts       = 3
   hand_offs   = 3
--- a/drills/merge-split.hcl
+++ b/scenarios/merge-split.hcl
@@ -1,6 +1,6 @@
 # Small writes that travel together and large reads that are cut, while nodes fail partly, go silent, drain and move
 # data. Host 1 sends every command by itself, to compare with.
-#   cargo run --release -- drill drills/merge-split.hcl
+#   cargo run --release -- drill scenarios/merge-split.hcl
 host {
   hosts      = 2
   hand_offs  = 3
--- a/drills/plants.hcl
+++ b/scenarios/plants.hcl
@@ -1,5 +1,5 @@
 # A short day on which every rule has work to do; with --plant RULE the rig breaks one and the audit must find it.
-#   cargo run --release -- drill drills/plants.hcl --plant twice
+#   cargo run --release -- drill scenarios/plants.hcl --plant twice
 host {
   hosts       = 3
   hand_offs   = 3
--- a/drills/retry-storm.hcl
+++ b/scenarios/retry-storm.hcl
@@ -1,6 +1,6 @@
 # A storm of later tries: a node stops for five seconds and comes back cold to clients that ask again as real ones do;
 # then a rack of three goes down and comes back together.
-#   cargo run --release -- drill drills/retry-storm.hcl --undamped
+#   cargo run --release -- drill scenarios/retry-storm.hcl --undamped
 host {
   hosts       = 3
   hand_offs   = 3
