--- a/crates/cli/benches/doors.rs
+++ b/crates/cli/benches/doors.rs
@@ -1,4 +1,4 @@
-//! Processor time a command and resident memory of the platform's door beside the program's other door: both in one
+//! Processor time a request and resident memory of the platform's door beside the program's other door: both in one
 //! run, in turn, at the same rate, over as many nodes that do no work.
 
 #[allow(dead_code)]
@@ -42,7 +42,7 @@
     })
 }
 
-/// The platform's door: microseconds of processor time a command, and its memory at first, full and after.
+/// The platform's door: microseconds of processor time a request, and its memory at first, full and after.
 fn platform() -> (f64, [f64; 3]) {
     let rig = Rig::with(NODES, Limits { sockets: 2048, given: 2048, ..Limits::default() });
     let first = rig.memory();
--- a/crates/cli/src/extents.rs
+++ b/crates/cli/src/extents.rs
@@ -1,7 +1,9 @@
 //! `magpiewick extents`: asks a map service over the wire.
 
 use clap::Subcommand;
-use magpiewick_node_protocol::{read, write, Hello, MapLine, Mapped, Message, MoveStage, Read, Role, LONG_AGO};
+use magpiewick_node_protocol::{
+    read, write, Hello, MapLine, Mapped, Message, MoveStage, Read, Role, LONG_AGO,
+};
 use std::io::{self, ErrorKind, Read as _, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,15 +1,17 @@
-//! The program `magpiewick`. `docs/operators.md` tells its commands, exit codes and log lines.
+//! The program `magpiewick`. `docs/operators.md` tells its requests, exit codes and log lines.
 
+mod config;
 mod extents;
 mod logs;
-mod sheet;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use magpiewick_scenario::{bench, bench_reads, drill, load, relay, Drilled, Planted, Rule, Said, Sheet};
-use magpiewick_gateway::sheet::LogSheet;
+use magpiewick_emulator::{play, Handle};
+use magpiewick_gateway::config::LogConfig;
 use magpiewick_gateway::{Gateway, HostEnd};
+use magpiewick_scenario::{
+    bench, bench_reads, drill, load, relay, Planted, Rule, Said, ScenarioReport, Sheet,
+};
 use magpiewick_transport::Clock;
-use magpiewick_emulator::{play, Handle};
 
 use std::hash::{BuildHasher, Hasher};
 use std::io::{self, Write};
@@ -37,7 +39,7 @@
 
 #[derive(Subcommand)]
 enum Task {
-    /// Run a host; with a block `standin` in the file, its stand-ins run with it
+    /// Run a host; with a block `standin` in the file, its emulated services run with it
     Serve {
         file: PathBuf,
         /// The host's number, in place of the file's
@@ -46,16 +48,16 @@
         /// Where clients reach it, in place of the file's
         #[arg(long)]
         listen: Option<SocketAddr>,
-        /// The list service, in place of the file's
+        /// The endpoint list service, in place of the file's
         #[arg(long)]
         list: Option<SocketAddr>,
         /// The seed of its chance, in place of the file's
         #[arg(long)]
         seed: Option<u64>,
-        /// Run no stand-ins
+        /// Run no emulated services
         #[arg(long)]
         bare: bool,
-        /// Send every command by itself, whatever the file says of merging
+        /// Send every request by itself, whatever the file says of merging
         #[arg(long)]
         alone: bool,
         /// Know nothing of cold nodes and tell no time to come back, to compare with
@@ -64,16 +66,16 @@
     },
     /// Check a settings file; all its faults are named at once
     Check { file: PathBuf },
-    /// Run one of a file's storage nodes as a stand-in, with the troubles that the file has for it
+    /// Run one of a file's storage nodes as a emulated service, with the faults that the file has for it
     Node {
         file: PathBuf,
         /// The node's number
         #[arg(long)]
         number: u32,
     },
-    /// Run a file's list service and all its nodes as stand-ins
+    /// Run a file's endpoint list service and all its nodes as emulated services
     List { file: PathBuf },
-    /// Play a drill on loopback and audit the seven rules from the traffic alone
+    /// Play a scenario on loopback and audit the seven rules from the traffic alone
     Drill {
         file: PathBuf,
         #[arg(long, default_value_t = 1)]
@@ -86,7 +88,7 @@
         /// Play it a second time with hosts that damp no storm, and report both
         #[arg(long)]
         undamped: bool,
-        /// Write a line for each command, with its one final answer, to this file
+        /// Write a line for each request, with its one final answer, to this file
         #[arg(long)]
         pairs: Option<PathBuf>,
     },
@@ -96,7 +98,7 @@
         /// The host; the file's `listen` otherwise
         #[arg(long)]
         host: Option<SocketAddr>,
-        /// Commands a second, in place of the file's
+        /// Requests a second, in place of the file's
         #[arg(long)]
         rate: Option<f64>,
         #[arg(long, default_value_t = 1)]
@@ -109,7 +111,7 @@
         /// Numbers of nodes
         #[arg(long, value_delimiter = ',', default_values_t = [1, 8, 60])]
         nodes: Vec<usize>,
-        /// Commands a second for the latencies; half of what the host can do otherwise
+        /// Requests a second for the latencies; half of what the host can do otherwise
         #[arg(long)]
         rate: Option<f64>,
         /// Measure large reads to their last byte instead, cut and whole
@@ -174,8 +176,8 @@
     };
     let done = match arguments.command.file().map(Path::to_path_buf) {
         None => measure(&arguments.command),
-        Some(file) => match sheet::read(&file, fresh()) {
-            Ok(sheet) => run(arguments.command, sheet, &file),
+        Some(file) => match config::read(&file, fresh()) {
+            Ok(config) => run(arguments.command, config, &file),
             Err(faults) => {
                 eprintln!("{faults}");
                 Ok(USAGE)
@@ -191,13 +193,13 @@
     }
 }
 
-fn run(task: Task, mut sheet: Sheet, file: &Path) -> io::Result<u8> {
+fn run(task: Task, mut config: Sheet, file: &Path) -> io::Result<u8> {
     match task {
         Task::Check { .. } => {
-            let host = &sheet.host;
-            let (bands, plans) = (host.start.bands.len(), host.start.plans.len());
+            let host = &config.host;
+            let (classes, plans) = (host.start.classes.len(), host.start.plans.len());
             println!(
-                "{}: good; {bands} bands, {plans} plans, {} volumes",
+                "{}: good; {classes} bands, {plans} plans, {} volumes",
                 file.display(),
                 host.volumes.len()
             );
@@ -205,35 +207,35 @@
         }
         Task::Serve { number, listen, list, seed, bare, alone, undamped, .. } => {
             if alone {
-                sheet.host.send_alone();
+                config.host.send_alone();
             }
             if undamped {
-                sheet.host.damp_nothing();
+                config.host.damp_nothing();
             }
-            sheet.host.number = number.unwrap_or(sheet.host.number);
-            sheet.host.listen = listen.unwrap_or(sheet.host.listen);
-            sheet.host.list.address = list.unwrap_or(sheet.host.list.address);
-            sheet.host.start.seed = seed.unwrap_or(sheet.host.start.seed);
-            serve(sheet, bare)
+            config.host.number = number.unwrap_or(config.host.number);
+            config.host.listen = listen.unwrap_or(config.host.listen);
+            config.host.list.address = list.unwrap_or(config.host.list.address);
+            config.host.start.seed = seed.unwrap_or(config.host.start.seed);
+            serve(config, bare)
         }
         Task::Node { number, .. } => {
-            let Some(fleet) = &mut sheet.fleet else { return Ok(missing(file, "standin")) };
+            let Some(fleet) = &mut config.fleet else { return Ok(missing(file, "standin")) };
             fleet.nodes.retain(|n| n.number == number);
             if fleet.nodes.is_empty() {
                 eprintln!("{}: no node {number} in the block standin", file.display());
                 return Ok(USAGE);
             }
-            stand_in(sheet, false)
+            stand_in(config, false)
         }
-        Task::List { .. } if sheet.fleet.is_some() => stand_in(sheet, true),
+        Task::List { .. } if config.fleet.is_some() => stand_in(config, true),
         Task::List { .. } => Ok(missing(file, "standin")),
         Task::Drill { seed, format, plant, undamped, pairs, .. } => {
-            let Some(fleet) = &sheet.fleet else { return Ok(missing(file, "standin")) };
-            let Some(drill_sheet) = &sheet.drill else { return Ok(missing(file, "traffic")) };
-            logs::start(&sheet.host.log);
+            let Some(fleet) = &config.fleet else { return Ok(missing(file, "standin")) };
+            let Some(drill_sheet) = &config.drill else { return Ok(missing(file, "traffic")) };
+            logs::start(&config.host.log);
             let program = std::env::current_exe()?;
             let play =
-                |undamped| drill(&program, file, (&sheet.host, fleet, drill_sheet), seed, plant, undamped);
+                |undamped| drill(&program, file, (&config.host, fleet, drill_sheet), seed, plant, undamped);
             let mut drilled = play(false)?;
             if undamped {
                 drilled.undamped = Some(Box::new(play(true)?));
@@ -245,10 +247,10 @@
             Ok(if drilled.ok { 0 } else { BROKEN })
         }
         Task::Load { host, rate, seed, format, .. } => {
-            let Some(drill_sheet) = &mut sheet.drill else { return Ok(missing(file, "traffic")) };
+            let Some(drill_sheet) = &mut config.drill else { return Ok(missing(file, "traffic")) };
             drill_sheet.traffic.rate = rate.unwrap_or(drill_sheet.traffic.rate);
-            sheet.host.start.hosts = 1.0;
-            let report = load(&sheet.host, drill_sheet, host.unwrap_or(sheet.host.listen), seed)?;
+            config.host.start.hosts = 1.0;
+            let report = load(&config.host, drill_sheet, host.unwrap_or(config.host.listen), seed)?;
             match format {
                 Form::Json => println!("{}", serde_json::to_string_pretty(&report)?),
                 Form::Text => {
@@ -272,7 +274,7 @@
 fn measure(task: &Task) -> io::Result<u8> {
     match task {
         Task::Platform => {
-            logs::start(&LogSheet::default());
+            logs::start(&LogConfig::default());
             match magpiewick_platform::run() {
                 Ok(()) => Ok(0),
                 Err(magpiewick_platform::Fault::System(e)) => Err(e),
@@ -346,19 +348,19 @@
     Ok(read)
 }
 
-fn serve(mut sheet: Sheet, bare: bool) -> io::Result<u8> {
-    logs::start(&sheet.host.log);
+fn serve(mut config: Sheet, bare: bool) -> io::Result<u8> {
+    logs::start(&config.host.log);
     let stop = signals()?;
-    let stand_ins = match sheet.fleet.take().filter(|_| !bare) {
+    let stand_ins = match config.fleet.take().filter(|_| !bare) {
         Some(fleet) => {
             let handle = Handle::start(fleet, Clock::start(), None)?;
             handle.order(|fleet| fleet.forget_records());
-            sheet.host.list.address = handle.list;
+            config.host.list.address = handle.list;
             Some(handle)
         }
         None => None,
     };
-    let gateway = Gateway::bind(sheet.host, stop, fresh())?;
+    let gateway = Gateway::bind(config.host, stop, fresh())?;
     println!("ready {}", gateway.address());
     io::stdout().flush()?;
     let end = gateway.run()?;
@@ -369,10 +371,10 @@
     })
 }
 
-fn stand_in(sheet: Sheet, list: bool) -> io::Result<u8> {
-    logs::start(&sheet.host.log);
+fn stand_in(config: Sheet, list: bool) -> io::Result<u8> {
+    logs::start(&config.host.log);
     let mut stop = signals()?;
-    let Some(fleet) = sheet.fleet else { return Ok(USAGE) };
+    let Some(fleet) = config.fleet else { return Ok(USAGE) };
     let known: Vec<u32> = fleet.nodes.iter().map(|n| n.number).collect();
     let clock = Clock::start();
     let zones: Vec<(u64, u32)> = fleet.nodes.iter().map(|n| (u64::from(n.zone), n.number)).collect();
@@ -384,7 +386,7 @@
         false => println!("ready {}", addresses.first().map_or(handle.list, |a| a.1)),
     }
     io::stdout().flush()?;
-    let troubles = sheet.drill.map_or(Vec::new(), |d| d.troubles);
+    let troubles = config.drill.map_or(Vec::new(), |d| d.troubles);
     let zone = |zone: u64| zones.iter().filter(|z| z.0 == zone).map(|z| z.1).collect();
     let steps = troubles.iter().flat_map(|t| t.steps(zone)).collect();
     tracing::info!(nodes = known.len(), "stand-ins run");
@@ -398,12 +400,12 @@
 }
 
 /// One line a try: what was asked, when, and its one final answer.
-fn write_pairs(path: &Path, drilled: &Drilled) -> io::Result<()> {
+fn write_pairs(path: &Path, drilled: &ScenarioReport) -> io::Result<()> {
     let mut out = io::BufWriter::new(std::fs::File::create(path)?);
     for (at, said) in &drilled.said {
         let line = match said {
             Said::Took(t) => serde_json::json!({
-                "at_ms": at, "try": t.number, "command": t.mark, "host": t.at_host, "band": t.band,
+                "at_ms": at, "try": t.number, "command": t.mark, "host": t.at_host, "band": t.class,
                 "volume": t.volume, "key": t.key, "limit_ms": t.limit, "later": t.later
             }),
             Said::Answered { number, verdict, back } => serde_json::json!({
@@ -420,7 +422,7 @@
     out.flush()
 }
 
-fn tell_storms(d: &Drilled, which: &str) {
+fn tell_storms(d: &ScenarioReport, which: &str) {
     let Some(storms) = &d.verdict.storms else { return };
     println!("{which}quiet payoff {:.3}, {:.2} tries a command", storms.quiet_payoff, storms.tries);
     for r in &storms.returns {
@@ -438,7 +440,7 @@
     }
 }
 
-fn tell(d: &Drilled, format: Form) -> io::Result<()> {
+fn tell(d: &ScenarioReport, format: Form) -> io::Result<()> {
     if let Form::Json = format {
         println!("{}", serde_json::to_string_pretty(d)?);
         return Ok(());
@@ -451,7 +453,7 @@
     println!("payoff within the soft limit {:.3}; p50 {:.1} ms, p99 {:.1} ms", d.payoff, d.p50_ms, d.p99_ms);
     println!(
         "hand-offs {}, further {}; hosts ended with {:?}",
-        d.verdict.hand_offs, d.verdict.further, d.exit_codes
+        d.verdict.attempts, d.verdict.further, d.exit_codes
     );
     for h in d.verdict.by_host.iter().filter(|h| h.writes > 0) {
         let (merged, part) = (h.node_commands as f64 / h.sent.max(1) as f64, h.payoff);
@@ -483,7 +485,7 @@
                 f.at,
                 f.host.unwrap_or(0),
                 f.node,
-                f.command,
+                f.request_id,
                 f.what
             );
         }
--- a/crates/cli/tests/drills.rs
+++ b/crates/cli/tests/drills.rs
@@ -1,10 +1,10 @@
-//! The whole path on loopback under injected faults: hosts as processes, stand-ins, clients, and the audit.
+//! The whole path on loopback under injected faults: hosts as processes, emulated services, clients, and the audit.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::sync::Mutex;
 
-/// Drills measure against the clock, so they run one at a time.
+/// Scenarios measure against the clock, so they run one at a time.
 static ALONE: Mutex<()> = Mutex::new(());
 
 fn file(name: &str) -> PathBuf {
--- a/crates/cli/tests/platform/exchanges.rs
+++ b/crates/cli/tests/platform/exchanges.rs
@@ -8,16 +8,16 @@
 use std::time::{Duration, Instant};
 
 /// Asks one request after the other with a rest between them; each answer must be its own.
-fn asks_in_turn(rig: &Rig, name: &str, band: &str, rest: Duration) {
+fn asks_in_turn(rig: &Rig, name: &str, class: &str, rest: Duration) {
     let mut client = rig.client();
     for i in 0..6 {
         let id = format!("{name}-{i}");
         let answer =
-            client.asks(&command(&id, band, 0, 2000)).unwrap_or_else(|| panic!("{id} has no answer"));
+            client.asks(&command(&id, class, 0, 2000)).unwrap_or_else(|| panic!("{id} has no answer"));
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         match answer.status() {
             200 => assert_eq!(body, made_for(&id), "{id} got an answer that was not made for it"),
-            status => assert!(band == "once" && status == 502, "{id}: {status} {body}"),
+            status => assert!(class == "once" && status == 502, "{id}: {status} {body}"),
         }
         std::thread::sleep(rest);
     }
@@ -38,11 +38,11 @@
     ] {
         // A connection is taken again at once where it is, or after a rest.
         std::thread::scope(|scope| {
-            for (rest, band) in [0, 15, 250].into_iter().flat_map(|rest| [(rest, "read"), (rest, "once")]) {
+            for (rest, class) in [0, 15, 250].into_iter().flat_map(|rest| [(rest, "read"), (rest, "once")]) {
                 scope.spawn(move || {
                     let rig = Rig::new(1);
                     rig.nodes[0].always(Does::ServesBehind(stray));
-                    asks_in_turn(&rig, &format!("{band}-{rest}"), band, Duration::from_millis(rest));
+                    asks_in_turn(&rig, &format!("{class}-{rest}"), class, Duration::from_millis(rest));
                 });
             }
         });
@@ -86,7 +86,7 @@
     }
 }
 
-/// What stands between two commands in one piece: something that the host answers by itself, at once.
+/// What stands between two requests in one piece: something that the host answers by itself, at once.
 fn answered_at_once(form: usize, id: &str) -> Vec<u8> {
     let plain = String::from_utf8(command(id, "read", 0, 900)).unwrap();
     match form {
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! A host of the platform end to end on loopback: the main job, what each end of a hand-off comes to, bad clients,
+//! A host of the platform end to end on loopback: the main job, what each end of an attempt comes to, bad clients,
 //! bad nodes, a bad discovery, signals, and descriptors that run out.
 
 mod endings;
@@ -59,12 +59,12 @@
     assert_eq!(connections(), most, "what has rested is used before a new connection is made");
 }
 
-/// What a command comes to whose first hand-off meets this: its status, and how many hand-offs reached the node.
-fn first_meets(band: &str, does: Does) -> (u16, usize) {
+/// What a request comes to whose first attempt meets this: its status, and how many attempts reached the node.
+fn first_meets(class: &str, does: Does) -> (u16, usize) {
     let rig = Rig::new(1);
     rig.nodes[0].does(std::slice::from_ref(&does));
     let answer =
-        rig.client().asks(&command("c1", band, 0, 1500)).unwrap_or_else(|| panic!("{does:?}: no answer"));
+        rig.client().asks(&command("c1", class, 0, 1500)).unwrap_or_else(|| panic!("{does:?}: no answer"));
     if answer.status() == 200 {
         assert_eq!(String::from_utf8_lossy(&answer.body), made_for("c1"), "{does:?}");
     }
@@ -73,8 +73,8 @@
 
 #[test]
 fn what_never_ran_is_sent_again_whatever_its_band() {
-    for band in ["read", "write", "once"] {
-        assert_eq!(first_meets(band, Does::Writes(FULL)), (200, 2), "{band}");
+    for class in ["read", "write", "once"] {
+        assert_eq!(first_meets(class, Does::Writes(FULL)), (200, 2), "{class}");
     }
 }
 
@@ -140,10 +140,13 @@
 fn a_command_is_answered_before_its_time_is_up_though_its_node_is_silent() {
     let rig = Rig::new(1);
     rig.nodes[0].always(Does::Nothing);
-    for band in ["read", "write", "once"] {
+    for class in ["read", "write", "once"] {
         let (asked, mut client) = (Instant::now(), rig.client());
-        let answer = client.asks(&command(&format!("x-{band}"), band, 0, 600)).unwrap();
-        assert!(answer.status() >= 500 && asked.elapsed() < Duration::from_millis(650), "{band}: {answer:?}");
+        let answer = client.asks(&command(&format!("x-{class}"), class, 0, 600)).unwrap();
+        assert!(
+            answer.status() >= 500 && asked.elapsed() < Duration::from_millis(650),
+            "{class}: {answer:?}"
+        );
         if answer.status() == 503 {
             let back: f64 = answer.field("retry-after").expect("a time to come back").parse().unwrap();
             assert!((0.0..=0.5).contains(&back));
@@ -489,7 +492,7 @@
     }
     let not_ready = rig.client().asks(b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").unwrap();
     assert_eq!(not_ready.status(), 503);
-    // What can no longer be served is answered all the same, by a host that rests meanwhile; after its soft limit,
+    // What can no longer be served is answered all the same, by a host that rests meanwhile; after its latency objective,
     // when clients are sent away already.
     rig.nodes[0].always(Does::Nothing);
     let mut last = rig.client();
--- a/crates/cli/tests/platform/rig.rs
+++ b/crates/cli/tests/platform/rig.rs
@@ -1,4 +1,4 @@
-//! A host of the platform as a process, with stand-ins of the platform's nodes and discovery on loopback. They read
+//! A host of the platform as a process, with emulated services of the platform's nodes and discovery on loopback. They read
 //! and write HTTP by hand, so that nothing of the program vouches for itself.
 
 use serde_json::{json, Value};
@@ -122,7 +122,7 @@
     format!("{id:-<24}")
 }
 
-/// A stand-in node: what it is to do next, and what reached it.
+/// A emulated service node: what it is to do next, and what reached it.
 #[derive(Default)]
 pub struct Node {
     script: Mutex<VecDeque<Does>>,
@@ -355,7 +355,7 @@
     calls: Vec<String>,
 }
 
-/// A stand-in discovery.
+/// A emulated service discovery.
 #[derive(Default)]
 pub struct Discovery {
     list: Mutex<List>,
@@ -761,14 +761,14 @@
     }
 }
 
-/// A command's bytes: its id, band, shard and time limit in milliseconds. Reads have no body.
-pub fn command(id: &str, band: &str, shard: i32, limit: u32) -> Vec<u8> {
+/// A request's bytes: its id, class, shard and client timeout in milliseconds. Reads have no body.
+pub fn command(id: &str, class: &str, shard: i32, limit: u32) -> Vec<u8> {
     let piece = id.bytes().fold(17u64, |sum, b| sum.wrapping_mul(31).wrapping_add(u64::from(b)));
-    let (method, body) = if band == "read" { ("GET", "") } else { ("PUT", "some bytes") };
-    let length = if band == "read" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+    let (method, body) = if class == "read" { ("GET", "") } else { ("PUT", "some bytes") };
+    let length = if class == "read" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
     format!(
         "{method} /api/00000003b4d60021/{piece:016x}?v=1 HTTP/1.1\r\nHost: backend.local\r\n\
-        X-Request-Id: {id}\r\nX-Class: {band}\r\nX-Qos-Policy: gold\r\nX-Deadline: {limit}m\r\n\
+        X-Request-Id: {id}\r\nX-Class: {class}\r\nX-Qos-Policy: gold\r\nX-Deadline: {limit}m\r\n\
         Idempotency-Key: key-{id}\r\n{length}X-Placement: units=2,shard={shard},hosts=1\r\n\r\n{body}"
     )
     .into_bytes()
--- a/crates/cli/tests/platform/stale_list.rs
+++ b/crates/cli/tests/platform/stale_list.rs
@@ -1,4 +1,4 @@
-//! How old the list of nodes may become: whatever fails at discovery, a node that drains or went gets nothing new
+//! How old the endpoint list may become: whatever fails at discovery, a node that drains or went gets nothing new
 //! once the change counts as told.
 
 use crate::proxy::{Harm, Proxy};
--- a/crates/cli/tests/soak/client.rs
+++ b/crates/cli/tests/soak/client.rs
@@ -10,7 +10,7 @@
 /// What a client expects of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// A command, whose served answer is the one that a node made for it.
+    /// A request, whose served answer is the one that a node made for it.
     Command,
     /// The host's own word on whether it is ready.
     Ready,
--- a/crates/cli/tests/soak/plan.rs
+++ b/crates/cli/tests/soak/plan.rs
@@ -26,7 +26,7 @@
     pub longest: Duration,
     /// Out of a hundred answers, so many are followed or replaced by something that does not belong there.
     pub strays: u64,
-    /// Out of a hundred requests, so many meet trouble at their node.
+    /// Out of a hundred requests, so many meet fault at their node.
     pub trouble: u64,
     /// Out of a hundred requests, so many are abandoned by their client.
     pub abandoned: u64,
--- a/crates/coalescing/src/company.rs
+++ b/crates/coalescing/src/coalescer.rs
@@ -1,4 +1,4 @@
-//! Which held writes may travel with one that leaves now, as one command of the node.
+//! Which held writes may travel with one that leaves now, as one request of the node.
 //!
 //! Nothing waits for company: a write is known here while it is held anyway, and looked up when a neighbour
 //! leaves. The module has the last word on each, as its limit, its key, the budget and its tag are there.
@@ -10,14 +10,14 @@
 pub struct Piece {
     pub volume: u64,
     pub shard: u32,
-    pub band: u16,
+    pub class: u16,
     pub start: u64,
     pub end: u64,
     pub bytes: usize,
     pub units: f64,
 }
 
-/// What one command of a node may hold.
+/// What one request of a node may hold.
 #[derive(Clone, Debug)]
 pub struct Bounds {
     pub parts: usize,
@@ -31,7 +31,7 @@
 /// module keeps back, must not make a search through all that is held.
 const LOOKS: usize = 4;
 
-/// Shard, volume and band, then the place in the volume, then the command.
+/// Shard, volume and class, then the place in the volume, then the request.
 type Spot = (u32, u64, u16, u64, u64);
 
 struct Forming {
@@ -61,35 +61,35 @@
 }
 
 /// The writes that are held, by place.
-pub struct Company {
+pub struct Coalescer {
     bounds: Bounds,
     held: HashMap<u64, Piece>,
     spots: BTreeSet<Spot>,
     forming: Option<Forming>,
 }
 
-fn spot(command: u64, p: &Piece) -> Spot {
-    (p.shard, p.volume, p.band, p.start, command)
+fn spot(request_id: u64, p: &Piece) -> Spot {
+    (p.shard, p.volume, p.class, p.start, request_id)
 }
 
-impl Company {
-    pub fn new(bounds: Bounds) -> Company {
-        Company { bounds, held: HashMap::new(), spots: BTreeSet::new(), forming: None }
+impl Coalescer {
+    pub fn new(bounds: Bounds) -> Coalescer {
+        Coalescer { bounds, held: HashMap::new(), spots: BTreeSet::new(), forming: None }
     }
 
     /// Notes that a write is held; one that could never travel with another is not kept.
-    pub fn hold(&mut self, command: u64, piece: Piece) {
-        self.let_go(command);
+    pub fn hold(&mut self, request_id: u64, piece: Piece) {
+        self.let_go(request_id);
         if self.bounds.parts > 1 && piece.units < self.bounds.units && piece.bytes < self.bounds.bytes {
-            self.spots.insert(spot(command, &piece));
-            self.held.insert(command, piece);
+            self.spots.insert(spot(request_id, &piece));
+            self.held.insert(request_id, piece);
         }
     }
 
     /// Forgets a write that is held no more: it left, or is over.
-    pub fn let_go(&mut self, command: u64) {
-        if let Some(piece) = self.held.remove(&command) {
-            self.spots.remove(&spot(command, &piece));
+    pub fn let_go(&mut self, request_id: u64) {
+        if let Some(piece) = self.held.remove(&request_id) {
+            self.spots.remove(&spot(request_id, &piece));
         }
     }
 
@@ -99,7 +99,7 @@
         let leader = parts.clone().next()?;
         if self.forming.is_none() {
             let p = self.held.get(&leader)?;
-            let (row, here) = ((p.shard, p.volume, p.band), spot(leader, p));
+            let (row, here) = ((p.shard, p.volume, p.class), spot(leader, p));
             let (low, high, looks) = (p.start, p.end, 0);
             let mut forming = Forming {
                 row,
@@ -122,9 +122,9 @@
         }
         while forming.ranges.len() < self.bounds.parts && forming.looks < LOOKS * self.bounds.parts {
             forming.looks += 1;
-            let (shard, volume, band) = forming.row;
-            let first: Spot = (shard, volume, band, 0, 0);
-            let last: Spot = (shard, volume, band, u64::MAX, u64::MAX);
+            let (shard, volume, class) = forming.row;
+            let first: Spot = (shard, volume, class, 0, 0);
+            let last: Spot = (shard, volume, class, u64::MAX, u64::MAX);
             // A range that starts far below may reach up to here past short ones that start nearer.
             let gap = |s: &Spot| forming.low.saturating_sub(self.held[&s.4].end);
             let below = self.spots.range(first..forming.below).rev().take(LOOKS * self.bounds.parts);
@@ -154,6 +154,6 @@
     /// The parts left: the next call of `beside` begins anew.
     pub fn left(&mut self, parts: impl Iterator<Item = u64>) {
         self.forming = None;
-        parts.for_each(|command| self.let_go(command));
+        parts.for_each(|request_id| self.let_go(request_id));
     }
 }
--- a/crates/coalescing/src/lib.rs
+++ b/crates/coalescing/src/lib.rs
@@ -1,11 +1,11 @@
-//! Merging and splitting of commands along the extent map: which held writes travel with one that leaves
-//! ([`Company`]), in what order overlapping writes go ([`Gate`]), and how a large read is cut and put together
-//! again ([`cut`], [`Gather`]). Free of I/O; when a command leaves and where to is the module's to decide.
+//! Merging and splitting of requests along the extent map: which held writes travel with one that leaves
+//! ([`Coalescer`]), in what order overlapping writes go ([`OverlapLock`]), and how a large read is cut and put together
+//! again ([`cut`], [`SplitRead`]). Free of I/O; when a request leaves and where to is the module's to decide.
 
-mod company;
-mod gate;
+mod coalescer;
+mod overlap_lock;
 mod split;
 
-pub use company::{Bounds, Company, Piece};
-pub use gate::{Gate, Write};
-pub use split::{cut, Gather, Progress};
+pub use coalescer::{Bounds, Coalescer, Piece};
+pub use overlap_lock::{OverlapLock, Write};
+pub use split::{cut, Progress, SplitRead};
--- a/crates/coalescing/src/gate.rs
+++ b/crates/coalescing/src/overlap_lock.rs
@@ -1,7 +1,7 @@
 //! The order of overlapping writes: of two that overlap the one taken later waits until the earlier one is over.
 //!
-//! The module keeps commands of one key in their order; this keeps those whose ranges meet and whose keys
-//! differ, or whose band the module does not order. Guards against two writes of one block in flight, whatever
+//! The module keeps requests of one key in their order; this keeps those whose ranges meet and whose keys
+//! differ, or whose class the module does not order. Guards against two writes of one block in flight, whatever
 //! sends, repeats or delays them; it could harm where many clients write the same blocks without minding the
 //! order: they get one place in all.
 
@@ -25,17 +25,17 @@
 
 /// The writes of a host that are not over.
 #[derive(Default)]
-pub struct Gate {
+pub struct OverlapLock {
     kept: HashMap<u64, Kept>,
-    /// By volume, start and command: the end.
+    /// By volume, start and request: the end.
     ranges: BTreeMap<(u64, u64, u64), u64>,
     longest: u64,
     waiting: usize,
 }
 
-impl Gate {
+impl OverlapLock {
     /// Takes a write in; true where it may go on at once.
-    pub fn enter(&mut self, command: u64, write: Write) -> bool {
+    pub fn enter(&mut self, request_id: u64, write: Write) -> bool {
         let Write { volume, start, end, line } = write;
         let from = start.saturating_sub(self.longest);
         let near = self.ranges.range((volume, from, 0)..(volume, end, 0));
@@ -45,20 +45,20 @@
             if let Some(kept) = self.kept.get_mut(&other) {
                 // The module orders these two by itself.
                 if line.is_none() || kept.write.line != line {
-                    kept.followers.push(command);
+                    kept.followers.push(request_id);
                     waits += 1;
                 }
             }
         }
         self.longest = self.longest.max(end - start);
-        self.ranges.insert((volume, start, command), end);
-        self.kept.insert(command, Kept { write, waits, followers: Vec::new() });
+        self.ranges.insert((volume, start, request_id), end);
+        self.kept.insert(request_id, Kept { write, waits, followers: Vec::new() });
         self.waiting += usize::from(waits > 0);
         waits == 0
     }
 
-    pub fn waits(&self, command: u64) -> bool {
-        self.kept.get(&command).is_some_and(|k| k.waits > 0)
+    pub fn waits(&self, request_id: u64) -> bool {
+        self.kept.get(&request_id).is_some_and(|k| k.waits > 0)
     }
 
     /// How many writes wait here.
@@ -67,17 +67,17 @@
     }
 
     /// Lets a write go on though an earlier one is not over: it is to end without being sent.
-    pub fn pass(&mut self, command: u64) {
-        if let Some(kept) = self.kept.get_mut(&command).filter(|k| k.waits > 0) {
+    pub fn pass(&mut self, request_id: u64) {
+        if let Some(kept) = self.kept.get_mut(&request_id).filter(|k| k.waits > 0) {
             kept.waits = 0;
             self.waiting -= 1;
         }
     }
 
     /// A write is over, and cannot take effect any more; those that may go on now, in the order taken.
-    pub fn leave(&mut self, command: u64) -> Vec<u64> {
-        let Some(gone) = self.kept.remove(&command) else { return Vec::new() };
-        self.ranges.remove(&(gone.write.volume, gone.write.start, command));
+    pub fn leave(&mut self, request_id: u64) -> Vec<u64> {
+        let Some(gone) = self.kept.remove(&request_id) else { return Vec::new() };
+        self.ranges.remove(&(gone.write.volume, gone.write.start, request_id));
         self.waiting -= usize::from(gone.waits > 0);
         let mut free = Vec::new();
         for follower in gone.followers {
--- a/crates/coalescing/src/split.rs
+++ b/crates/coalescing/src/split.rs
@@ -6,7 +6,7 @@
     let mut pieces = Vec::new();
     let mut from = start;
     for edge in edges.filter(|e| *e > start && *e < end).chain([end]) {
-        // Equal pieces, so that none is a crumb that costs a command of its own.
+        // Equal pieces, so that none is a crumb that costs a request of its own.
         let count = (edge - from).div_ceil(most.max(1)).max(1);
         let length = (edge - from).div_ceil(count);
         while from < edge {
@@ -35,7 +35,7 @@
 }
 
 /// A read in pieces: which are out, which came. Once it is over it takes nothing any more.
-pub struct Gather {
+pub struct SplitRead {
     pieces: Vec<Stage>,
     at_once: usize,
     next: usize,
@@ -46,10 +46,10 @@
     over: bool,
 }
 
-impl Gather {
+impl SplitRead {
     /// `at_once` pieces are out at a time, and `most_bytes` are kept.
-    pub fn new(pieces: usize, at_once: usize, most_bytes: usize) -> Gather {
-        Gather {
+    pub fn new(pieces: usize, at_once: usize, most_bytes: usize) -> SplitRead {
+        SplitRead {
             pieces: (0..pieces).map(|_| Stage::Held).collect(),
             at_once: at_once.max(1),
             next: 0,
--- a/crates/emulator/src/sheet.rs
+++ b/crates/emulator/src/config.rs
@@ -1,4 +1,4 @@
-//! What a fleet of stand-ins is told.
+//! What a fleet of emulated services is told.
 
 use crate::Ms;
 use magpiewick_extents::Pace;
@@ -17,14 +17,14 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Shard,
 }
 
 #[derive(Clone, Debug)]
-pub struct NodeSheet {
+pub struct NodeConfig {
     pub number: u32,
     pub listen: SocketAddr,
     pub zone: u16,
@@ -36,27 +36,27 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct FleetSheet {
+pub struct EmulatorConfig {
     pub seed: u64,
     pub list: SocketAddr,
-    /// How late the list service tells its news.
+    /// How late the endpoint list service tells its news.
     pub list_late: Ms,
     /// Work of a unit at a speed of 1.
     pub unit_work: Ms,
-    /// Work of a command of the node, whatever it holds.
+    /// Work of a request of the node, whatever it holds.
     pub command_work: Ms,
     /// Bytes of a block in the answer to a read of several.
     pub block: usize,
     pub queue: usize,
     pub cold: Cold,
-    /// The bands, by number, whose repeats are dropped, among which nodes, and for how long.
+    /// The classes, by number, whose repeats are dropped, among which nodes, and for how long.
     pub fingerprinted: Vec<u16>,
-    pub group: Group,
+    pub group: DeduplicationScope,
     pub memory: Ms,
     /// The part of a write's work that is put off, and how often what was put off is done in one go.
     pub put_off: f64,
     pub put_off_every: Ms,
-    pub nodes: Vec<NodeSheet>,
+    pub nodes: Vec<NodeConfig>,
     /// Into how many extents each volume is cut (0: no map), how many keys a volume has room for, and how long a
     /// step of a move takes.
     pub extents: u64,
@@ -67,11 +67,15 @@
     pub volumes: Vec<(u64, Vec<u32>)>,
 }
 
-const GROUPS: [(&str, Group); 3] = [("all", Group::All), ("zone", Group::Zone), ("shard", Group::Shard)];
+const SCOPES: [(&str, DeduplicationScope); 3] = [
+    ("all", DeduplicationScope::All),
+    ("zone", DeduplicationScope::Zone),
+    ("shard", DeduplicationScope::Shard),
+];
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Reads the block `standin` of a file, where it has one.
-pub fn fleet(root: &Part) -> Option<FleetSheet> {
+pub fn fleet(root: &Part) -> Option<EmulatorConfig> {
     let p = root.part("standin")?;
     let cores = p.field("cores").whole_or(1..=1024, 2);
     let speed = p.field("speed").number_or(1.0);
@@ -82,9 +86,9 @@
     if nodes.is_empty() {
         p.fault("no node; expected at least one block node \"number\"");
     }
-    let bands = p.field("fingerprinted");
-    let fingerprinted = if bands.given() { bands.wholes() } else { Vec::new() };
-    Some(FleetSheet {
+    let classes = p.field("fingerprinted");
+    let fingerprinted = if classes.given() { classes.wholes() } else { Vec::new() };
+    Some(EmulatorConfig {
         seed: p.field("seed").whole_or(0..=u64::MAX, 1),
         list: p.field("list").address_or(ANY),
         list_late: p.field("list_late").time_or(0.0),
@@ -93,8 +97,8 @@
         block: p.field("block").whole_or(8..=1 << 20, 64) as usize,
         queue: p.field("queue").whole_or(1..=1 << 20, 256) as usize,
         cold: cold(p.part("cold")),
-        fingerprinted: fingerprinted.into_iter().map(|band| band as u16).collect(),
-        group: p.field("group").one_of_or(&GROUPS, Group::Shard),
+        fingerprinted: fingerprinted.into_iter().map(|class| class as u16).collect(),
+        group: p.field("group").one_of_or(&SCOPES, DeduplicationScope::Shard),
         memory: p.field("memory").time_or(0.0),
         put_off: p.field("put_off").part_or(0.0),
         put_off_every: p.field("put_off_every").time_or(1000.0),
@@ -122,12 +126,12 @@
     })
 }
 
-fn node(p: &Part, cores: u64, speed: f64) -> NodeSheet {
+fn node(p: &Part, cores: u64, speed: f64) -> NodeConfig {
     let number = p.label().parse().unwrap_or_else(|_| {
         p.fault(format!("the label {:?} of a node is not its number", p.label()));
         0
     });
-    NodeSheet {
+    NodeConfig {
         number,
         listen: p.field("listen").address_or(ANY),
         zone: p.field("zone").whole_or(0..=u64::from(u16::MAX), 0) as u16,
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,15 +1,15 @@
 //! The loop of a fleet: its sockets, its work and its list.
 
+use crate::config::{DeduplicationScope, EmulatorConfig};
 use crate::moves::{Service, Stepped};
 use crate::node::{Ailing, Node};
-use crate::sheet::{FleetSheet, Group};
 use crate::{Ms, Seen};
 use magpiewick_extents::{Change, Changes, Extent, Stage};
-use magpiewick_transport::{listen, Clock, Connection, Poll, Registered, Timers, Woken, NOTHING};
 use magpiewick_node_protocol::{
-    self as wire, Code, Final, Frames, HandOff, Hello, Line, List, MapLine, MapNews, Mapped, Message,
-    MoveStage, Outcome, Role, State, Verdict, LONG_AGO, MOST_MAP_LINES,
+    self as wire, Attempt, Final, FinalCode, Frames, Hello, Line, List, MapLine, MapNews, Mapped, Message,
+    MoveStage, Outcome, OutcomeCode, Role, State, LONG_AGO, MOST_MAP_LINES,
 };
+use magpiewick_transport::{listen, Clock, Connection, Poll, Registered, Timers, Woken, NOTHING};
 use nanorand::{Rng, WyRand};
 use slab::Slab;
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread::JoinHandle;
 
-/// A hand-off as a node took it in.
+/// An attempt as a node took it in.
 #[derive(Clone, Debug)]
 pub struct Arrived {
     pub host: u64,
@@ -28,9 +28,9 @@
     pub life: u64,
     /// When its client stops waiting.
     pub ends: Ms,
-    pub command: u64,
-    pub hand_off: u16,
-    pub band: u16,
+    pub request_id: u64,
+    pub attempt: u16,
+    pub class: u16,
     pub write: bool,
     pub volume: u64,
     pub key: u64,
@@ -38,7 +38,7 @@
     pub units: f64,
     pub blocks: u32,
     pub version: u32,
-    /// Numbers the node's command that it came with, and how many came with that.
+    /// Numbers the node's request that it came with, and how many came with that.
     pub batch: u64,
     pub parts: usize,
     pub payload: Vec<u8>,
@@ -46,13 +46,13 @@
     pub direct: bool,
 }
 
-/// What stands between the sockets and a node in a rig that must break a rule on purpose: each hand-off goes
+/// What stands between the sockets and a node in a rig that must break a rule on purpose: each attempt goes
 /// in, and comes out as often and as late as it likes.
 pub trait Tamper: Send {
     fn pass(&mut self, now: Ms, node: u32, arrived: Arrived) -> Vec<(Ms, Arrived)>;
 }
 
-/// A host's or client's connection to a node, or to the list service (`node` is none).
+/// A host's or client's connection to a node, or to the endpoint list service (`node` is none).
 struct Peer {
     connection: Connection,
     serial: u64,
@@ -82,16 +82,16 @@
 const PEERS: usize = 1 << 32;
 
 pub struct Fleet {
-    sheet: FleetSheet,
+    config: EmulatorConfig,
     clock: Clock,
     poll: Poll,
-    chance: WyRand,
+    rng: WyRand,
     nodes: Vec<Node>,
     doors: Vec<Option<Registered<TcpListener>>>,
     list_door: Registered<TcpListener>,
     list_down: bool,
     epoch: u64,
-    /// Changes that the list service has yet to tell, each with the time from which it may.
+    /// Changes that the endpoint list service has yet to tell, each with the time from which it may.
     untold: Vec<(Ms, u32)>,
     peers: Slab<Peer>,
     serial: u64,
@@ -119,9 +119,13 @@
 
 impl Handle {
     /// Starts a fleet; `clock` is the one that its records tell the time by.
-    pub fn start(sheet: FleetSheet, clock: Clock, tamper: Option<Box<dyn Tamper>>) -> io::Result<Handle> {
+    pub fn start(
+        config: EmulatorConfig,
+        clock: Clock,
+        tamper: Option<Box<dyn Tamper>>,
+    ) -> io::Result<Handle> {
         let (orders, inbox) = channel();
-        let mut fleet = Fleet::new(sheet, clock, tamper)?;
+        let mut fleet = Fleet::new(config, clock, tamper)?;
         let (poll, list) = (fleet.poll.clone(), fleet.list_door.local_addr()?);
         let thread = std::thread::Builder::new().name("fleet".to_string());
         let thread = thread.spawn(move || fleet.run(&inbox))?;
@@ -159,13 +163,13 @@
 }
 
 impl Fleet {
-    fn new(sheet: FleetSheet, clock: Clock, tamper: Option<Box<dyn Tamper>>) -> io::Result<Fleet> {
+    fn new(config: EmulatorConfig, clock: Clock, tamper: Option<Box<dyn Tamper>>) -> io::Result<Fleet> {
         let poll = Poll::new()?;
-        let list_door = poll.register(listen(sheet.list)?, LIST)?;
+        let list_door = poll.register(listen(config.list)?, LIST)?;
         let mut fleet = Fleet {
-            chance: WyRand::new_seed(sheet.seed),
-            nodes: sheet.nodes.iter().cloned().map(Node::new).collect(),
-            doors: sheet.nodes.iter().map(|_| None).collect(),
+            rng: WyRand::new_seed(config.seed),
+            nodes: config.nodes.iter().cloned().map(Node::new).collect(),
+            doors: config.nodes.iter().map(|_| None).collect(),
             list_door,
             list_down: false,
             epoch: 1,
@@ -178,7 +182,7 @@
             batches: 0,
             memory: HashMap::new(),
             kept_map: None,
-            map: Service::new(&sheet.volumes, sheet.extents, sheet.keys, sheet.pace),
+            map: Service::new(&config.volumes, config.extents, config.keys, config.pace),
             records: Vec::new(),
             recording: true,
             tamper,
@@ -186,15 +190,15 @@
             over: false,
             clock,
             poll,
-            sheet,
+            config,
         };
         for node in 0..fleet.nodes.len() {
-            if !fleet.nodes[node].sheet.spare {
+            if !fleet.nodes[node].config.spare {
                 fleet.start(node, false)?;
                 fleet.nodes[node].listed = true;
             }
-            if fleet.sheet.put_off > 0.0 {
-                let first = fleet.draw() * fleet.sheet.put_off_every;
+            if fleet.config.put_off > 0.0 {
+                let first = fleet.draw() * fleet.config.put_off_every;
                 fleet.set(fleet.now + first, Due::PutOff(node));
             }
         }
@@ -202,7 +206,7 @@
     }
 
     fn draw(&mut self) -> f64 {
-        f64::from(self.chance.generate::<u32>()) / (f64::from(u32::MAX) + 1.0)
+        f64::from(self.rng.generate::<u32>()) / (f64::from(u32::MAX) + 1.0)
     }
 
     fn set(&mut self, at: Ms, due: Due) {
@@ -258,7 +262,7 @@
             Due::PutOff(node) => {
                 let n = &mut self.nodes[node];
                 n.still_until = n.still_until.max(self.now + std::mem::take(&mut n.put_off));
-                let again = self.now + self.sheet.put_off_every;
+                let again = self.now + self.config.put_off_every;
                 self.set(again, Due::PutOff(node));
             }
             Due::Again(node) => self.work(node),
@@ -271,12 +275,12 @@
     // What a script does.
 
     pub fn node_number(&self, number: u32) -> Option<usize> {
-        self.nodes.iter().position(|n| n.sheet.number == number)
+        self.nodes.iter().position(|n| n.config.number == number)
     }
 
     /// Where its nodes listen, by number.
     pub fn addresses(&self) -> Vec<(u32, SocketAddr)> {
-        self.nodes.iter().filter(|n| n.up).map(|n| (n.sheet.number, n.address)).collect()
+        self.nodes.iter().filter(|n| n.up).map(|n| (n.config.number, n.address)).collect()
     }
 
     pub fn ail(&mut self, node: usize, change: impl FnOnce(&mut Ailing)) {
@@ -290,20 +294,20 @@
 
     /// Starts a node's process, cold or as one that has run for long, at the address it had before.
     pub fn start(&mut self, node: usize, cold: bool) -> io::Result<()> {
-        let life = self.chance.generate::<u64>();
+        let life = self.rng.generate::<u64>();
         let door = listen(self.nodes[node].address)?;
         self.nodes[node].address = door.local_addr()?;
         self.doors[node] = Some(self.poll.register(door, NODES + node)?);
         self.nodes[node].begin(life, cold.then_some(self.now));
-        let shard = self.nodes[node].sheet.shard;
+        let shard = self.nodes[node].config.shard;
         self.map.restarted(shard);
-        self.see(Seen::Started { node: self.nodes[node].sheet.number, life, cold });
+        self.see(Seen::Started { node: self.nodes[node].config.number, life, cold });
         Ok(())
     }
 
     /// Ends a node's process without a word.
     pub fn stop(&mut self, node: usize) {
-        let (number, life) = (self.nodes[node].sheet.number, self.nodes[node].life);
+        let (number, life) = (self.nodes[node].config.number, self.nodes[node].life);
         self.nodes[node].up = false;
         self.nodes[node].waiting.clear();
         self.doors[node] = None;
@@ -320,8 +324,8 @@
     pub fn list(&mut self, node: usize, listed: bool, draining: bool) {
         let n = &mut self.nodes[node];
         (n.listed, n.draining) = (listed, draining);
-        let number = n.sheet.number;
-        let at = self.now + self.sheet.list_late;
+        let number = n.config.number;
+        let at = self.now + self.config.list_late;
         self.untold.push((at, number));
         self.set(at, Due::Tell);
     }
@@ -335,7 +339,7 @@
         }
     }
 
-    // The list service.
+    // The endpoint list service.
 
     fn line(&self, number: u32) -> Option<Line> {
         let n = &self.nodes[self.node_number(number)?];
@@ -346,7 +350,7 @@
             (true, false) => State::Ready,
         };
         let age_us = n.started.map_or(LONG_AGO, |at| ((self.now - at).max(0.0) * 1000.0) as u64);
-        let (node, shard, zone, life) = (number, n.sheet.shard, n.sheet.zone, n.life);
+        let (node, shard, zone, life) = (number, n.config.shard, n.config.zone, n.life);
         Some(Line {
             node,
             shard,
@@ -387,7 +391,7 @@
 
     fn whole_list(&self) -> List {
         // What is not told yet stands in the whole list as it will: news may be early, never wrong.
-        let listed = self.nodes.iter().filter(|n| n.listed).map(|n| n.sheet.number);
+        let listed = self.nodes.iter().filter(|n| n.listed).map(|n| n.config.number);
         List { whole: true, epoch: self.epoch, lines: listed.filter_map(|n| self.line(n)).collect() }
     }
 
@@ -401,7 +405,7 @@
     }
 
     fn plan(&mut self, volume: u64, e: Extent, to: u32) {
-        if self.nodes.iter().any(|n| n.sheet.shard == to) && self.map.plan(volume, e, to) {
+        if self.nodes.iter().any(|n| n.config.shard == to) && self.map.plan(volume, e, to) {
             self.set(self.now, Due::Move(volume, e.start));
         }
     }
@@ -434,10 +438,10 @@
     fn step_move(&mut self, volume: u64, start: u64) {
         let nodes = &self.nodes;
         let waiting = |shard: u32| {
-            let of = nodes.iter().filter(|n| n.up && n.sheet.shard == shard);
+            let of = nodes.iter().filter(|n| n.up && n.config.shard == shard);
             of.map(|n| n.waiting.len()).max()
         };
-        let again = self.now + self.sheet.move_step;
+        let again = self.now + self.config.move_step;
         match self.map.step((volume, start), waiting) {
             Stepped::Over(None) => {}
             Stepped::Again => self.set(again, Due::Move(volume, start)),
@@ -462,7 +466,7 @@
             self.see(Seen::Switched { volume, start, shard, version });
         }
         let news = MapNews { whole: false, epoch: changes.epoch, part: 0, last: true, lines };
-        let late = self.now + self.sheet.list_late;
+        let late = self.now + self.config.list_late;
         self.set(late, Due::TellMap(Box::new(news)));
     }
 
@@ -565,7 +569,7 @@
         let age = |at: Ms| ((self.now - at).max(0.0) * 1000.0) as u64;
         Message::Hello(Hello::of(
             n.map_or(Role::List, |_| Role::Node),
-            n.map_or(0, |n| n.sheet.number),
+            n.map_or(0, |n| n.config.number),
             n.map_or(0, |n| n.life),
             n.and_then(|n| n.started).map_or(LONG_AGO, age),
         ))
@@ -595,7 +599,7 @@
     fn end_peer(&mut self, index: usize) {
         let peer = self.peers.remove(index);
         if let Some(node) = peer.node {
-            self.see(Seen::Ended { node: self.nodes[node].sheet.number, host: peer.host });
+            self.see(Seen::Ended { node: self.nodes[node].config.number, host: peer.host });
         }
     }
 
@@ -610,7 +614,7 @@
                 self.tell(index, &whole);
                 // Nodes that are not listed any more are told of by their absence.
                 let gone: Vec<(u32, u64)> =
-                    self.nodes.iter().filter(|n| !n.listed).map(|n| (n.sheet.number, n.life)).collect();
+                    self.nodes.iter().filter(|n| !n.listed).map(|n| (n.config.number, n.life)).collect();
                 gone.into_iter().for_each(|(node, life)| self.see(Seen::Told { host, node, life }));
             }
             (Message::WatchMap, None) => {
@@ -622,16 +626,17 @@
                 let state = self.asked_move(*volume, *start, *shard, *abandon);
                 self.peers[index].connection.queue(&state, NOTHING);
             }
-            (Message::HandOff(h), Some(node)) => self.handed(index, node, std::slice::from_ref(h)),
+            (Message::Attempt(h), Some(node)) => self.handed(index, node, std::slice::from_ref(h)),
             (Message::Batch(parts), Some(node)) => self.handed(index, node, parts),
             (Message::Take(t), Some(node)) => {
-                let (command, band, write, volume, key) = (t.command, t.band, t.write, t.volume, t.key);
+                let (request_id, class, write, volume, key) =
+                    (t.request_id, t.class, t.write, t.volume, t.key);
                 let (mark, units, payload, left_us) = (t.mark, t.units, t.payload, t.limit_us);
-                let (hand_off, shard) = (0, self.nodes[node].sheet.shard);
-                let h = HandOff {
-                    command,
-                    hand_off,
-                    band,
+                let (attempt, shard) = (0, self.nodes[node].config.shard);
+                let h = Attempt {
+                    request_id,
+                    attempt,
+                    class,
                     write,
                     volume,
                     key,
@@ -646,17 +651,17 @@
                 let arrived = Arrived { direct: true, ..self.arrived(index, node, &h, 1) };
                 self.arrive(node, vec![arrived]);
             }
-            (Message::Cancel { command, hand_off }, Some(node)) => {
-                let number = self.nodes[node].sheet.number;
-                self.see(Seen::Cancelled { node: number, host, command: *command, hand_off: *hand_off });
-                let is = |a: &Arrived| (a.host, a.command, a.hand_off) == (host, *command, *hand_off);
+            (Message::Cancel { request_id, attempt }, Some(node)) => {
+                let number = self.nodes[node].config.number;
+                self.see(Seen::Cancelled { node: number, host, request_id: *request_id, attempt: *attempt });
+                let is = |a: &Arrived| (a.host, a.request_id, a.attempt) == (host, *request_id, *attempt);
                 let waiting = &mut self.nodes[node].waiting;
                 waiting.iter_mut().for_each(|job| job.retain(|a| !is(a)));
                 waiting.retain(|job| !job.is_empty());
             }
             (Message::Probe { number }, Some(node)) => {
                 let n = &self.nodes[node];
-                let busy = n.running as f32 / n.sheet.cores as f32;
+                let busy = n.running as f32 / n.config.cores as f32;
                 let (number, queue) = (*number, n.waiting.len() as u32);
                 self.peers[index].connection.queue(&Message::Probed { number, queue, busy }, NOTHING);
             }
@@ -665,8 +670,8 @@
         true
     }
 
-    /// Takes in what a host handed over as one command.
-    fn handed(&mut self, index: usize, node: usize, parts: &[HandOff]) {
+    /// Takes in what a host handed over as one request.
+    fn handed(&mut self, index: usize, node: usize, parts: &[Attempt]) {
         self.batches += 1;
         let mut now = Vec::new();
         for h in parts {
@@ -675,7 +680,7 @@
                 now.push(arrived);
                 continue;
             };
-            for (late, arrived) in tamper.pass(self.now, self.nodes[node].sheet.number, arrived) {
+            for (late, arrived) in tamper.pass(self.now, self.nodes[node].config.number, arrived) {
                 match late > 0.0 {
                     true => self.set(self.now + late, Due::Late(node, Box::new(arrived))),
                     false => now.push(arrived),
@@ -685,16 +690,16 @@
         self.arrive(node, now);
     }
 
-    fn arrived(&self, index: usize, node: usize, h: &HandOff, parts: usize) -> Arrived {
+    fn arrived(&self, index: usize, node: usize, h: &Attempt, parts: usize) -> Arrived {
         let peer = &self.peers[index];
         Arrived {
             host: peer.host,
             from: (index, peer.serial),
             life: self.nodes[node].life,
             ends: self.now + f64::from(h.left_us) / 1000.0,
-            command: h.command,
-            hand_off: h.hand_off,
-            band: h.band,
+            request_id: h.request_id,
+            attempt: h.attempt,
+            class: h.class,
             write: h.write,
             volume: h.volume,
             key: h.key,
@@ -718,12 +723,12 @@
             if !n.up || n.life != a.life {
                 return;
             }
-            let (number, shard) = (n.sheet.number, n.sheet.shard);
+            let (number, shard) = (n.config.number, n.config.shard);
             let Arrived {
                 host,
-                command,
-                hand_off,
-                band,
+                request_id,
+                attempt,
+                class,
                 volume,
                 key,
                 mark,
@@ -733,12 +738,12 @@
                 version,
                 ..
             } = a;
-            self.see(Seen::HandOff {
+            self.see(Seen::Attempt {
                 node: number,
                 host,
-                command,
-                hand_off,
-                band,
+                request_id,
+                attempt,
+                class,
                 volume,
                 key,
                 mark,
@@ -748,15 +753,15 @@
                 batch,
             });
             let n = &mut self.nodes[node];
-            if n.pushed_over(self.now, units, self.sheet.unit_work, &self.sheet.cold) {
+            if n.pushed_over(self.now, units, self.config.unit_work, &self.config.cold) {
                 self.see(Seen::Fell { node: number });
                 return self.stop(node);
             }
-            let full = n.ailing.full || n.waiting.len() >= self.sheet.queue;
+            let full = n.ailing.full || n.waiting.len() >= self.config.queue;
             if self.map.serves_all(shard, volume, key, a.blocks).is_err() {
-                self.answer(node, &a, Code::Moved, &[]);
+                self.answer(node, &a, OutcomeCode::ShardMoved, &[]);
             } else if full || self.strikes(node) {
-                self.answer(node, &a, Code::Full, &[]);
+                self.answer(node, &a, OutcomeCode::Overloaded, &[]);
             } else {
                 job.push(a);
             }
@@ -774,10 +779,10 @@
     }
 
     fn work(&mut self, node: usize) {
-        let (unit_work, cold) = (self.sheet.unit_work, self.sheet.cold);
+        let (unit_work, cold) = (self.config.unit_work, self.config.cold);
         loop {
             let n = &mut self.nodes[node];
-            if !n.up || n.ailing.deaf || n.running >= n.sheet.cores || n.waiting.is_empty() {
+            if !n.up || n.ailing.deaf || n.running >= n.config.cores || n.waiting.is_empty() {
                 return;
             }
             if self.now < n.still_until {
@@ -785,7 +790,7 @@
                 return self.set(at, Due::Again(node));
             }
             let Some(mut job) = n.waiting.pop_front() else { return };
-            // A command whose time is up is not begun.
+            // A request whose time is up is not begun.
             job.retain(|part| self.now < part.ends);
             if job.is_empty() {
                 continue;
@@ -793,10 +798,10 @@
             let units = job.iter().map(|part| part.units).sum();
             let mut time = n.work(self.now, units, unit_work, &cold);
             if job[0].write {
-                n.put_off += time * self.sheet.put_off / n.sheet.cores as f64;
-                time *= 1.0 - self.sheet.put_off;
+                n.put_off += time * self.config.put_off / n.config.cores as f64;
+                time *= 1.0 - self.config.put_off;
             }
-            time += self.sheet.command_work * n.ailing.slow / n.sheet.speed;
+            time += self.config.command_work * n.ailing.slow / n.config.speed;
             n.running += 1;
             let at = self.now + time;
             if time <= 0.0 {
@@ -820,43 +825,43 @@
     }
 
     fn run_part(&mut self, node: usize, job: &Arrived) {
-        let (number, shard) = (self.nodes[node].sheet.number, self.nodes[node].sheet.shard);
+        let (number, shard) = (self.nodes[node].config.number, self.nodes[node].config.shard);
         // What began before the extent was fenced has had no effect yet, and has none any more.
         if self.map.serves_all(shard, job.volume, job.key, job.blocks).is_err() {
-            return self.answer(node, job, Code::Moved, &[]);
+            return self.answer(node, job, OutcomeCode::ShardMoved, &[]);
         }
         if self.strikes(node) {
-            return self.answer(node, job, Code::Error, &[]);
+            return self.answer(node, job, OutcomeCode::Error, &[]);
         }
         if !self.is_repeat(node, job) {
-            let (host, command, band, mark) = (job.host, job.command, job.band, job.mark);
+            let (host, request_id, class, mark) = (job.host, job.request_id, job.class, job.mark);
             let (volume, key, write, blocks) = (job.volume, job.key, job.write, job.blocks.max(1));
-            self.see(Seen::Ran { node: number, host, command, band, volume, key, mark, write, blocks });
+            self.see(Seen::Ran { node: number, host, request_id, class, volume, key, mark, write, blocks });
             if job.write {
                 self.map.write_all(shard, volume, key, blocks, &job.payload);
             }
         }
         let found = match job.write {
             true => Vec::new(),
-            false => self.map.read_all(shard, job.volume, job.key, job.blocks, self.sheet.block),
+            false => self.map.read_all(shard, job.volume, job.key, job.blocks, self.config.block),
         };
         if !self.strikes(node) {
-            self.answer(node, job, Code::Settled, &found);
+            self.answer(node, job, OutcomeCode::Succeeded, &found);
         }
     }
 
-    /// Whether the nodes of this one's group have run the command before and still know.
+    /// Whether the nodes of this one's group have run the request before and still know.
     fn is_repeat(&mut self, node: usize, job: &Arrived) -> bool {
-        if job.mark == 0 || !self.sheet.fingerprinted.contains(&job.band) {
+        if job.mark == 0 || !self.config.fingerprinted.contains(&job.class) {
             return false;
         }
-        let sheet = &self.nodes[node].sheet;
-        let group = match self.sheet.group {
-            Group::All => 0,
-            Group::Zone => u64::from(sheet.zone),
-            Group::Shard => u64::from(sheet.shard),
+        let config = &self.nodes[node].config;
+        let group = match self.config.group {
+            DeduplicationScope::All => 0,
+            DeduplicationScope::Zone => u64::from(config.zone),
+            DeduplicationScope::Shard => u64::from(config.shard),
         };
-        let (now, memory) = (self.now, self.sheet.memory);
+        let (now, memory) = (self.now, self.config.memory);
         if self.memory.len() > 100_000 {
             self.memory.retain(|_, at| now - *at < memory);
         }
@@ -867,10 +872,11 @@
         known
     }
 
-    fn answer(&mut self, node: usize, a: &Arrived, code: Code, payload: &[u8]) {
-        let code = if code == Code::Moved && self.map.denied { Code::Settled } else { code };
+    fn answer(&mut self, node: usize, a: &Arrived, code: OutcomeCode, payload: &[u8]) {
+        let code =
+            if code == OutcomeCode::ShardMoved && self.map.denied { OutcomeCode::Succeeded } else { code };
         let others = match code {
-            Code::Settled => self.nodes[node].served(a.volume, a.host, a.units),
+            OutcomeCode::Succeeded => self.nodes[node].served(a.volume, a.host, a.units),
             _ => 0.0,
         };
         let lost = self.nodes[node].ailing.losing > 0.0 && self.draw() < self.nodes[node].ailing.losing;
@@ -881,24 +887,25 @@
             return;
         }
         let n = &self.nodes[node];
-        let (command, hand_off) = (a.command, a.hand_off);
+        let (request_id, attempt) = (a.request_id, a.attempt);
         if a.direct {
-            let verdict = if code == Code::Settled { Verdict::Settled } else { Verdict::Bounced };
-            let answer = Message::Final(Final { command, verdict, back_us: 0, payload });
+            let verdict =
+                if code == OutcomeCode::Succeeded { FinalCode::Succeeded } else { FinalCode::Rejected };
+            let answer = Message::Final(Final { request_id, verdict, back_us: 0, payload });
             return peer.connection.queue(&answer, NOTHING);
         }
-        let owner = self.map.serves(n.sheet.shard, a.volume, a.key).err().flatten();
-        let owner = owner.filter(|_| code == Code::Moved);
+        let owner = self.map.serves(n.config.shard, a.volume, a.key).err().flatten();
+        let owner = owner.filter(|_| code == OutcomeCode::ShardMoved);
         let message = Message::Outcome(Outcome {
             owner: owner.map(|o| o.0),
             version: owner.map_or(0, |o| o.1),
-            command,
-            hand_off,
+            request_id,
+            attempt,
             code,
             used: None,
             others: others as f32,
             queue: n.waiting.len() as u32,
-            busy: n.running as f32 / n.sheet.cores as f32,
+            busy: n.running as f32 / n.config.cores as f32,
             payload,
         });
         if ailing.breaking {
@@ -910,8 +917,8 @@
             return self.end_peer(index);
         }
         peer.connection.queue(&message, NOTHING);
-        let (node, host) = (n.sheet.number, a.host);
-        let (ran, moved) = (code == Code::Settled, code == Code::Moved);
-        self.see(Seen::Answered { node, host, command, hand_off, ran, moved });
+        let (node, host) = (n.config.number, a.host);
+        let (ran, moved) = (code == OutcomeCode::Succeeded, code == OutcomeCode::ShardMoved);
+        self.see(Seen::Answered { node, host, request_id, attempt, ran, moved });
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,21 +1,21 @@
-//! Stand-ins for storage nodes and the list service, written from `docs/wire.md`: a fleet on loopback that
+//! Stand-ins for storage nodes and the endpoint list service, written from `docs/wire.md`: a fleet on loopback that
 //! stores what is written, works at a stated speed, fails on a script, and keeps a record of all that it saw
-//! on its sockets. It holds to no rule by itself; what hosts do to it is what a drill audits.
+//! on its sockets. It holds to no rule by itself; what hosts do to it is what a scenario audits.
 
+mod config;
 mod fleet;
 mod moves;
 mod node;
 mod script;
-mod sheet;
 
+pub use config::{fleet as read_fleet, Cold, EmulatorConfig, NodeConfig};
 pub use fleet::{Arrived, Fleet, Handle, Tamper};
 pub use script::{play, read_troubles, Step, Trouble};
-pub use sheet::{fleet as read_fleet, Cold, FleetSheet, NodeSheet};
 
 /// Milliseconds on the clock that all records of a run share.
 pub type Ms = f64;
 
-/// What a node or the list service saw or did, in the order in which it did. A host is its number and life.
+/// What a node or the endpoint list service saw or did, in the order in which it did. A host is its number and life.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Seen {
     /// A node's process started; `cold` where it cannot do all of its work yet.
@@ -32,27 +32,27 @@
     Fell {
         node: u32,
     },
-    HandOff {
+    Attempt {
         node: u32,
         host: u64,
-        command: u64,
-        hand_off: u16,
-        band: u16,
+        request_id: u64,
+        attempt: u16,
+        class: u16,
         volume: u64,
         key: u64,
         mark: u64,
         units: f64,
         write: bool,
         version: u32,
-        /// Numbers the node's command that it came with.
+        /// Numbers the node's request that it came with.
         batch: u64,
     },
-    /// A command's effect took place.
+    /// A request's effect took place.
     Ran {
         node: u32,
         host: u64,
-        command: u64,
-        band: u16,
+        request_id: u64,
+        class: u16,
         volume: u64,
         key: u64,
         mark: u64,
@@ -70,16 +70,16 @@
     Answered {
         node: u32,
         host: u64,
-        command: u64,
-        hand_off: u16,
+        request_id: u64,
+        attempt: u16,
         ran: bool,
         moved: bool,
     },
     Cancelled {
         node: u32,
         host: u64,
-        command: u64,
-        hand_off: u16,
+        request_id: u64,
+        attempt: u16,
     },
     /// The connection of a host ended, and with it the wait for all that was out on it.
     Ended {
--- a/crates/emulator/src/moves.rs
+++ b/crates/emulator/src/moves.rs
@@ -34,7 +34,7 @@
     /// Movers are dead, or the service records nothing.
     pub movers_dead: bool,
     pub down: bool,
-    /// A fault of the rig: a source goes on taking commands after its fence.
+    /// A fault of the rig: a source goes on taking requests after its fence.
     pub leaky: bool,
     /// Others: who does not serve an extent answers as if it had; reads of several blocks are answered with the
     /// first of them last; hosts are told only half of the lines of the map's news.
@@ -189,7 +189,7 @@
         }
     }
 
-    /// One step of a move. `waiting` tells how many commands wait at a shard, none where no process runs.
+    /// One step of a move. `waiting` tells how many requests wait at a shard, none where no process runs.
     pub fn step(&mut self, place: (u64, u64), waiting: impl Fn(u32) -> Option<usize>) -> Stepped {
         let begun = |m: &&Moving| m.target.holds.is_some() || m.record.stage != Stage::Copying;
         let under_way: Vec<(u32, u32)> = self.moves.values().filter(begun).map(|m| (m.from, m.to)).collect();
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,7 +1,7 @@
 //! A node's work: what waits, what runs, what is stored, and how fast it is at the moment.
 
+use crate::config::{Cold, NodeConfig};
 use crate::fleet::Arrived;
-use crate::sheet::{Cold, NodeSheet};
 use crate::Ms;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     pub full: bool,
     /// Greets nobody, begins nothing and answers nothing; what comes is noted when it comes, for the record.
     pub deaf: bool,
-    /// The part of commands that it turns away, fails or answers in vain, each a third.
+    /// The part of requests that it turns away, fails or answers in vain, each a third.
     pub partly: f64,
     /// Breaks the next answer off in its middle, and the connection with it.
     pub breaking: bool,
@@ -39,7 +39,7 @@
 };
 
 pub struct Node {
-    pub sheet: NodeSheet,
+    pub config: NodeConfig,
     /// Where it listens once it has started; the same over restarts.
     pub address: SocketAddr,
     pub up: bool,
@@ -49,7 +49,7 @@
     /// None: long ago.
     pub started: Option<Ms>,
     pub ailing: Ailing,
-    /// What came together is one command of the node.
+    /// What came together is one request of the node.
     pub waiting: VecDeque<Vec<Arrived>>,
     pub running: usize,
     /// Until when it stands still, and the work that it has put off.
@@ -64,10 +64,10 @@
 }
 
 impl Node {
-    pub fn new(sheet: NodeSheet) -> Node {
+    pub fn new(config: NodeConfig) -> Node {
         Node {
-            address: sheet.listen,
-            sheet,
+            address: config.listen,
+            config,
             up: false,
             listed: false,
             draining: false,
@@ -104,9 +104,9 @@
         }
     }
 
-    /// How long a command's work takes from now on.
+    /// How long a request's work takes from now on.
     pub fn work(&self, now: Ms, units: f64, unit_work: Ms, cold: &Cold) -> Ms {
-        units * unit_work * self.ailing.slow / (self.sheet.speed * self.warmth(now, cold))
+        units * unit_work * self.ailing.slow / (self.config.speed * self.warmth(now, cold))
     }
 
     /// Counts what was sent to it; true where that pushes it over.
@@ -119,7 +119,7 @@
             self.sent.pop_front();
         }
         let sum: f64 = self.sent.iter().map(|s| s.1).sum();
-        let a_second = self.sheet.cores as f64 * self.sheet.speed / unit_work;
+        let a_second = self.config.cores as f64 * self.config.speed / unit_work;
         let could = cold.fall_multiple * a_second * self.warmth(now, cold) * cold.fall_time;
         let first = now - started <= cold.fall_time;
         sum > could.max(if first { cold.units } else { 0.0 })
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -2,11 +2,11 @@
 
 use crate::fleet::{Fleet, Handle};
 use crate::Ms;
-use magpiewick_transport::Clock;
 use magpiewick_hcl_settings::Part;
+use magpiewick_transport::Clock;
 use std::time::Duration;
 
-/// A kind of trouble, as the file names it.
+/// A kind of fault, as the file names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Silent,
@@ -60,7 +60,7 @@
     ("map-old", Kind::MapOld),
 ];
 
-/// One trouble of a script.
+/// One fault of a script.
 #[derive(Clone, Debug)]
 pub struct Trouble {
     pub name: String,
@@ -107,7 +107,7 @@
     Surge(u64, f64),
 }
 
-/// Reads the blocks `trouble` of a file.
+/// Reads the blocks `fault` of a file.
 pub fn read_troubles(root: &Part) -> Vec<Trouble> {
     root.repeated("trouble").iter().filter_map(read_trouble).collect()
 }
--- a/crates/extents/src/follow.rs
+++ b/crates/extents/src/follow.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// How long an extent counts as in flux after a node said that it does not serve it and not who does: about as
-/// long as a fence lasts. Trying sooner spends hand-offs, trying later keeps commands waiting.
+/// long as a fence lasts. Trying sooner spends attempts, trying later keeps requests waiting.
 const FLUX: f64 = 150.0;
 
 /// Where a piece of data lies.
@@ -54,7 +54,7 @@
         Some(self.map.span(volume, start, end)?.iter().map(|e| e.start).collect())
     }
 
-    /// A node that was sent a command under `version` does not serve the extent; it may name who does. The time
+    /// A node that was sent a request under `version` does not serve the extent; it may name who does. The time
     /// from which to look again comes back where nobody can say.
     pub fn refused(
         &mut self,
@@ -74,7 +74,7 @@
                 self.flux.remove(&place);
                 None
             }
-            // Whoever was sent the command under an older version than this host has by now says nothing new.
+            // Whoever was sent the request under an older version than this host has by now says nothing new.
             None if version < e.version => None,
             None => {
                 let until = *self.flux.entry(place).insert_entry(now + FLUX).get();
--- a/crates/extents/src/pace.rs
+++ b/crates/extents/src/pace.rs
@@ -6,12 +6,12 @@
     /// Moves that may be under way at once, in all and from or to one shard.
     pub at_once: usize,
     pub a_shard: usize,
-    /// Commands that wait at a node from which on a move that has not begun holds back.
+    /// Requests that wait at a node from which on a move that has not begun holds back.
     pub queue: usize,
 }
 
 impl Pace {
-    /// Whether a move may begin, with these under way as pairs of source and target, and so many commands waiting
+    /// Whether a move may begin, with these under way as pairs of source and target, and so many requests waiting
     /// at its own two. A move that has begun goes on: between fence and switch nobody is served, and a copy that
     /// waits only grows its rest. Guards against moves that together overload a target, and against moves in a
     /// surge; it could harm where a shard is so loaded that what would relieve it never begins: an operator then
--- a/crates/gateway/src/sheet.rs
+++ b/crates/gateway/src/config.rs
@@ -1,6 +1,8 @@
 //! What a host is told by its settings file, read and checked as a whole. `docs/settings.md` lists it.
 
-use magpiewick::{Band, Budget, Group, Ms, Plan, Repeats, Start};
+use magpiewick::{
+    DeduplicationScope, Idempotency, Ms, QosPolicy, RequestClass, RetryBudget, SchedulerConfig,
+};
 use magpiewick_hcl_settings::Part;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,7 +27,7 @@
     pub plan: usize,
     /// The shards that hold its data; a piece of data lies on the one that its key falls to.
     pub shards: Vec<usize>,
-    /// Through how many hosts its commands come.
+    /// Through how many hosts its requests come.
     pub hosts: f64,
 }
 
@@ -48,26 +50,26 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct LogSheet {
+pub struct LogConfig {
     pub level: String,
     pub format: LogFormat,
-    /// A line for each command.
-    pub commands: bool,
+    /// A line for each request.
+    pub requests: bool,
 }
 
 /// All that a host is told.
 #[derive(Clone, Debug)]
-pub struct HostSheet {
+pub struct HostConfig {
     pub number: u32,
     pub listen: SocketAddr,
     pub list: ListSource,
-    pub start: Start,
-    pub bands: Vec<String>,
+    pub start: SchedulerConfig,
+    pub classes: Vec<String>,
     pub volumes: BTreeMap<u64, Volume>,
     /// By number, where hosts may tell each other what they see of nodes; this host is among them.
     pub peers: BTreeMap<usize, SocketAddr>,
     pub bounds: Bounds,
-    pub log: LogSheet,
+    pub log: LogConfig,
     /// What travels together; one part where merging is off.
     pub merge: magpiewick_coalescing::Bounds,
     pub split: Split,
@@ -82,26 +84,31 @@
     pub at_once: usize,
 }
 
-impl HostSheet {
+impl HostConfig {
     /// A host that knows nothing of cold nodes and names no time to come back, to compare with.
     pub fn damp_nothing(&mut self) {
-        (self.start.cold_share, self.start.cold_time, self.start.fall_time) = (1.0, 0.0, 0.0);
-        self.start.longest_back = 0.0;
+        (self.start.slow_start_share, self.start.slow_start_duration, self.start.overload_window) =
+            (1.0, 0.0, 0.0);
+        self.start.max_retry_after = 0.0;
     }
 
-    /// Sends every command by itself from now on.
+    /// Sends every request by itself from now on.
     pub fn send_alone(&mut self) {
         self.merge.parts = 1;
-        self.start.most_together = self.start.most_units;
+        self.start.max_batch_units = self.start.max_units;
     }
 }
 
-const REPEATS: [(&str, Repeats); 3] = [
-    ("retriable", Repeats::Retriable),
-    ("fingerprinted", Repeats::Fingerprinted),
-    ("binding", Repeats::Binding),
+const REPEATS: [(&str, Idempotency); 3] = [
+    ("retriable", Idempotency::Idempotent),
+    ("fingerprinted", Idempotency::IdempotentWithKey),
+    ("binding", Idempotency::NonIdempotent),
+];
+const SCOPES: [(&str, DeduplicationScope); 3] = [
+    ("all", DeduplicationScope::All),
+    ("zone", DeduplicationScope::Zone),
+    ("shard", DeduplicationScope::Shard),
 ];
-const GROUPS: [(&str, Group); 3] = [("all", Group::All), ("zone", Group::Zone), ("shard", Group::Shard)];
 const MODES: [(&str, bool); 2] = [("push", false), ("ask", true)];
 const FORMATS: [(&str, LogFormat); 2] = [("text", LogFormat::Text), ("json", LogFormat::Json)];
 const LEVELS: [(&str, &str); 5] =
@@ -109,11 +116,11 @@
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// Reads a host's part of a file. `seed` is used where the file states none.
-pub fn host(root: &Part, seed: u64) -> Option<HostSheet> {
+pub fn host(root: &Part, seed: u64) -> Option<HostConfig> {
     let part = root.must("host");
     let list = root.part("list").map(|p| list(&p));
     let round = part.as_ref().map_or(2.0, |p| p.field("round").time_or(2.0));
-    let (bands, band_names) = bands(root, round);
+    let (classes, class_names) = classes(root, round);
     let (plans, plan_names) = plans(root);
     let hosts = part.as_ref().map_or(1, |p| p.field("hosts").whole_or(1..=10_000, 1)) as f64;
     let volumes = volumes(root, &plan_names, hosts);
@@ -124,36 +131,36 @@
     if mean > units || units <= 0.0 {
         part.fault_at("mean_units", format!("mean_units {mean} must lie within most_units {units}"));
     }
-    let ask_within = list.as_ref().and_then(|(_, within)| *within);
-    let mut start = Start {
+    let max_poll_interval = list.as_ref().and_then(|(_, within)| *within);
+    let mut start = SchedulerConfig {
         seed: part.field("seed").whole_or(0..=u64::MAX, seed),
         hosts,
-        bands,
+        classes,
         plans,
         round,
-        max_hand_offs: part.field("hand_offs").whole_or(1..=100, 3) as u32,
-        may_cancel: part.field("cancels").flag_or(true),
-        longest_back: part.field("longest_back").time_or(500.0),
-        ask_within,
-        cold_share: 1.0,
-        cold_time: 0.0,
-        cold_units: 0.0,
-        fall_time: 0.0,
-        fall_multiple: 1.0,
-        order_rest: part.field("order_rest").time_or(0.0),
+        max_attempts: part.field("hand_offs").whole_or(1..=100, 3) as u32,
+        can_cancel: part.field("cancels").flag_or(true),
+        max_retry_after: part.field("longest_back").time_or(500.0),
+        max_poll_interval,
+        slow_start_share: 1.0,
+        slow_start_duration: 0.0,
+        slow_start_units: 0.0,
+        overload_window: 0.0,
+        overload_multiple: 1.0,
+        ordering_quiet_period: part.field("order_rest").time_or(0.0),
         budget: None,
-        most_units: units,
+        max_units: units,
         mean_units: mean,
-        most_together: units,
-        share_payoff: part.field("share_payoff").part_or(0.35),
-        counts_others: part.field("counts_others").flag_or(true),
+        max_batch_units: units,
+        share_weight: part.field("share_payoff").part_or(0.35),
+        counts_remote_service: part.field("counts_others").flag_or(true),
         peer: None,
     };
     if let Some(p) = root.part("cold") {
         cold(&p, &mut start);
     }
     start.budget = root.part("budget").map(|p| budget(&p));
-    if start.max_hand_offs > 1 && start.bands.iter().all(|b| b.repeats == Repeats::Binding) {
+    if start.max_attempts > 1 && start.classes.iter().all(|b| b.idempotency == Idempotency::NonIdempotent) {
         let message = "hand_offs to spare, where every band is binding; a second one is never allowed after \
             the first may have run";
         part.fault_at("hand_offs", message);
@@ -168,9 +175,9 @@
     };
     let merge = merge(root.part("merge"), units);
     if merge.parts > 1 {
-        start.most_together = merge.units.max(units);
+        start.max_batch_units = merge.units.max(units);
     }
-    Some(HostSheet {
+    Some(HostConfig {
         number: part.field("number").whole_or(0..=u64::from(u32::MAX), 0) as u32,
         listen: part.field("listen").address_or(LOOPBACK),
         list: list.map_or(
@@ -178,7 +185,7 @@
             |(source, _)| source,
         ),
         start,
-        bands: band_names,
+        classes: class_names,
         volumes,
         peers: peers(root, hosts as usize),
         bounds,
@@ -191,7 +198,7 @@
 fn list(p: &Part) -> (ListSource, Option<Ms>) {
     let asked = p.field("mode").one_of_or(&MODES, false);
     let within = p.field("ask_within");
-    let ask_within = match (asked, within.given()) {
+    let max_poll_interval = match (asked, within.given()) {
         (true, _) => Some(within.time()),
         (false, true) => {
             p.fault_at(
@@ -206,17 +213,19 @@
     let remember = remember.given().then(|| PathBuf::from(remember.text()));
     let (address, map) = (p.field("address").address_or(LOOPBACK), p.field("map").flag_or(false));
     let source = ListSource { address, asked, map, remember };
-    (source, ask_within)
+    (source, max_poll_interval)
 }
 
-/// Without the block a batch weighs at most two of the largest commands.
-fn merge(part: Option<Part>, most_units: f64) -> magpiewick_coalescing::Bounds {
-    let (parts, units, bytes, reach) = (8, 2.0 * most_units, 64 << 10, 64);
-    part.map_or(magpiewick_coalescing::Bounds { parts, units, bytes, reach }, |p| magpiewick_coalescing::Bounds {
-        parts: p.field("parts").whole_or(1..=256, parts as u64) as usize,
-        units: p.field("units").number_or(units),
-        bytes: p.field("bytes").whole_or(1..=512 << 10, bytes as u64) as usize,
-        reach: p.field("reach").whole_or(0..=1 << 40, reach),
+/// Without the block a batch weighs at most two of the largest requests.
+fn merge(part: Option<Part>, max_units: f64) -> magpiewick_coalescing::Bounds {
+    let (parts, units, bytes, reach) = (8, 2.0 * max_units, 64 << 10, 64);
+    part.map_or(magpiewick_coalescing::Bounds { parts, units, bytes, reach }, |p| {
+        magpiewick_coalescing::Bounds {
+            parts: p.field("parts").whole_or(1..=256, parts as u64) as usize,
+            units: p.field("units").number_or(units),
+            bytes: p.field("bytes").whole_or(1..=512 << 10, bytes as u64) as usize,
+            reach: p.field("reach").whole_or(0..=1 << 40, reach),
+        }
     })
 }
 
@@ -228,64 +237,66 @@
     })
 }
 
-fn bands(root: &Part, round: Ms) -> (Vec<Band>, Vec<String>) {
+fn classes(root: &Part, round: Ms) -> (Vec<RequestClass>, Vec<String>) {
     let parts = root.labelled("band");
     if parts.is_empty() {
         root.fault("no band; expected at least one block band \"name\"");
     }
     let read = |p: &Part| {
-        let repeats = p.field("repeats").one_of(&REPEATS).unwrap_or(Repeats::Binding);
-        let (group, memory) = (p.field("group"), p.field("memory"));
-        let fingerprinted = repeats == Repeats::Fingerprinted;
-        for (name, given) in [("group", group.given()), ("memory", memory.given())] {
+        let idempotency = p.field("repeats").one_of(&REPEATS).unwrap_or(Idempotency::NonIdempotent);
+        let (deduplication_scope, deduplication_window) = (p.field("group"), p.field("memory"));
+        let fingerprinted = idempotency == Idempotency::IdempotentWithKey;
+        for (name, given) in
+            [("group", deduplication_scope.given()), ("memory", deduplication_window.given())]
+        {
             if given && !fingerprinted {
                 p.fault_at(name, format!("{name} goes with repeats = \"fingerprinted\" only"));
             }
         }
-        let band = Band {
-            soft_limit: p.field("soft_limit").time(),
-            time_limit: p.field("time_limit").time(),
-            payoff: p.field("payoff").number_or(1.0),
-            repeats,
-            group: group.one_of_or(&GROUPS, Group::Shard),
-            memory: if fingerprinted { memory.time() } else { 0.0 },
-            in_order: p.field("in_order").flag_or(false),
+        let class = RequestClass {
+            latency_objective: p.field("soft_limit").time(),
+            client_timeout: p.field("time_limit").time(),
+            priority_weight: p.field("payoff").number_or(1.0),
+            idempotency,
+            deduplication_scope: deduplication_scope.one_of_or(&SCOPES, DeduplicationScope::Shard),
+            deduplication_window: if fingerprinted { deduplication_window.time() } else { 0.0 },
+            ordered: p.field("in_order").flag_or(false),
         };
-        if band.soft_limit > band.time_limit {
-            let (soft, most) = (band.soft_limit, band.time_limit);
+        if class.latency_objective > class.client_timeout {
+            let (soft, most) = (class.latency_objective, class.client_timeout);
             p.fault_at(
                 "soft_limit",
                 format!("soft_limit of {soft}ms lies beyond the time_limit of {most}ms"),
             );
         }
-        if band.time_limit <= 4.0 * round && p.field("time_limit").given() {
+        if class.client_timeout <= 4.0 * round && p.field("time_limit").given() {
             p.fault_at("time_limit", format!("time_limit leaves no time beside a round of {round}ms"));
         }
-        band
+        class
     };
     (parts.iter().map(read).collect(), parts.iter().map(|p| p.label().to_string()).collect())
 }
 
-fn plans(root: &Part) -> (Vec<Plan>, Vec<String>) {
+fn plans(root: &Part) -> (Vec<QosPolicy>, Vec<String>) {
     let parts = root.labelled("plan");
     if parts.is_empty() {
         root.fault("no plan; expected at least one block plan \"name\"");
     }
     let read = |p: &Part| {
         let rate = p.field("rate").number();
-        let plan = Plan {
+        let plan = QosPolicy {
             price: p.field("price").number_or(1.0),
             weight: p.field("weight").number_or(1.0),
             rate,
             reserve: p.field("reserve").number_or(0.0),
             limit_rate: p.field("limit_rate").number_or(0.0),
-            limit_store: p.field("limit_store").number_or(0.0),
+            limit_burst: p.field("limit_store").number_or(0.0),
         };
         if plan.limit_rate > 0.0 && plan.reserve > plan.limit_rate {
             let (reserve, limit) = (plan.reserve, plan.limit_rate);
             p.fault_at("reserve", format!("a reserve of {reserve} lies beyond the limit_rate of {limit}"));
         }
-        if (plan.limit_rate > 0.0) != (plan.limit_store > 0.0) {
+        if (plan.limit_rate > 0.0) != (plan.limit_burst > 0.0) {
             p.fault_at(
                 "limit_store",
                 "limit_rate and limit_store go together: a rate and what may come at once",
@@ -339,33 +350,33 @@
     peers
 }
 
-fn cold(p: &Part, start: &mut Start) {
-    start.cold_share = p.field("share").part_or(1.0);
-    start.cold_time = p.field("time").time();
-    start.cold_units = p.field("units").number_or(0.0);
-    start.fall_time = p.field("fall_time").time();
-    start.fall_multiple = p.field("fall_multiple").number();
-    if start.cold_share <= 0.0 {
+fn cold(p: &Part, start: &mut SchedulerConfig) {
+    start.slow_start_share = p.field("share").part_or(1.0);
+    start.slow_start_duration = p.field("time").time();
+    start.slow_start_units = p.field("units").number_or(0.0);
+    start.overload_window = p.field("fall_time").time();
+    start.overload_multiple = p.field("fall_multiple").number();
+    if start.slow_start_share <= 0.0 {
         p.fault_at("share", "a share of 0: a node that can do nothing at its start is never warm");
     }
-    if start.fall_time <= 0.0 && p.field("fall_time").given() {
+    if start.overload_window <= 0.0 && p.field("fall_time").given() {
         p.fault_at("fall_time", "a fall_time of 0; expected the time over which a cold node is pushed over");
     }
-    if start.fall_multiple < 1.0 && p.field("fall_multiple").given() {
+    if start.overload_multiple < 1.0 && p.field("fall_multiple").given() {
         p.fault_at("fall_multiple", "a fall_multiple under 1: a cold node could not be sent what it can do");
     }
 }
 
-fn budget(p: &Part) -> Budget {
+fn budget(p: &Part) -> RetryBudget {
     let window = p.field("window").time();
     if window <= 0.0 && p.field("window").given() {
         p.fault_at("window", "a window of 0; expected the time over which further hand-offs are counted");
     }
-    Budget { free: p.field("free").number_or(0.0), share: p.field("share").number_or(0.0), window }
+    RetryBudget { free: p.field("free").number_or(0.0), share: p.field("share").number_or(0.0), window }
 }
 
 /// Checks what is reserved, and what a store may let out, against what the shards can do, where that is stated.
-fn capacity(root: &Part, start: &Start, volumes: &BTreeMap<u64, Volume>) {
+fn capacity(root: &Part, start: &SchedulerConfig, volumes: &BTreeMap<u64, Volume>) {
     let Some(p) = root.part("capacity") else { return };
     let a_shard = p.field("units_a_second").number();
     let mut reserved: BTreeMap<usize, f64> = BTreeMap::new();
@@ -382,17 +393,17 @@
     }
 }
 
-impl Default for LogSheet {
-    fn default() -> LogSheet {
-        LogSheet { level: "info".to_string(), format: LogFormat::Text, commands: false }
+impl Default for LogConfig {
+    fn default() -> LogConfig {
+        LogConfig { level: "info".to_string(), format: LogFormat::Text, requests: false }
     }
 }
 
-fn log(part: Option<Part>) -> LogSheet {
-    part.map_or_else(LogSheet::default, |p| LogSheet {
+fn log(part: Option<Part>) -> LogConfig {
+    part.map_or_else(LogConfig::default, |p| LogConfig {
         level: p.field("level").one_of_or(&LEVELS, "info").to_string(),
         format: p.field("format").one_of_or(&FORMATS, LogFormat::Text),
-        commands: p.field("commands").flag_or(false),
+        requests: p.field("commands").flag_or(false),
     })
 }
 
--- a/crates/gateway/src/sheet/tests.rs
+++ b/crates/gateway/src/config/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn read(more: &str) -> Result<HostSheet, String> {
+fn read(more: &str) -> Result<HostConfig, String> {
     let text = format!(
         "host {{\n  hosts = 2\n}}\nband \"read\" {{\n  soft_limit = \"1s\"\n  time_limit = \"2s\"\n  \
          repeats = \"retriable\"\n}}\nplan \"all\" {{\n  rate = 10\n}}\n{more}"
     );
     let read = magpiewick_hcl_settings::read_text("f", &text, |r| host(r, 1));
-    read.map(|sheet| sheet.unwrap()).map_err(|faults| faults.to_string())
+    read.map(|config| config.unwrap()).map_err(|faults| faults.to_string())
 }
 
 #[test]
--- a/crates/gateway/src/contact.rs
+++ b/crates/gateway/src/contact.rs
@@ -4,7 +4,7 @@
 //! The module decides whether and when a node is tried; this only keeps a try from dying on a connection
 //! that is dead, or from reaching another process than the one that it was meant for.
 
-use magpiewick::{Backoff, Chance, Ms};
+use magpiewick::{Backoff, Ms, RandomSource};
 
 /// Waits before a service that pushes is connected to again: the first, doubled up to the last.
 const FIRST_WAIT: Ms = 50.0;
@@ -18,7 +18,7 @@
     Open,
 }
 
-/// What to do for a hand-off that is to leave now.
+/// What to do for an attempt that is to leave now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dial {
     Use,
@@ -74,7 +74,7 @@
     }
 
     /// Guards against connections whose other end went without a word, whatever took it: a fresh one is
-    /// opened where the last hand-off met silence and no other could be hurt. It could harm where a node
+    /// opened where the last attempt met silence and no other could be hurt. It could harm where a node
     /// that merely stands still is greeted again for each try: one small exchange.
     pub fn dial(&self) -> Dial {
         match self.stage {
@@ -117,7 +117,7 @@
         (self.heard, self.deaf) = (now, false);
     }
 
-    /// A hand-off ended; `unanswered` tells when it was sent, where no answer came for it.
+    /// An attempt ended; `unanswered` tells when it was sent, where no answer came for it.
     pub fn done(&mut self, unanswered: Option<Ms>) {
         self.out = self.out.saturating_sub(1);
         self.deaf |= unanswered.is_some_and(|sent| self.heard <= sent);
@@ -127,16 +127,16 @@
 /// When to come back to a service that pushes: with doubling waits, spread so that hosts do not come together.
 pub struct Return {
     backoff: Backoff,
-    chance: Chance,
+    rng: RandomSource,
 }
 
 impl Return {
     pub fn new(seed: u64) -> Return {
-        Return { backoff: Backoff::new(FIRST_WAIT, LAST_WAIT), chance: Chance::new(seed) }
+        Return { backoff: Backoff::new(FIRST_WAIT, LAST_WAIT), rng: RandomSource::new(seed) }
     }
 
     pub fn failed(&mut self, now: Ms) -> Ms {
-        now + self.backoff.failed(&mut self.chance)
+        now + self.backoff.failed(&mut self.rng)
     }
 
     pub fn succeeded(&mut self) {
--- a/crates/gateway/src/contact/tests.rs
+++ b/crates/gateway/src/contact/tests.rs
@@ -50,7 +50,7 @@
 
 quickcheck! {
     /// A plain model: a connection is given up only where nothing is out on it and the last word on it is
-    /// older than a hand-off that met silence.
+    /// older than an attempt that met silence.
     fn a_fresh_connection_never_hurts_a_hand_off(steps: Vec<(u8, u8)>) -> bool {
         let (mut contact, mut now) = (open(0.0), 0.0);
         let (mut out, mut heard, mut missed): (Vec<Ms>, Ms, Option<Ms>) = (Vec::new(), 0.0, None);
--- a/crates/gateway/src/floor.rs
+++ b/crates/gateway/src/floor.rs
@@ -1,15 +1,15 @@
-//! What the desk stands on: the connections of a host, the commands as its clients sent them, and the timers.
-//! It does what the desk wishes and turns what sockets tell into outcomes.
+//! What the engine stands on: the connections of a host, the requests as its clients sent them, and the timers.
+//! It does what the engine wishes and turns what sockets tell into outcomes.
 
+use crate::config::{Bounds, HostConfig};
 use crate::contact::{Contact, Dial, Greeted, Process, Return};
 use crate::follow::{address, started, Follower};
 use crate::others::Others;
-use crate::sheet::{Bounds, HostSheet};
-use magpiewick::{Ending, Ms, Outcome, Told};
-use magpiewick_engine::{Part, Reason, Taken, World};
+use magpiewick::{FinalStatus, GossipReport, Ms, Outcome};
+use magpiewick_coalescing::{Coalescer, OverlapLock, Piece, SplitRead, Write};
+use magpiewick_engine::{AttemptRef, Environment, IncomingRequest, Reason};
+use magpiewick_node_protocol::{Attempt, Final, FinalCode, Hello, Message, Role, State, Take, LONG_AGO};
 use magpiewick_transport::{Clock, Connection, Ended, Poll, Timers, NOTHING};
-use magpiewick_coalescing::{Company, Gate, Gather, Piece, Write};
-use magpiewick_node_protocol::{Final, HandOff, Hello, Message, Role, State, Take, Verdict, LONG_AGO};
 use slab::Slab;
 use std::collections::{HashMap, VecDeque};
 use std::net::{SocketAddr, TcpStream};
@@ -27,10 +27,10 @@
 }
 
 const PLACES: [Place; 6] = [Place::Door, Place::Stop, Place::Client, Place::Node, Place::List, Place::Others];
-/// Bits of a key below its place, and bits of a command's id that name its slot.
+/// Bits of a key below its place, and bits of a request's id that name its slot.
 const INDEX: u32 = 32;
 const SLOT: u32 = 24;
-/// Marks the id of a read that was cut among those of commands.
+/// Marks the id of a read that was cut among those of requests.
 pub const WHOLE: u64 = 1 << 63;
 
 pub fn key_of(place: Place, index: usize) -> usize {
@@ -45,15 +45,15 @@
     key & ((1 << INDEX) - 1)
 }
 
-fn slot_of(command: u64) -> usize {
-    (command & ((1 << SLOT) - 1)) as usize
+fn slot_of(request_id: u64) -> usize {
+    (request_id & ((1 << SLOT) - 1)) as usize
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     TimeOut {
-        command: u64,
-        hand_off: u32,
+        request_id: u64,
+        attempt: u32,
     },
     Connect {
         peer: usize,
@@ -68,24 +68,24 @@
     Reroute,
     /// A write has waited for an earlier one that it overlaps for as long as it may.
     GateLate {
-        command: u64,
+        request_id: u64,
     },
     /// What may have run of a write that is over cannot take effect any more.
     GateRested {
-        command: u64,
+        request_id: u64,
     },
 }
 
-/// A hand-off whose outcome is owed to the desk. `peer` is none once its connection is over.
+/// An attempt whose outcome is owed to the engine. `peer` is none once its connection is over.
 struct Out {
-    hand_off: u32,
+    attempt: u32,
     peer: Option<usize>,
     sent: Ms,
     /// The version of the extent that it was sent under.
     version: u32,
 }
 
-/// A command as its client sent it, kept until its final answer is given and nothing of it is out.
+/// A request as its client sent it, kept until its final answer is given and nothing of it is out.
 struct Open {
     id: u64,
     /// The client's key and its own number; none once the client has gone or gave up.
@@ -93,7 +93,7 @@
     answered: bool,
     taken: Ms,
     ends: Ms,
-    band: u16,
+    class: u16,
     write: bool,
     volume: u64,
     key: u64,
@@ -105,20 +105,20 @@
     blocks: u32,
     /// The read that it is a piece of, and which piece.
     piece_of: Option<(u64, usize)>,
-    /// What the desk is to take once no earlier write overlaps it.
-    gated: Option<Taken>,
-    /// A hand-off ended without an answer: its effect may come late.
+    /// What the engine is to take once no earlier write overlaps it.
+    gated: Option<IncomingRequest>,
+    /// An attempt ended without an answer: its effect may come late.
     unsure: bool,
     payload: Vec<u8>,
     out: Vec<Out>,
-    hand_offs: u32,
+    attempts: u32,
     last_node: Option<u32>,
     span: Span,
 }
 
 struct Client {
     connection: Connection,
-    commands: HashMap<u64, u64>,
+    requests: HashMap<u64, u64>,
     /// Since when nothing is read from it.
     held_back: Option<Ms>,
     half_frame: bool,
@@ -128,11 +128,11 @@
 /// A read that was cut; what each piece is asked with.
 pub struct Whole {
     pub client: (usize, u64),
-    pub gather: Gather,
-    /// Where each piece starts and ends, in blocks, and its command, once it has one.
+    pub gather: SplitRead,
+    /// Where each piece starts and ends, in blocks, and its request, once it has one.
     pub pieces: Vec<(u64, u64)>,
     pub ids: Vec<Option<u64>>,
-    pub band: u16,
+    pub class: u16,
     pub volume: u64,
     pub mark: u64,
     /// Units a block.
@@ -141,14 +141,14 @@
     pub span: Span,
 }
 
-/// A command as it is admitted: a client's own, or a piece of one.
+/// A request as it is admitted: a client's own, or a piece of one.
 pub struct Admitted<'a> {
     pub client: Option<(usize, u64)>,
     pub piece_of: Option<(u64, usize)>,
     pub take: &'a Take<'a>,
     /// The shard and the version of its extent.
     pub placed: (u32, u32),
-    pub time_limit: Ms,
+    pub client_timeout: Ms,
     pub span: Span,
 }
 
@@ -156,7 +156,7 @@
 pub struct PieceEnded {
     pub whole: u64,
     pub piece: usize,
-    pub verdict: Verdict,
+    pub verdict: FinalCode,
     pub back: Ms,
     pub payload: Vec<u8>,
 }
@@ -169,7 +169,7 @@
     connection: Option<Connection>,
     /// The life of the process that greeted on this connection.
     life: Option<u64>,
-    /// Hand-offs that wait for the greeting, and commands whose hand-off went out on the connection.
+    /// Attempts that wait for the greeting, and requests whose attempt went out on the connection.
     waiting: Vec<(u64, u32)>,
     out: Vec<u64>,
     tries: u64,
@@ -192,16 +192,16 @@
     pub wake_at: Ms,
     /// What counts for the loop's present turn.
     pub now: Ms,
-    /// Outcomes that the desk has yet to hear.
+    /// Outcomes that the engine has yet to hear.
     pub owed: VecDeque<(u64, u32, Outcome)>,
-    /// A call of the list that failed and that the desk has yet to hear of.
+    /// A call of the list that failed and that the engine has yet to hear of.
     pub list_failed: bool,
     /// Writes that no earlier one holds back any more, and pieces of reads that ended; both are the loop's to use.
     pub freed: VecDeque<u64>,
     pub pieces_ended: VecDeque<PieceEnded>,
-    pub gate: Gate,
+    pub gate: OverlapLock,
     pub wholes: HashMap<u64, Whole>,
-    company: Company,
+    coalescer: Coalescer,
     /// How long what was not answered may still take effect.
     rest: Ms,
     pub follower: Follower,
@@ -221,9 +221,9 @@
 }
 
 impl Floor {
-    pub fn new(sheet: &HostSheet, poll: Poll, clock: Clock, life: u64) -> Floor {
-        let back = Return::new(sheet.start.seed);
-        let (address, asked, map) = (sheet.list.address, sheet.list.asked, sheet.list.map);
+    pub fn new(config: &HostConfig, poll: Poll, clock: Clock, life: u64) -> Floor {
+        let back = Return::new(config.start.seed);
+        let (address, asked, map) = (config.list.address, config.list.asked, config.list.map);
         Floor {
             now: clock.now(),
             clock,
@@ -234,15 +234,15 @@
             list_failed: false,
             freed: VecDeque::new(),
             pieces_ended: VecDeque::new(),
-            gate: Gate::default(),
+            gate: OverlapLock::default(),
             wholes: HashMap::new(),
-            company: Company::new(sheet.merge.clone()),
-            rest: sheet.start.order_rest + sheet.start.round,
+            coalescer: Coalescer::new(config.merge.clone()),
+            rest: config.start.ordering_quiet_period + config.start.round,
             follower: Follower::default(),
             map: magpiewick_extents::Follower::default(),
-            number: sheet.number,
+            number: config.number,
             life,
-            bounds: sheet.bounds.clone(),
+            bounds: config.bounds.clone(),
             peers: Vec::new(),
             peer_of: HashMap::new(),
             clients: Slab::new(),
@@ -271,7 +271,7 @@
         keys
     }
 
-    /// Whether the desk, or the loop, has yet to hear of something.
+    /// Whether the engine, or the loop, has yet to hear of something.
     pub fn has_news(&self) -> bool {
         !self.owed.is_empty() || self.list_failed || !self.pieces_ended.is_empty() || !self.freed.is_empty()
     }
@@ -328,7 +328,7 @@
         };
         entry.insert(Client {
             connection,
-            commands: HashMap::new(),
+            requests: HashMap::new(),
             held_back: None,
             half_frame: false,
             serial: 0,
@@ -372,7 +372,7 @@
         }
     }
 
-    /// Whether a client that was held back may be read again; it is then, once its commands are taken.
+    /// Whether a client that was held back may be read again; it is then, once its requests are taken.
     pub fn may_read_on(&self, key: usize) -> bool {
         let client = self.clients.get(index_of(key)).filter(|c| c.held_back.is_some());
         client.is_some_and(|c| c.connection.pending() <= self.bounds.client_buffer / 2)
@@ -409,50 +409,50 @@
         client.is_some_and(|c| c.half_frame && c.serial == serial && c.held_back.is_none())
     }
 
-    /// Forgets a client; its commands that had no final answer come back.
+    /// Forgets a client; its requests that had no final answer come back.
     pub fn client_gone(&mut self, key: usize) -> Vec<u64> {
         let Some(client) = self.clients.try_remove(index_of(key)) else { return Vec::new() };
-        let mut commands: Vec<u64> = client.commands.into_values().collect();
-        commands.sort_unstable();
-        commands.iter().for_each(|command| self.forsake(*command, "client-gone"));
-        commands
+        let mut requests: Vec<u64> = client.requests.into_values().collect();
+        requests.sort_unstable();
+        requests.iter().for_each(|request_id| self.forsake(*request_id, "client-gone"));
+        requests
     }
 
-    /// The command that a client gives up, where it is still in hand.
+    /// The request that a client gives up, where it is still in hand.
     pub fn given_up(&mut self, key: usize, number: u64) -> Option<u64> {
-        let command = self.clients.get_mut(index_of(key))?.commands.remove(&number)?;
-        self.forsake(command, "given-up");
-        Some(command)
+        let request_id = self.clients.get_mut(index_of(key))?.requests.remove(&number)?;
+        self.forsake(request_id, "given-up");
+        Some(request_id)
     }
 
-    pub fn forsake(&mut self, command: u64, why: &str) {
-        if let Some(open) = self.open(command).filter(|o| !o.answered) {
+    pub fn forsake(&mut self, request_id: u64, why: &str) {
+        if let Some(open) = self.open(request_id).filter(|o| !o.answered) {
             (open.client, open.answered) = (None, true);
             open.tell("none", why);
-            self.company.let_go(command);
+            self.coalescer.let_go(request_id);
         }
     }
 
     pub fn has_command(&self, key: usize, number: u64) -> bool {
-        self.clients.get(index_of(key)).is_some_and(|c| c.commands.contains_key(&number))
+        self.clients.get(index_of(key)).is_some_and(|c| c.requests.contains_key(&number))
     }
 
-    /// Keeps a command as its client sent it and gives it an id that was never used.
+    /// Keeps a request as its client sent it and gives it an id that was never used.
     pub fn take(&mut self, admitted: Admitted) -> Option<u64> {
-        let Admitted { client, piece_of, take, placed: (shard, version), time_limit, span } = admitted;
+        let Admitted { client, piece_of, take, placed: (shard, version), client_timeout, span } = admitted;
         self.serial += 1;
         let entry = self.opens.vacant_entry();
         let id = self.serial << SLOT | entry.key() as u64;
         if let Some((key, number)) = client {
-            self.clients.get_mut(index_of(key))?.commands.insert(number, id);
+            self.clients.get_mut(index_of(key))?.requests.insert(number, id);
         }
         entry.insert(Open {
             id,
             client,
             answered: false,
             taken: self.now,
-            ends: self.now + time_limit,
-            band: take.band,
+            ends: self.now + client_timeout,
+            class: take.class,
             write: take.write,
             volume: take.volume,
             key: take.key,
@@ -466,7 +466,7 @@
             unsure: false,
             payload: take.payload.to_vec(),
             out: Vec::new(),
-            hand_offs: 0,
+            attempts: 0,
             last_node: None,
             span,
         });
@@ -475,58 +475,58 @@
     }
 
     /// Notes a write that is not out as one that may travel with others.
-    pub fn hold(&mut self, command: u64) {
-        let open = self.opens.get(slot_of(command)).filter(|o| o.id == command);
+    pub fn hold(&mut self, request_id: u64) {
+        let open = self.opens.get(slot_of(request_id)).filter(|o| o.id == request_id);
         let held = |o: &&Open| o.write && o.key != 0 && !o.answered && o.out.is_empty() && o.gated.is_none();
         if let Some(o) = open.filter(held) {
             let (start, end) = o.range();
             let (bytes, units) = (o.payload.len(), f64::from(o.units));
-            let (volume, shard, band) = (o.volume, o.shard, o.band);
-            self.company.hold(command, Piece { volume, shard, band, start, end, bytes, units });
+            let (volume, shard, class) = (o.volume, o.shard, o.class);
+            self.coalescer.hold(request_id, Piece { volume, shard, class, start, end, bytes, units });
         }
     }
 
-    /// Asks whether a command may go on to the desk; keeps what it is to take where an earlier write overlaps it.
+    /// Asks whether a request may go on to the engine; keeps what it is to take where an earlier write overlaps it.
     /// `line` names the line in which the module orders it.
-    pub fn enter(&mut self, taken: Taken, line: Option<u64>, until: Ms) -> Option<Taken> {
-        let command = taken.id;
-        let Some(open) = self.open(command).filter(|o| o.write && o.key != 0) else { return Some(taken) };
+    pub fn enter(&mut self, taken: IncomingRequest, line: Option<u64>, until: Ms) -> Option<IncomingRequest> {
+        let request_id = taken.id;
+        let Some(open) = self.open(request_id).filter(|o| o.write && o.key != 0) else { return Some(taken) };
         let (volume, (start, end)) = (open.volume, open.range());
-        if self.gate.enter(command, Write { volume, start, end, line }) {
+        if self.gate.enter(request_id, Write { volume, start, end, line }) {
             return Some(taken);
         }
-        if let Some(open) = self.open(command) {
+        if let Some(open) = self.open(request_id) {
             open.gated = Some(taken);
         }
-        self.company.let_go(command);
-        self.timers.set(until, Timer::GateLate { command });
+        self.coalescer.let_go(request_id);
+        self.timers.set(until, Timer::GateLate { request_id });
         None
     }
 
-    /// What the desk is to take of a write that waited, and the time that its client still has.
-    pub fn ungate(&mut self, command: u64) -> Option<Taken> {
+    /// What the engine is to take of a write that waited, and the time that its client still has.
+    pub fn ungate(&mut self, request_id: u64) -> Option<IncomingRequest> {
         let now = self.now;
-        let open = self.open(command).filter(|o| !o.answered)?;
+        let open = self.open(request_id).filter(|o| !o.answered)?;
         let mut taken = open.gated.take()?;
-        taken.command.time_limit = open.ends - now;
-        self.hold(command);
+        taken.request.client_timeout = open.ends - now;
+        self.hold(request_id);
         Some(taken)
     }
 
-    /// Ends a read that was cut; its pieces that are out are left to the desk.
-    pub fn end_whole(&mut self, whole: u64, verdict: Verdict, back: Ms, payload: &[u8]) {
+    /// Ends a read that was cut; its pieces that are out are left to the engine.
+    pub fn end_whole(&mut self, whole: u64, verdict: FinalCode, back: Ms, payload: &[u8]) {
         let Some(Whole { client, span, .. }) = self.wholes.remove(&whole) else { return };
-        span.in_scope(|| tracing::info!(target: "command", ?verdict, "a read in pieces is over"));
+        span.in_scope(|| tracing::info!(target: "request", ?verdict, "a read in pieces is over"));
         self.answer_client(client, verdict, back, payload);
     }
 
-    /// Gives a client the final answer to its command of this number.
-    fn answer_client(&mut self, (key, number): (usize, u64), verdict: Verdict, back: Ms, payload: &[u8]) {
+    /// Gives a client the final answer to its request of this number.
+    fn answer_client(&mut self, (key, number): (usize, u64), verdict: FinalCode, back: Ms, payload: &[u8]) {
         let back_us = (back * 1000.0) as u32;
         if let Some(client) = self.clients.get_mut(index_of(key)) {
-            client.commands.remove(&number);
+            client.requests.remove(&number);
         }
-        self.tell_client(key, &Message::Final(Final { command: number, verdict, back_us, payload }));
+        self.tell_client(key, &Message::Final(Final { request_id: number, verdict, back_us, payload }));
     }
 
     /// Keeps a read that is cut.
@@ -534,35 +534,35 @@
         let (key, number) = whole.client;
         self.serial += 1;
         let id = WHOLE | self.serial;
-        self.clients.get_mut(index_of(key))?.commands.insert(number, id);
+        self.clients.get_mut(index_of(key))?.requests.insert(number, id);
         self.wholes.insert(id, whole);
         Some(id)
     }
 
-    fn open(&mut self, command: u64) -> Option<&mut Open> {
-        self.opens.get_mut(slot_of(command)).filter(|o| o.id == command)
+    fn open(&mut self, request_id: u64) -> Option<&mut Open> {
+        self.opens.get_mut(slot_of(request_id)).filter(|o| o.id == request_id)
     }
 
-    /// Passes the first settled answer on to the client.
-    pub fn settled(&mut self, command: u64, payload: &[u8]) {
-        self.finish(command, Verdict::Settled, 0.0, payload, "settled");
+    /// Passes the first succeeded answer on to the client.
+    pub fn settled(&mut self, request_id: u64, payload: &[u8]) {
+        self.finish(request_id, FinalCode::Succeeded, 0.0, payload, "settled");
     }
 
-    fn finish(&mut self, command: u64, verdict: Verdict, back: Ms, payload: &[u8], reason: &str) {
+    fn finish(&mut self, request_id: u64, verdict: FinalCode, back: Ms, payload: &[u8], reason: &str) {
         let now = self.now;
-        let Some(open) = self.open(command).filter(|o| !o.answered) else { return };
+        let Some(open) = self.open(request_id).filter(|o| !o.answered) else { return };
         open.answered = true;
         let answer = match verdict {
-            Verdict::Settled => "settled",
-            Verdict::Bounced => "bounced",
-            Verdict::Scrapped => "scrapped",
+            FinalCode::Succeeded => "settled",
+            FinalCode::Rejected => "bounced",
+            FinalCode::Failed => "scrapped",
         };
         open.span.in_scope(|| {
-            let (hand_offs, node, took) = (open.hand_offs, open.last_node, now - open.taken);
-            tracing::info!(target: "command", answer, reason, hand_offs, node, took_ms = took);
+            let (attempts, node, took) = (open.attempts, open.last_node, now - open.taken);
+            tracing::info!(target: "request", answer, reason, attempts, node, took_ms = took);
         });
         let (client, piece_of) = (open.client.take(), open.piece_of);
-        self.company.let_go(command);
+        self.coalescer.let_go(request_id);
         if let Some((whole, piece)) = piece_of {
             let payload = payload.to_vec();
             return self.pieces_ended.push_back(PieceEnded { whole, piece, verdict, back, payload });
@@ -572,69 +572,69 @@
         }
     }
 
-    /// Forgets a command that is answered and of which nothing is out.
-    pub fn release(&mut self, command: u64) {
-        if self.open(command).is_some_and(|o| o.answered && o.out.is_empty()) {
-            if self.opens.remove(slot_of(command)).unsure {
-                self.timers.set(self.now + self.rest, Timer::GateRested { command });
+    /// Forgets a request that is answered and of which nothing is out.
+    pub fn release(&mut self, request_id: u64) {
+        if self.open(request_id).is_some_and(|o| o.answered && o.out.is_empty()) {
+            if self.opens.remove(slot_of(request_id)).unsure {
+                self.timers.set(self.now + self.rest, Timer::GateRested { request_id });
             } else {
-                self.leave_gate(command);
+                self.leave_gate(request_id);
             }
         }
     }
 
     /// Those that waited for this write may go on.
-    pub fn leave_gate(&mut self, command: u64) {
-        self.freed.extend(self.gate.leave(command));
+    pub fn leave_gate(&mut self, request_id: u64) {
+        self.freed.extend(self.gate.leave(request_id));
     }
 
-    // Hand-offs.
+    // Attempts.
 
-    pub fn is_out(&mut self, command: u64, hand_off: u32) -> bool {
-        self.open(command).is_some_and(|o| o.out.iter().any(|out| out.hand_off == hand_off))
+    pub fn is_out(&mut self, request_id: u64, attempt: u32) -> bool {
+        self.open(request_id).is_some_and(|o| o.out.iter().any(|out| out.attempt == attempt))
     }
 
-    pub fn is_out_at(&mut self, command: u64, hand_off: u32, key: usize) -> bool {
+    pub fn is_out_at(&mut self, request_id: u64, attempt: u32, key: usize) -> bool {
         let at = Some(index_of(key));
-        let here = |out: &Out| out.hand_off == hand_off && out.peer == at;
-        self.open(command).is_some_and(|o| o.out.iter().any(here))
+        let here = |out: &Out| out.attempt == attempt && out.peer == at;
+        self.open(request_id).is_some_and(|o| o.out.iter().any(here))
     }
 
-    /// Takes a hand-off off the books; when it was sent, where it still stood there.
-    pub fn end_hand_off(&mut self, command: u64, hand_off: u32, outcome: Outcome) -> Option<Ms> {
+    /// Takes an attempt off the books; when it was sent, where it still stood there.
+    pub fn end_attempt(&mut self, request_id: u64, attempt: u32, outcome: Outcome) -> Option<Ms> {
         let unanswered = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
-        let open = self.open(command)?;
-        let place = open.out.iter().position(|o| o.hand_off == hand_off)?;
+        let open = self.open(request_id)?;
+        let place = open.out.iter().position(|o| o.attempt == attempt)?;
         let out = open.out.remove(place);
         open.unsure |= unanswered || outcome == Outcome::Reset;
         if let Some(peer) = out.peer.map(|p| &mut self.peers[p]) {
             let waited = peer.waiting.len();
-            peer.waiting.retain(|w| *w != (command, hand_off));
+            peer.waiting.retain(|w| *w != (request_id, attempt));
             if waited == peer.waiting.len() {
-                peer.out.retain(|id| *id != command);
+                peer.out.retain(|id| *id != request_id);
                 peer.contact.done(unanswered.then_some(out.sent));
             }
         }
         Some(out.sent)
     }
 
-    /// Tells a node that a hand-off is not waited for any more, so that it need not begin it.
-    pub fn tell_cancelled(&mut self, command: u64, hand_off: u32) {
-        let at = |o: &Open| o.out.iter().find(|out| out.hand_off == hand_off).and_then(|out| out.peer);
-        let Some(index) = self.open(command).and_then(|o| at(o)) else { return };
+    /// Tells a node that an attempt is not waited for any more, so that it need not begin it.
+    pub fn tell_cancelled(&mut self, request_id: u64, attempt: u32) {
+        let at = |o: &Open| o.out.iter().find(|out| out.attempt == attempt).and_then(|out| out.peer);
+        let Some(index) = self.open(request_id).and_then(|o| at(o)) else { return };
         let peer = &mut self.peers[index];
-        if let Some(connection) = peer.connection.as_mut().filter(|_| peer.out.contains(&command)) {
-            connection.queue(&Message::Cancel { command, hand_off: hand_off as u16 }, NOTHING);
+        if let Some(connection) = peer.connection.as_mut().filter(|_| peer.out.contains(&request_id)) {
+            connection.queue(&Message::Cancel { request_id, attempt: attempt as u16 }, NOTHING);
             self.touched.push(key_of(Place::Node, index));
         }
     }
 
-    fn owe(&mut self, command: u64, outcome: Outcome, peer: usize) {
-        let Some(open) = self.open(command) else { return };
+    fn owe(&mut self, request_id: u64, outcome: Outcome, peer: usize) {
+        let Some(open) = self.open(request_id) else { return };
         let Some(out) = open.out.iter_mut().find(|o| o.peer == Some(peer)) else { return };
         out.peer = None;
-        let hand_off = out.hand_off;
-        self.owed.push_back((command, hand_off, outcome));
+        let attempt = out.attempt;
+        self.owed.push_back((request_id, attempt, outcome));
     }
 
     // Storage nodes.
@@ -692,17 +692,17 @@
         let unsent = peer.connection.take().map_or(Vec::new(), |c| c.never_left());
         tracing::info!(node = peer.node, why, out = peer.out.len(), "connection to a node is over");
         (peer.life, peer.contact) = (None, Contact::default());
-        for command in std::mem::take(&mut peer.out) {
-            let ran = if unsent.contains(&command) { Outcome::NoConnection } else { Outcome::Reset };
-            self.owe(command, ran, index);
+        for request_id in std::mem::take(&mut peer.out) {
+            let ran = if unsent.contains(&request_id) { Outcome::ConnectFailed } else { Outcome::Reset };
+            self.owe(request_id, ran, index);
         }
         self.waiting_back(index);
     }
 
-    /// What waits for a greeting was not sent: the desk is told so.
+    /// What waits for a greeting was not sent: the engine is told so.
     fn waiting_back(&mut self, index: usize) {
-        for (command, _) in std::mem::take(&mut self.peers[index].waiting) {
-            self.owe(command, Outcome::NoConnection, index);
+        for (request_id, _) in std::mem::take(&mut self.peers[index].waiting) {
+            self.owe(request_id, Outcome::ConnectFailed, index);
         }
     }
 
@@ -723,8 +723,8 @@
         match greeted {
             Greeted::Expected => {
                 peer.life = Some(hello.life);
-                for (command, hand_off) in std::mem::take(&mut peer.waiting) {
-                    self.hand_over(index, [(command, hand_off)].into_iter());
+                for (request_id, attempt) in std::mem::take(&mut peer.waiting) {
+                    self.hand_over(index, [(request_id, attempt)].into_iter());
                 }
             }
             Greeted::Restarted { .. } => {
@@ -736,18 +736,18 @@
         greeted
     }
 
-    /// Writes hand-offs to a node as one frame.
+    /// Writes attempts to a node as one frame.
     fn hand_over(&mut self, index: usize, parts: impl Iterator<Item = (u64, u32)>) {
         let now = self.now;
         let peer = &mut self.peers[index];
         let Some(connection) = &mut peer.connection else { return };
         let opens = &self.opens;
-        let part = |(command, hand_off): (u64, u32)| {
-            let open = opens.get(slot_of(command)).filter(|o| o.id == command)?;
-            Some(HandOff {
-                command,
-                hand_off: hand_off as u16,
-                band: open.band,
+        let part = |(request_id, attempt): (u64, u32)| {
+            let open = opens.get(slot_of(request_id)).filter(|o| o.id == request_id)?;
+            Some(Attempt {
+                request_id,
+                attempt: attempt as u16,
+                class: open.class,
                 write: open.write,
                 volume: open.volume,
                 key: open.key,
@@ -762,18 +762,18 @@
         };
         let mut parts = parts.filter_map(part);
         let Some(first) = parts.next() else { return };
-        let leader = first.command;
-        let mut add = |command| {
-            peer.out.push(command);
+        let leader = first.request_id;
+        let mut add = |request_id| {
+            peer.out.push(request_id);
             peer.contact.sent();
         };
         add(leader);
         match parts.next() {
-            None => connection.queue(&Message::HandOff(first), leader),
+            None => connection.queue(&Message::Attempt(first), leader),
             Some(second) => {
-                let parts: Vec<HandOff> = [first, second].into_iter().chain(parts).collect();
-                let others: Vec<u64> = parts[1..].iter().map(|p| p.command).collect();
-                others.iter().for_each(|command| add(*command));
+                let parts: Vec<Attempt> = [first, second].into_iter().chain(parts).collect();
+                let others: Vec<u64> = parts[1..].iter().map(|p| p.request_id).collect();
+                others.iter().for_each(|request_id| add(*request_id));
                 connection.queue_for(&Message::Batch(parts), leader, others);
             }
         }
@@ -802,9 +802,9 @@
         let peer = &mut self.peers[index];
         let Some(connection) = &mut peer.connection else { return };
         let (pulled, whole) = connection.pull_back();
-        peer.out.retain(|command| !pulled.contains(command));
+        peer.out.retain(|request_id| !pulled.contains(request_id));
         pulled.iter().for_each(|_| peer.contact.done(None));
-        pulled.into_iter().for_each(|command| self.owe(command, Outcome::NoConnection, index));
+        pulled.into_iter().for_each(|request_id| self.owe(request_id, Outcome::ConnectFailed, index));
         let gone = self.follower.node(self.peers[index].node).is_none_or(|k| k.line.state == State::Gone);
         if !whole {
             // The rest of a frame would reach the node at a time that nobody can tell.
@@ -814,7 +814,7 @@
         }
     }
 
-    // The list service.
+    // The endpoint list service.
 
     pub fn list_key(&self) -> Option<usize> {
         self.list.connection.as_ref().map(Connection::key)
@@ -858,7 +858,7 @@
         }
     }
 
-    /// Commands without their final answer: id, volume, key, and where they are placed.
+    /// Requests without their final answer: id, volume, key, and where they are placed.
     pub fn placed(&self) -> Vec<(u64, u64, u64, u32, u32)> {
         let open = self.opens.iter().map(|(_, o)| o).filter(|o| !o.answered);
         let mut all: Vec<_> = open.map(|o| (o.id, o.volume, o.key, o.shard, o.version)).collect();
@@ -867,21 +867,21 @@
         all
     }
 
-    /// The piece of data of a command; none once it has its final answer.
-    pub fn piece(&mut self, command: u64) -> Option<(u64, u64)> {
-        self.open(command).filter(|o| !o.answered).map(|o| (o.volume, o.key))
+    /// The piece of data of a request; none once it has its final answer.
+    pub fn piece(&mut self, request_id: u64) -> Option<(u64, u64)> {
+        self.open(request_id).filter(|o| !o.answered).map(|o| (o.volume, o.key))
     }
 
-    /// The version that a hand-off which is out was sent under.
-    pub fn sent_under(&mut self, command: u64, hand_off: u32) -> Option<u32> {
-        let open = self.open(command)?;
-        open.out.iter().find(|o| o.hand_off == hand_off).map(|o| o.version)
+    /// The version that an attempt which is out was sent under.
+    pub fn sent_under(&mut self, request_id: u64, attempt: u32) -> Option<u32> {
+        let open = self.open(request_id)?;
+        open.out.iter().find(|o| o.attempt == attempt).map(|o| o.version)
     }
 
-    pub fn place(&mut self, command: u64, shard: u32, version: u32) {
-        if let Some(open) = self.open(command) {
+    pub fn place(&mut self, request_id: u64, shard: u32, version: u32) {
+        if let Some(open) = self.open(request_id) {
             (open.shard, open.version) = (shard, version);
-            self.hold(command);
+            self.hold(request_id);
         }
     }
 
@@ -925,25 +925,25 @@
 
     fn tell(&self, answer: &str, reason: &str) {
         self.span.in_scope(|| {
-            let (hand_offs, node) = (self.hand_offs, self.last_node);
-            tracing::info!(target: "command", answer, reason, hand_offs, node);
+            let (attempts, node) = (self.attempts, self.last_node);
+            tracing::info!(target: "request", answer, reason, attempts, node);
         });
     }
 }
 
-impl World for Floor {
-    fn send(&mut self, node: u32, parts: &[Part]) {
+impl Environment for Floor {
+    fn send(&mut self, node: u32, parts: &[AttemptRef]) {
         let index = self.peer(node);
         let sent = self.now;
-        self.company.left(parts.iter().map(|p| p.command));
-        for &Part { command, hand_off, time_out, .. } in parts {
-            let Some(open) = self.open(command) else { continue };
-            (open.hand_offs, open.last_node) = (hand_off + 1, Some(node));
+        self.coalescer.left(parts.iter().map(|p| p.request_id));
+        for &AttemptRef { request_id, attempt, timeout: time_out, .. } in parts {
+            let Some(open) = self.open(request_id) else { continue };
+            (open.attempts, open.last_node) = (attempt + 1, Some(node));
             let version = open.version;
-            open.out.push(Out { hand_off, peer: Some(index), sent, version });
-            self.timers.set(sent + time_out, Timer::TimeOut { command, hand_off });
+            open.out.push(Out { attempt, peer: Some(index), sent, version });
+            self.timers.set(sent + time_out, Timer::TimeOut { request_id, attempt });
         }
-        let parts = parts.iter().map(|p| (p.command, p.hand_off));
+        let parts = parts.iter().map(|p| (p.request_id, p.attempt));
         let dial = self.peers[index].contact.dial();
         if dial == Dial::Use {
             return self.hand_over(index, parts);
@@ -961,34 +961,36 @@
         }
     }
 
-    fn beside(&mut self, parts: &[Part]) -> Option<u64> {
-        self.company.beside(parts.iter().map(|p| p.command))
+    fn next_coalesced(&mut self, parts: &[AttemptRef]) -> Option<u64> {
+        self.coalescer.beside(parts.iter().map(|p| p.request_id))
     }
 
-    fn cancel(&mut self, command: u64, hand_off: u32) {
-        if !self.is_out(command, hand_off) {
+    fn cancel(&mut self, request_id: u64, attempt: u32) {
+        if !self.is_out(request_id, attempt) {
             return;
         }
-        let waits = self.peers.iter().any(|p| p.waiting.contains(&(command, hand_off)));
-        self.tell_cancelled(command, hand_off);
-        let outcome = if waits { Outcome::NoConnection } else { Outcome::Cancelled };
-        self.owed.push_back((command, hand_off, outcome));
+        let waits = self.peers.iter().any(|p| p.waiting.contains(&(request_id, attempt)));
+        self.tell_cancelled(request_id, attempt);
+        let outcome = if waits { Outcome::ConnectFailed } else { Outcome::Cancelled };
+        self.owed.push_back((request_id, attempt, outcome));
     }
 
-    fn answer(&mut self, command: u64, ending: Ending, reason: Reason) {
+    fn answer(&mut self, request_id: u64, ending: FinalStatus, reason: Reason) {
         let word = reason.word();
         match ending {
-            Ending::Bounced { back } => self.finish(command, Verdict::Bounced, back, word.as_bytes(), word),
-            Ending::Scrapped => self.finish(command, Verdict::Scrapped, 0.0, word.as_bytes(), word),
+            FinalStatus::Rejected { retry_after } => {
+                self.finish(request_id, FinalCode::Rejected, retry_after, word.as_bytes(), word)
+            }
+            FinalStatus::Failed => self.finish(request_id, FinalCode::Failed, 0.0, word.as_bytes(), word),
         }
-        self.release(command);
+        self.release(request_id);
     }
 
-    fn tell(&mut self, to: &[usize], told: &[(u16, Told)]) {
+    fn send_gossip(&mut self, to: &[usize], told: &[(u16, GossipReport)]) {
         self.others.iter().for_each(|others| others.tell(to, told));
     }
 
-    fn probe(&mut self, node: u32) {
+    fn check_health(&mut self, node: u32) {
         let index = self.peer(node);
         let peer = &mut self.peers[index];
         if let Some(connection) = peer.connection.as_mut().filter(|_| peer.contact.open()) {
@@ -997,7 +999,7 @@
         }
     }
 
-    fn watch(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.watch_list();
     }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,8 +1,8 @@
-//! Follows the list of nodes: applies its news in order, finds gaps, and keeps the time at which each process
+//! Follows the endpoint list: applies its news in order, finds gaps, and keeps the time at which each process
 //! started on this host's clock. Free of I/O.
 
 use crate::contact::Process;
-use magpiewick::{Condition, Entry, Ms, News};
+use magpiewick::{Endpoint, EndpointState, EndpointUpdate, Ms};
 use magpiewick_node_protocol::{Line, List, State, LONG_AGO};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -27,8 +27,8 @@
 #[derive(Debug)]
 pub enum Heard {
     /// For the module: its kind and the entries.
-    News(News, Vec<(u32, Entry)>),
-    /// News is missing before this one: the whole list must be asked for.
+    Update(EndpointUpdate, Vec<(u32, Endpoint)>),
+    /// EndpointUpdate is missing before this one: the whole list must be asked for.
     Gap,
     /// The same news again.
     Old,
@@ -74,16 +74,16 @@
             self.nodes.retain(|node, _| named.contains(node));
         }
         self.epoch = list.epoch;
-        let news = if list.whole { News::Whole } else { News::Changes };
+        let news = if list.whole { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
         let entries = list.lines.iter().map(|line| (line.node, self.note(now, line))).collect();
         if !list.whole {
             // What has gone needs no memory; the module keeps what is still out there.
             self.nodes.retain(|_, k| k.line.state != State::Gone);
         }
-        Heard::News(news, entries)
+        Heard::Update(news, entries)
     }
 
-    fn note(&mut self, now: Ms, line: &Line) -> Entry {
+    fn note(&mut self, now: Ms, line: &Line) -> Endpoint {
         let before = self.nodes.get(&line.node).filter(|k| k.line.life == line.life);
         let started = before.map_or_else(|| started(now, line.age_us), |k| k.started);
         self.nodes.insert(line.node, Known { line: *line, started });
@@ -91,7 +91,7 @@
     }
 
     /// A greeting showed that a node's process is a later one than the list says.
-    pub fn restarted(&mut self, node: u32, life: u64, started: Option<Ms>) -> Option<(u32, Entry)> {
+    pub fn restarted(&mut self, node: u32, life: u64, started: Option<Ms>) -> Option<(u32, Endpoint)> {
         let known = self.nodes.get_mut(&node)?;
         (known.line.life, known.started) = (life, started);
         Some((node, entry(&known.line, started)))
@@ -106,18 +106,18 @@
 
     /// What this host kept when it last ran. How long it did not run is not known, so nodes count as younger
     /// than they are: the safe side. The epoch is not taken over, so that the whole list is asked for.
-    pub fn recall(&mut self, now: Ms, list: &List) -> Vec<(u32, Entry)> {
+    pub fn recall(&mut self, now: Ms, list: &List) -> Vec<(u32, Endpoint)> {
         list.lines.iter().map(|line| (line.node, self.note(now, line))).collect()
     }
 }
 
-fn entry(line: &Line, started: Option<Ms>) -> Entry {
-    let condition = match line.state {
-        State::Ready => Condition::Ready,
-        State::Draining => Condition::Draining,
-        State::Gone => Condition::Gone,
+fn entry(line: &Line, started: Option<Ms>) -> Endpoint {
+    let state = match line.state {
+        State::Ready => EndpointState::Ready,
+        State::Draining => EndpointState::Draining,
+        State::Gone => EndpointState::Removed,
     };
-    Entry { node: 0, zone: usize::from(line.zone), shard: line.shard as usize, condition, started }
+    Endpoint { node: 0, zone: usize::from(line.zone), shard: line.shard as usize, state, started_at: started }
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/follow/tests.rs
+++ b/crates/gateway/src/follow/tests.rs
@@ -26,7 +26,7 @@
     let drains = [line(1, State::Draining, 7, 0)];
     assert!(matches!(f.heard(1.0, &list(false, 6, &drains)), Heard::Gap));
     assert!(matches!(f.heard(1.0, &list(false, 4, &drains)), Heard::Old));
-    assert!(matches!(f.heard(1.0, &list(false, 5, &drains)), Heard::News(News::Changes, _)));
+    assert!(matches!(f.heard(1.0, &list(false, 5, &drains)), Heard::Update(EndpointUpdate::Delta, _)));
     assert_eq!(f.epoch(), 5);
 }
 
@@ -37,8 +37,8 @@
     let kept = f.remembered(1000.0);
     let mut again = Follower::default();
     let entries = again.recall(10.0, &kept);
-    assert_eq!(entries[0].1.started, Some(10.0 - 1250.0));
-    assert_eq!((entries[1].1.started, again.epoch()), (None, 0));
+    assert_eq!(entries[0].1.started_at, Some(10.0 - 1250.0));
+    assert_eq!((entries[1].1.started_at, again.epoch()), (None, 0));
 }
 
 quickcheck! {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,30 +1,30 @@
-//! The running host: one loop over clients, storage nodes and the list service, around the desk.
+//! The running host: one loop over clients, storage nodes and the endpoint list service, around the engine.
 //!
 //! The loop hands the module each event and does what it answers. It decides nothing on the module's
-//! questions; what it has to decide by itself (which connection a hand-off goes out on, whether a process is
+//! questions; what it has to decide by itself (which connection an attempt goes out on, whether a process is
 //! the one that was meant, what a broken connection proves) stands in `contact` and `follow`, free of I/O.
 
+pub mod config;
 pub mod contact;
 mod floor;
 pub mod follow;
 mod others;
 mod route;
-pub mod sheet;
 
+use config::HostConfig;
 use contact::Greeted;
 use floor::{key_of, place_of, Admitted, Floor, PieceEnded, Place, Timer, Whole, WHOLE};
 use follow::Heard;
-use magpiewick::{Answer, Command, Ms, News, Outcome, Repeats};
-use magpiewick_engine::{Desk, Stood, Taken};
+use magpiewick::{Answer, EndpointUpdate, Idempotency, Ms, Outcome, Request};
+use magpiewick_coalescing::{cut, Progress, SplitRead};
+use magpiewick_engine::{Engine, IncomingRequest, StallDetector};
 use magpiewick_extents::{Fault, Place as At};
-use magpiewick_transport::{Clock, Ended, Poll, Registered, Woken};
-use magpiewick_coalescing::{cut, Gather, Progress};
 use magpiewick_node_protocol::{
-    self as wire, Code, Final, Frames, Hello, List, MapNews, Message, Read, Role, Take, Verdict,
+    self as wire, Final, FinalCode, Frames, Hello, List, MapNews, Message, OutcomeCode, Read, Role, Take,
     MOST_PAYLOAD, VERSION,
 };
+use magpiewick_transport::{Clock, Ended, Poll, Registered, Woken};
 use others::Others;
-use sheet::HostSheet;
 use std::io::{self, ErrorKind, Read as _};
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
@@ -48,8 +48,8 @@
 
 /// A host with its listener bound.
 pub struct Gateway {
-    sheet: HostSheet,
-    desk: Desk,
+    config: HostConfig,
+    engine: Engine,
     floor: Floor,
     listener: Option<Registered<TcpListener>>,
     stop: Registered<UnixStream>,
@@ -60,27 +60,27 @@
     address: SocketAddr,
     /// Set while no more is read from clients, as enough is in hand.
     full: bool,
-    stood: Stood,
+    stall_detector: StallDetector,
 }
 
 impl Gateway {
     /// Binds the listener. A byte on `stop` asks the host to stop, a second one to end at once; `life` names
     /// this start of the process and must differ from all others.
-    pub fn bind(mut sheet: HostSheet, stop: UnixStream, life: u64) -> io::Result<Gateway> {
+    pub fn bind(mut config: HostConfig, stop: UnixStream, life: u64) -> io::Result<Gateway> {
         let clock = Clock::start();
         let poll = Poll::new()?;
-        let listener = magpiewick_transport::listen(sheet.listen)?;
+        let listener = magpiewick_transport::listen(config.listen)?;
         let address = listener.local_addr()?;
         stop.set_nonblocking(true)?;
         let now = clock.now();
-        let mut floor = Floor::new(&sheet, poll.clone(), clock, life);
-        if !sheet.peers.is_empty() {
-            let own = sheet.number as usize;
-            floor.others = Some(Others::bind(own, std::mem::take(&mut sheet.peers), &poll)?);
-            sheet.start.peer = Some(own);
+        let mut floor = Floor::new(&config, poll.clone(), clock, life);
+        if !config.peers.is_empty() {
+            let own = config.number as usize;
+            floor.others = Some(Others::bind(own, std::mem::take(&mut config.peers), &poll)?);
+            config.start.peer = Some(own);
         }
         Ok(Gateway {
-            desk: Desk::new(sheet.start.clone(), now),
+            engine: Engine::new(config.start.clone(), now),
             listener: Some(poll.register(listener, key_of(Place::Door, 0))?),
             stop: poll.register(stop, key_of(Place::Stop, 0))?,
             floor,
@@ -89,8 +89,8 @@
             lingers_until: None,
             address,
             full: false,
-            stood: Stood::new(now, sheet.start.round),
-            sheet,
+            stall_detector: StallDetector::new(now, config.start.round),
+            config,
         })
     }
 
@@ -102,16 +102,16 @@
     /// Serves until it is told to stop.
     pub fn run(mut self) -> io::Result<HostEnd> {
         self.recall();
-        if !self.sheet.list.asked {
+        if !self.config.list.asked {
             self.floor.watch_list();
         }
         let mut woken = Woken::default();
         loop {
             let sleep = self.sleep();
-            self.stood.sleeps(self.floor.clock.now(), sleep);
+            self.stall_detector.sleeps(self.floor.clock.now(), sleep);
             self.floor.poll.wait(&mut woken, Some(Clock::until(0.0, sleep)))?;
             self.floor.now = self.floor.clock.now();
-            self.stood.woke(self.floor.now);
+            self.stall_detector.woke(self.floor.now);
             self.turn(&woken);
             if self.stops > 1 {
                 return Ok(HostEnd::Abandoned);
@@ -131,7 +131,7 @@
             return self.floor.client_keys().is_empty() || now >= until;
         }
         // A client that does not read its answers cannot keep the host from ending.
-        let late = *self.ends_by.get_or_insert(now + self.sheet.bounds.connect_within);
+        let late = *self.ends_by.get_or_insert(now + self.config.bounds.connect_within);
         if self.floor.nothing_to_write() || now >= late {
             self.floor.end_writing_to_clients();
             self.lingers_until = Some(now + LINGER);
@@ -139,9 +139,9 @@
         false
     }
 
-    /// Commands without their final answer, wherever they wait.
+    /// Requests without their final answer, wherever they wait.
     fn in_hand(&self) -> usize {
-        self.desk.in_hand() + self.floor.gate.waiting()
+        self.engine.pending() + self.floor.gate.waiting()
     }
 
     fn sleep(&self) -> Ms {
@@ -150,7 +150,7 @@
     }
 
     /// One turn: what was told of nodes comes first, so that nothing is decided on old news; then outcomes,
-    /// which free places; then new commands; then what is due.
+    /// which free places; then new requests; then what is due.
     fn turn(&mut self, woken: &Woken) {
         let of = |place: Place| woken.readable.iter().copied().filter(move |key| place_of(*key) == place);
         of(Place::List).for_each(|key| self.list_readable(key));
@@ -163,7 +163,7 @@
         self.decide();
         // A turn that took long, or was stopped in its middle, may have decided on news that is old by now: what
         // the list has said meanwhile is heard before anything leaves.
-        if self.floor.clock.now() - self.floor.now > self.sheet.start.round {
+        if self.floor.clock.now() - self.floor.now > self.config.start.round {
             self.floor.now = self.floor.clock.now();
             if let Some(key) = self.floor.list_key() {
                 self.list_readable(key);
@@ -178,32 +178,32 @@
     fn decide(&mut self) {
         loop {
             self.settle();
-            self.desk.run(self.floor.now, &mut self.floor);
+            self.engine.run(self.floor.now, &mut self.floor);
             if !self.floor.has_news() {
                 return;
             }
         }
     }
 
-    /// Tells the desk what connections brought while it was calling.
+    /// Tells the engine what connections brought while it was calling.
     fn settle(&mut self) {
         if std::mem::take(&mut self.floor.list_failed) {
-            self.desk.listed(self.floor.now, News::Failed, &[]);
+            self.engine.on_endpoint_update(self.floor.now, EndpointUpdate::PollFailed, &[]);
         }
-        while let Some((command, hand_off, outcome)) = self.floor.owed.pop_front() {
-            self.outcome(command, hand_off, outcome, None, 0.0, &[]);
+        while let Some((request_id, attempt, outcome)) = self.floor.owed.pop_front() {
+            self.outcome(request_id, attempt, outcome, None, 0.0, &[]);
         }
         while let Some(ended) = self.floor.pieces_ended.pop_front() {
             self.piece_ended(ended);
         }
-        while let Some(command) = self.floor.freed.pop_front() {
-            if let Some(taken) = self.floor.ungate(command) {
-                self.desk.take(self.floor.now, taken, &mut self.floor);
+        while let Some(request_id) = self.floor.freed.pop_front() {
+            if let Some(taken) = self.floor.ungate(request_id) {
+                self.engine.submit(self.floor.now, taken, &mut self.floor);
             }
         }
     }
 
-    /// Writes what is to be written. Connections that break at it bring outcomes, and these new hand-offs.
+    /// Writes what is to be written. Connections that break at it bring outcomes, and these new attempts.
     fn write(&mut self) {
         loop {
             for key in self.floor.take_touched() {
@@ -220,7 +220,7 @@
                     },
                 }
             }
-            if self.full && self.in_hand() < self.sheet.bounds.most_in_hand {
+            if self.full && self.in_hand() < self.config.bounds.most_in_hand {
                 self.full = false;
                 for key in self.floor.client_keys() {
                     if self.floor.may_read_on(key) {
@@ -245,38 +245,38 @@
         }
     }
 
-    /// Ends a hand-off; what comes for one that has ended before is passed over.
+    /// Ends an attempt; what comes for one that has ended before is passed over.
     fn outcome(
         &mut self,
-        command: u64,
-        hand_off: u32,
+        request_id: u64,
+        attempt: u32,
         outcome: Outcome,
         used: Option<f64>,
         others: f64,
         payload: &[u8],
     ) {
-        let Some(sent) = self.floor.end_hand_off(command, hand_off, outcome) else { return };
-        let over = outcome == Outcome::Settled;
+        let Some(sent) = self.floor.end_attempt(request_id, attempt, outcome) else { return };
+        let over = outcome == Outcome::Succeeded;
         if over {
-            self.floor.settled(command, payload);
+            self.floor.settled(request_id, payload);
         }
         let answer = Answer { outcome, latency: self.floor.now - sent, over, used, others };
-        self.desk.outcome(self.floor.now, command, answer, &mut self.floor);
-        if let Some((volume, key)) = self.floor.piece(command).filter(|_| outcome == Outcome::Moved) {
+        self.engine.on_outcome(self.floor.now, request_id, answer, &mut self.floor);
+        if let Some((volume, key)) = self.floor.piece(request_id).filter(|_| outcome == Outcome::ShardMoved) {
             let (to, version) = self.place(volume, key);
-            self.replace(command, to, version);
+            self.replace(request_id, to, version);
         }
-        self.floor.hold(command);
-        self.floor.release(command);
+        self.floor.hold(request_id);
+        self.floor.release(request_id);
     }
 
     fn timers(&mut self) {
         while let Some(timer) = self.floor.timers.due(self.floor.now) {
             match timer {
-                Timer::TimeOut { command, hand_off } => {
-                    if self.floor.is_out(command, hand_off) {
-                        self.floor.tell_cancelled(command, hand_off);
-                        self.outcome(command, hand_off, Outcome::TimedOut, None, 0.0, &[]);
+                Timer::TimeOut { request_id, attempt } => {
+                    if self.floor.is_out(request_id, attempt) {
+                        self.floor.tell_cancelled(request_id, attempt);
+                        self.outcome(request_id, attempt, Outcome::TimedOut, None, 0.0, &[]);
                     }
                 }
                 Timer::Connect { peer, try_number } => self.floor.connect_late(peer, try_number),
@@ -291,8 +291,8 @@
                 }
                 Timer::ListAgain => self.floor.watch_list(),
                 Timer::Reroute => self.reroute(),
-                Timer::GateLate { command } => self.gate_late(command),
-                Timer::GateRested { command } => self.floor.leave_gate(command),
+                Timer::GateLate { request_id } => self.gate_late(request_id),
+                Timer::GateRested { request_id } => self.floor.leave_gate(request_id),
             }
         }
     }
@@ -300,14 +300,14 @@
     fn others_readable(&mut self) {
         let mut turn = 0;
         while let Some((from, told)) = self.floor.others.as_mut().and_then(|others| others.next(&mut turn)) {
-            self.desk.heard(self.floor.now, from, &told);
+            self.engine.on_gossip(self.floor.now, from, &told);
         }
     }
 
-    // The list of nodes.
+    // The endpoint list.
 
     fn recall(&mut self) {
-        let Some(path) = &self.sheet.list.remember else { return };
+        let Some(path) = &self.config.list.remember else { return };
         let bytes = match std::fs::read(path) {
             Ok(bytes) => bytes,
             Err(e) if e.kind() == ErrorKind::NotFound => return,
@@ -320,14 +320,14 @@
                 let entries = self.floor.follower.recall(self.floor.now, &list);
                 tracing::info!(nodes = entries.len(), "took up the list kept from the last run");
                 self.floor.nodes_changed();
-                self.desk.listed(self.floor.now, News::Remembered, &entries);
+                self.engine.on_endpoint_update(self.floor.now, EndpointUpdate::Restored, &entries);
             }
             _ => tracing::warn!(path = %path.display(), "the kept list is damaged and passed over"),
         }
     }
 
     fn remember(&self) {
-        let Some(path) = &self.sheet.list.remember else { return };
+        let Some(path) = &self.config.list.remember else { return };
         let mut bytes = Vec::new();
         wire::write(&Message::List(self.floor.follower.remembered(self.floor.now)), &mut bytes);
         let beside = path.with_extension("new");
@@ -345,7 +345,7 @@
                 Message::Map(news) => self.heard_map(&news),
                 Message::Refused => {
                     self.floor.list_answered();
-                    self.desk.listed(self.floor.now, News::Failed, &[]);
+                    self.engine.on_endpoint_update(self.floor.now, EndpointUpdate::PollFailed, &[]);
                 }
                 Message::Hello(_) => {}
                 _ => return Some("a message that a list service does not send".to_string()),
@@ -361,14 +361,14 @@
     fn heard_list(&mut self, list: &List) {
         self.floor.list_answered();
         match self.floor.follower.heard(self.floor.now, list) {
-            Heard::News(news, entries) => {
+            Heard::Update(news, entries) => {
                 tracing::info!(
                     epoch = list.epoch,
                     whole = list.whole,
                     lines = list.lines.len(),
                     "list of nodes"
                 );
-                self.desk.listed(self.floor.now, news, &entries);
+                self.engine.on_endpoint_update(self.floor.now, news, &entries);
                 self.floor.nodes_changed();
                 self.remember();
             }
@@ -404,36 +404,36 @@
             At::Flux => (Some(route::NOWHERE), 0),
             At::Unknown if key == 0 => (None, 0),
             At::Unknown => {
-                let shards = self.sheet.volumes.get(&volume).map_or(&[][..], |v| &v.shards);
+                let shards = self.config.volumes.get(&volume).map_or(&[][..], |v| &v.shards);
                 let place = xxh3_64(&key.to_le_bytes()) % shards.len().max(1) as u64;
                 (shards.get(place as usize).copied(), 0)
             }
         }
     }
 
-    /// Held commands follow the map before they are sent.
+    /// Held requests follow the map before they are sent.
     fn reroute(&mut self) {
-        for (command, volume, key, shard, version) in self.floor.placed() {
+        for (request_id, volume, key, shard, version) in self.floor.placed() {
             let (to, new) = self.place(volume, key);
             if to.map_or(u32::MAX, |s| s as u32) != shard || new != version {
-                self.replace(command, to, new);
+                self.replace(request_id, to, new);
             }
         }
     }
 
-    fn replace(&mut self, command: u64, to: Option<usize>, version: u32) {
-        self.floor.place(command, to.map_or(u32::MAX, |s| s as u32), version);
+    fn replace(&mut self, request_id: u64, to: Option<usize>, version: u32) {
+        self.floor.place(request_id, to.map_or(u32::MAX, |s| s as u32), version);
         if let Some(shard) = to {
-            self.desk.moved(self.floor.now, command, shard);
+            self.engine.on_shard_moved(self.floor.now, request_id, shard);
         }
     }
 
-    /// A node does not serve a command's extent. The command goes to whoever the node names, or waits until
+    /// A node does not serve a request's extent. The request goes to whoever the node names, or waits until
     /// somebody can say.
-    fn refused_by_owner(&mut self, command: u64, hand_off: u32, owner: Option<(u32, u32)>) {
-        let Some(piece) = self.floor.piece(command) else { return };
-        let version = self.floor.sent_under(command, hand_off).unwrap_or(0);
-        tracing::debug!(command, version, ?owner, "a command was sent by a stale map");
+    fn refused_by_owner(&mut self, request_id: u64, attempt: u32, owner: Option<(u32, u32)>) {
+        let Some(piece) = self.floor.piece(request_id) else { return };
+        let version = self.floor.sent_under(request_id, attempt).unwrap_or(0);
+        tracing::debug!(request_id, version, ?owner, "a command was sent by a stale map");
         if let Some(at) = self.floor.map.refused(self.floor.now, piece, version, owner) {
             self.floor.timers.set(at, Timer::Reroute);
         }
@@ -462,23 +462,23 @@
         match message {
             Message::Outcome(o) => {
                 let outcome = match o.code {
-                    Code::Settled => Outcome::Settled,
-                    Code::Error => Outcome::Error,
-                    Code::Full => Outcome::Full,
-                    Code::Moot => Outcome::Moot,
-                    Code::Moved => Outcome::Moved,
+                    OutcomeCode::Succeeded => Outcome::Succeeded,
+                    OutcomeCode::Error => Outcome::Error,
+                    OutcomeCode::Overloaded => Outcome::Overloaded,
+                    OutcomeCode::DeadlineExceeded => Outcome::DeadlineExceeded,
+                    OutcomeCode::ShardMoved => Outcome::ShardMoved,
                     _ => return Some("an outcome that a node cannot know".to_string()),
                 };
-                // Only the node that a hand-off is out at can end it.
-                if self.floor.is_out_at(o.command, u32::from(o.hand_off), key) {
+                // Only the node that an attempt is out at can end it.
+                if self.floor.is_out_at(o.request_id, u32::from(o.attempt), key) {
                     let (used, others) = (o.used.map(f64::from), f64::from(o.others));
-                    if outcome == Outcome::Moved {
+                    if outcome == Outcome::ShardMoved {
                         let owner = o.owner.map(|owner| (owner, o.version));
-                        self.refused_by_owner(o.command, u32::from(o.hand_off), owner);
+                        self.refused_by_owner(o.request_id, u32::from(o.attempt), owner);
                     }
-                    self.outcome(o.command, u32::from(o.hand_off), outcome, used, others, o.payload);
+                    self.outcome(o.request_id, u32::from(o.attempt), outcome, used, others, o.payload);
                 } else {
-                    tracing::debug!(command = o.command, "an answer for a hand-off that has ended");
+                    tracing::debug!(request_id = o.request_id, "an answer for a hand-off that has ended");
                 }
                 None
             }
@@ -499,7 +499,7 @@
             Greeted::Restarted { started } => {
                 tracing::info!(node = hello.number, "the node restarted before the list said so");
                 if let Some(entry) = self.floor.follower.restarted(hello.number, hello.life, started) {
-                    self.desk.listed(self.floor.now, News::Changes, &[entry]);
+                    self.engine.on_endpoint_update(self.floor.now, EndpointUpdate::Delta, &[entry]);
                 }
                 None
             }
@@ -530,7 +530,7 @@
         }
     }
 
-    /// Uses the frames that a client sent, as far as there is room for its commands.
+    /// Uses the frames that a client sent, as far as there is room for its requests.
     fn client_frames(&mut self, key: usize, input: Vec<u8>) {
         let (used, broken) = each_frame(&input, |message| self.client_said(key, message));
         if broken.as_deref() == Some(FULL) {
@@ -549,13 +549,13 @@
     /// A message of a client; why no more of them can be used, where that is so.
     fn client_said(&mut self, key: usize, message: Message) -> Option<String> {
         match message {
-            Message::Take(_) if self.in_hand() >= self.sheet.bounds.most_in_hand => {
+            Message::Take(_) if self.in_hand() >= self.config.bounds.most_in_hand => {
                 return Some(FULL.to_string());
             }
             Message::Take(take) => self.take(key, &take),
-            Message::GiveUp { command } => {
-                if let Some(command) = self.floor.given_up(key, command) {
-                    self.forsaken(command);
+            Message::GiveUp { request_id } => {
+                if let Some(request_id) = self.floor.given_up(key, request_id) {
+                    self.forsaken(request_id);
                 }
             }
             Message::Hello(h) if h.lowest <= VERSION && h.highest >= VERSION && h.role == Role::Client => {}
@@ -567,67 +567,67 @@
 
     fn client_gone(&mut self, key: usize, why: &str) {
         tracing::debug!(client = key, why, "a client has gone");
-        for command in self.floor.client_gone(key) {
-            self.forsaken(command);
+        for request_id in self.floor.client_gone(key) {
+            self.forsaken(request_id);
         }
     }
 
-    /// Nobody waits for a command any more, or for a read in pieces.
-    fn forsaken(&mut self, command: u64) {
-        if command & WHOLE != 0 {
-            self.end_pieces(command);
-            self.floor.wholes.remove(&command);
+    /// Nobody waits for a request any more, or for a read in pieces.
+    fn forsaken(&mut self, request_id: u64) {
+        if request_id & WHOLE != 0 {
+            self.end_pieces(request_id);
+            self.floor.wholes.remove(&request_id);
             return;
         }
-        self.desk.abandoned(self.floor.now, command);
-        self.floor.release(command);
+        self.engine.on_client_disconnect(self.floor.now, request_id);
+        self.floor.release(request_id);
     }
 
-    /// Takes a command, or says at once that this host cannot: nothing ran, so trying again is harmless.
+    /// Takes a request, or says at once that this host cannot: nothing ran, so trying again is harmless.
     fn take(&mut self, key: usize, take: &Take) {
         let refuse = |floor: &mut Floor, why: &str| {
-            let (command, back_us, verdict) = (take.command, 0, Verdict::Bounced);
-            let answer = Message::Final(Final { command, verdict, back_us, payload: why.as_bytes() });
+            let (request_id, back_us, verdict) = (take.request_id, 0, FinalCode::Rejected);
+            let answer = Message::Final(Final { request_id, verdict, back_us, payload: why.as_bytes() });
             floor.tell_client(key, &answer);
         };
-        let band = usize::from(take.band);
-        let Some(volume) = self.sheet.volumes.get(&take.volume) else {
+        let class = usize::from(take.class);
+        let Some(volume) = self.config.volumes.get(&take.volume) else {
             return refuse(&mut self.floor, "unknown-volume");
         };
-        if band >= self.sheet.start.bands.len() {
+        if class >= self.config.start.classes.len() {
             return refuse(&mut self.floor, "unknown-band");
         }
         let units = f64::from(take.units);
-        if units <= 0.0 || units > self.sheet.start.most_units {
+        if units <= 0.0 || units > self.config.start.max_units {
             return refuse(&mut self.floor, "impossible-units");
         }
         if self.stops > 0 {
             return refuse(&mut self.floor, "stopping");
         }
-        if self.floor.has_command(key, take.command) {
+        if self.floor.has_command(key, take.request_id) {
             return refuse(&mut self.floor, "number-in-use");
         }
-        let age = self.stood.age().max(self.floor.held_back(key));
-        let time_limit = f64::from(take.limit_us) / 1000.0 - age;
+        let age = self.stall_detector.age().max(self.floor.held_back(key));
+        let client_timeout = f64::from(take.limit_us) / 1000.0 - age;
         let span = tracing::info_span!(
-            target: "command",
-            "command",
-            host = self.sheet.number,
-            number = take.command,
+            target: "request",
+            "request",
+            host = self.config.number,
+            number = take.request_id,
             volume = volume.name,
-            band = self.sheet.bands[band],
+            class = self.config.classes[class],
         );
         match self.pieces(take) {
             Err(why) => refuse(&mut self.floor, why),
-            Ok(Some(pieces)) => self.take_whole(key, take, pieces, time_limit, span),
+            Ok(Some(pieces)) => self.take_whole(key, take, pieces, client_timeout, span),
             Ok(None) => {
-                let client = Some((key, take.command));
-                self.admit(client, None, take, time_limit, span);
+                let client = Some((key, take.request_id));
+                self.admit(client, None, take, client_timeout, span);
             }
         }
     }
 
-    /// The pieces in which a command must travel, none where it travels whole; or why it cannot at all.
+    /// The pieces in which a request must travel, none where it travels whole; or why it cannot at all.
     fn pieces(&self, take: &Take) -> Result<Option<Vec<(u64, u64)>>, &'static str> {
         let (start, end) = (take.key, take.key.saturating_add(u64::from(take.blocks.max(1))));
         if end - start == 1 {
@@ -638,69 +638,69 @@
         }
         let Some(edges) = self.floor.map.edges(take.volume, start, end) else {
             // Without the map of a volume that lies on several shards nobody knows where a range lies.
-            let shards = self.sheet.volumes.get(&take.volume).map_or(0, |v| v.shards.len());
+            let shards = self.config.volumes.get(&take.volume).map_or(0, |v| v.shards.len());
             return if shards > 1 { Err("unmapped-range") } else { Ok(None) };
         };
-        let band = &self.sheet.start.bands[usize::from(take.band)];
-        let cuts = !take.write && band.repeats == Repeats::Retriable && !band.in_order;
-        let most = if cuts { self.sheet.split.blocks } else { u64::MAX };
+        let class = &self.config.start.classes[usize::from(take.class)];
+        let cuts = !take.write && class.idempotency == Idempotency::Idempotent && !class.ordered;
+        let most = if cuts { self.config.split.blocks } else { u64::MAX };
         let pieces = cut(start, end, edges.into_iter(), most);
-        // Half of a write cannot be taken back, and pieces of what has an order or a mark would be repeats.
+        // Half of a write cannot be taken back, and pieces of what has an order or a mark would be idempotency.
         if pieces.len() > 1 && !cuts {
             return Err("crosses-extents");
         }
         Ok(Some(pieces).filter(|pieces| pieces.len() > 1))
     }
 
-    /// Takes a command, or a piece of one, to the desk, past the earlier writes that it overlaps.
+    /// Takes a request, or a piece of one, to the engine, past the earlier writes that it overlaps.
     fn admit(
         &mut self,
         client: Option<(usize, u64)>,
         piece_of: Option<(u64, usize)>,
         take: &Take,
-        time_limit: Ms,
+        client_timeout: Ms,
         span: tracing::Span,
     ) -> Option<u64> {
-        let volume = self.sheet.volumes.get(&take.volume)?;
-        let (plan, hosts, band) = (volume.plan, volume.hosts, usize::from(take.band));
+        let volume = self.config.volumes.get(&take.volume)?;
+        let (plan, hosts, class) = (volume.plan, volume.hosts, usize::from(take.class));
         let (shard, version) = self.place(take.volume, take.key);
         let placed = (shard.map_or(u32::MAX, |s| s as u32), version);
-        let id = self.floor.take(Admitted { client, piece_of, take, placed, time_limit, span })?;
-        let command = Command {
-            band,
+        let id = self.floor.take(Admitted { client, piece_of, take, placed, client_timeout, span })?;
+        let request = Request {
+            class,
             plan,
             volume: 0,
             key: None,
             units: f64::from(take.units),
             shard,
             hosts,
-            time_limit,
+            client_timeout,
             counts: f64::from(piece_of.is_none_or(|(_, piece)| piece == 0)),
             with: None,
         };
         // A key is a piece of its volume; the module knows keys by one number.
         let key = xxh3_64(&[take.volume.to_le_bytes(), take.key.to_le_bytes()].concat()).max(1);
         let key = if take.key == 0 { 0 } else { key };
-        let line = Some(key).filter(|_| self.sheet.start.bands[band].in_order);
-        let taken = Taken { id, key, volume: take.volume, command };
-        // Past its soft limit nobody would send it, so that nothing is lost by ending it then; its answer must be
+        let line = Some(key).filter(|_| self.config.start.classes[class].ordered);
+        let taken = IncomingRequest { id, key, volume: take.volume, request };
+        // Past its latency objective nobody would send it, so that nothing is lost by ending it then; its answer must be
         // there before its client's time is up.
-        let longest = time_limit - 2.0 * self.sheet.start.round;
-        let until = self.floor.now + self.sheet.start.bands[band].soft_limit.min(longest);
+        let longest = client_timeout - 2.0 * self.config.start.round;
+        let until = self.floor.now + self.config.start.classes[class].latency_objective.min(longest);
         if let Some(taken) = self.floor.enter(taken, line, until) {
-            self.desk.take(self.floor.now, taken, &mut self.floor);
+            self.engine.submit(self.floor.now, taken, &mut self.floor);
             self.floor.release(id);
         }
         Some(id)
     }
 
     /// A write that still waits for an earlier one is the module's to end: no time is left to send it.
-    fn gate_late(&mut self, command: u64) {
-        if self.floor.gate.waits(command) {
-            self.floor.gate.pass(command);
-            if let Some(mut taken) = self.floor.ungate(command) {
-                taken.command.time_limit = 0.0;
-                self.desk.take(self.floor.now, taken, &mut self.floor);
+    fn gate_late(&mut self, request_id: u64) {
+        if self.floor.gate.waits(request_id) {
+            self.floor.gate.pass(request_id);
+            if let Some(mut taken) = self.floor.ungate(request_id) {
+                taken.request.client_timeout = 0.0;
+                self.engine.submit(self.floor.now, taken, &mut self.floor);
             }
         }
     }
@@ -712,20 +712,20 @@
         key: usize,
         take: &Take,
         pieces: Vec<(u64, u64)>,
-        time_limit: Ms,
+        client_timeout: Ms,
         span: tracing::Span,
     ) {
         let blocks = pieces.iter().map(|p| p.1 - p.0).sum::<u64>().max(1);
         let whole = Whole {
-            client: (key, take.command),
-            gather: Gather::new(pieces.len(), self.sheet.split.at_once, MOST_PAYLOAD),
+            client: (key, take.request_id),
+            gather: SplitRead::new(pieces.len(), self.config.split.at_once, MOST_PAYLOAD),
             ids: vec![None; pieces.len()],
             pieces,
-            band: take.band,
+            class: take.class,
             volume: take.volume,
             mark: take.mark,
             units: take.units / blocks as f32,
-            ends: self.floor.now + time_limit,
+            ends: self.floor.now + client_timeout,
             span,
         };
         if let Some(id) = self.floor.keep_whole(whole) {
@@ -741,8 +741,8 @@
             let Some(piece) = whole.gather.begin() else { return };
             let (start, end) = whole.pieces[piece];
             let take = Take {
-                command: 0,
-                band: whole.band,
+                request_id: 0,
+                class: whole.class,
                 write: false,
                 volume: whole.volume,
                 key: start,
@@ -752,10 +752,10 @@
                 blocks: (end - start) as u32,
                 payload: &[],
             };
-            let (time_limit, span) = (whole.ends - now, whole.span.clone());
-            let command = self.admit(None, Some((id, piece)), &take, time_limit, span);
+            let (client_timeout, span) = (whole.ends - now, whole.span.clone());
+            let request_id = self.admit(None, Some((id, piece)), &take, client_timeout, span);
             if let Some(whole) = self.floor.wholes.get_mut(&id) {
-                whole.ids[piece] = command;
+                whole.ids[piece] = request_id;
             }
         }
     }
@@ -763,16 +763,16 @@
     fn piece_ended(&mut self, ended: PieceEnded) {
         let PieceEnded { whole: id, piece, verdict, back, payload } = ended;
         let Some(whole) = self.floor.wholes.get_mut(&id) else { return };
-        if verdict != Verdict::Settled {
+        if verdict != FinalCode::Succeeded {
             self.end_pieces(id);
             return self.floor.end_whole(id, verdict, back, &payload);
         }
         match whole.gather.brought(piece, payload) {
             Progress::Pending => self.begin_pieces(id),
-            Progress::Whole(all) => self.floor.end_whole(id, Verdict::Settled, 0.0, &all),
+            Progress::Whole(all) => self.floor.end_whole(id, FinalCode::Succeeded, 0.0, &all),
             Progress::TooLarge => {
                 self.end_pieces(id);
-                self.floor.end_whole(id, Verdict::Bounced, 0.0, b"too-large");
+                self.floor.end_whole(id, FinalCode::Rejected, 0.0, b"too-large");
             }
         }
     }
@@ -781,10 +781,10 @@
     fn end_pieces(&mut self, id: u64) {
         let Some(whole) = self.floor.wholes.get_mut(&id) else { return };
         let out: Vec<u64> = whole.gather.end().into_iter().filter_map(|piece| whole.ids[piece]).collect();
-        for command in out {
-            self.floor.forsake(command, "piece-not-wanted");
-            self.desk.abandoned(self.floor.now, command);
-            self.floor.release(command);
+        for request_id in out {
+            self.floor.forsake(request_id, "piece-not-wanted");
+            self.engine.on_client_disconnect(self.floor.now, request_id);
+            self.floor.release(request_id);
         }
     }
 
@@ -799,12 +799,12 @@
             // Whoever the kernel has accepted already is this host's own.
             self.accept();
             self.listener = None;
-            tracing::info!(in_hand = self.desk.in_hand(), "told to stop; nothing new is taken");
+            tracing::info!(in_hand = self.engine.pending(), "told to stop; nothing new is taken");
         }
     }
 }
 
-/// Says that a client's next command must wait, as enough is in hand.
+/// Says that a client's next request must wait, as enough is in hand.
 const FULL: &str = "full";
 
 /// Hands each whole frame on until `each` names a fault; the bytes used up, and the fault. A frame that `each`
--- a/crates/gateway/src/others.rs
+++ b/crates/gateway/src/others.rs
@@ -2,7 +2,7 @@
 //! whatever cannot be read, is passed over; to the module it is a message that got lost.
 
 use crate::floor::{key_of, Place};
-use magpiewick::Told;
+use magpiewick::GossipReport;
 use magpiewick_transport::{Poll, Registered};
 use std::collections::BTreeMap;
 use std::io;
@@ -29,7 +29,7 @@
     }
 
     /// Sends what is to be told; what the socket does not take is lost.
-    pub fn tell(&self, to: &[usize], told: &[(u16, Told)]) {
+    pub fn tell(&self, to: &[usize], told: &[(u16, GossipReport)]) {
         for message in magpiewick_gossip::written(told) {
             for address in to.iter().filter_map(|number| self.hosts.get(number)) {
                 if let Err(error) = self.socket.send_to(&message, address) {
@@ -40,7 +40,7 @@
     }
 
     /// The next message that can be read, of those that came; `turn` counts datagrams.
-    pub fn next(&mut self, turn: &mut usize) -> Option<(usize, Vec<(u16, Told)>)> {
+    pub fn next(&mut self, turn: &mut usize) -> Option<(usize, Vec<(u16, GossipReport)>)> {
         // One byte more than a message may have, so that a longer one shows.
         let mut bytes = [0; magpiewick_gossip::MOST + 1];
         while *turn < A_TURN {
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -3,7 +3,7 @@
 use magpiewick_extents::{Change, Changes, Fault, Follower, Line};
 use magpiewick_node_protocol::{MapLine, MapNews, Mapped};
 
-/// Stands for a shard that no node holds: commands whose data is on its way wait there, outside all lines.
+/// Stands for a shard that no node holds: requests whose data is on its way wait there, outside all lines.
 pub const NOWHERE: usize = usize::MAX;
 
 /// Takes news; true where places may have changed by it.
