--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,9 +1,9 @@
 //! A host on sockets whose other ends are held by the test: what it does when they misbehave.
 
-use magpiewick_gateway::sheet::{host, HostSheet};
+use magpiewick_gateway::config::{host, HostConfig};
 use magpiewick_gateway::{Gateway, HostEnd};
-use magpiewick_node_protocol::*;
 use magpiewick_hcl_settings::read_text;
+use magpiewick_node_protocol::*;
 use std::io::{Read as _, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::os::unix::net::UnixStream;
@@ -81,27 +81,27 @@
         }
     }
 
-    fn answer(&mut self) -> Option<(u64, Verdict, String)> {
+    fn answer(&mut self) -> Option<(u64, FinalCode, String)> {
         self.hear(|m| match m {
             Message::Final(f) => {
                 let why = f.payload.get(..f.payload.len().min(40)).unwrap_or_default();
-                Some((f.command, f.verdict, String::from_utf8_lossy(why).into_owned()))
+                Some((f.request_id, f.verdict, String::from_utf8_lossy(why).into_owned()))
             }
             _ => None,
         })
     }
 
-    fn hand_off(&mut self) -> Option<(u64, u16)> {
+    fn attempt(&mut self) -> Option<(u64, u16)> {
         self.hear(|m| match m {
-            Message::HandOff(h) => Some((h.command, h.hand_off)),
+            Message::Attempt(h) => Some((h.request_id, h.attempt)),
             _ => None,
         })
     }
 
-    fn take(&mut self, command: u64, band: u16, payload: &[u8]) {
-        let (volume, key, mark, units, limit_us, blocks) = (1, 7 + command, command, 1.0, 4_000_000, 1);
+    fn take(&mut self, request_id: u64, class: u16, payload: &[u8]) {
+        let (volume, key, mark, units, limit_us, blocks) = (1, 7 + request_id, request_id, 1.0, 4_000_000, 1);
         let write = !payload.is_empty();
-        let take = Take { command, band, write, volume, key, mark, units, limit_us, blocks, payload };
+        let take = Take { request_id, class, write, volume, key, mark, units, limit_us, blocks, payload };
         self.say(&Message::Take(take));
     }
 
@@ -109,14 +109,25 @@
         self.say(&Message::Hello(Hello::of(Role::Node, 3, life, age_us)));
     }
 
-    fn settle(&mut self, (command, hand_off): (u64, u16), payload: &[u8]) {
-        self.say(&outcome(command, hand_off, Code::Settled, payload));
+    fn settle(&mut self, (request_id, attempt): (u64, u16), payload: &[u8]) {
+        self.say(&outcome(request_id, attempt, OutcomeCode::Succeeded, payload));
     }
 }
 
-fn outcome(command: u64, hand_off: u16, code: Code, payload: &[u8]) -> Message<'_> {
+fn outcome(request_id: u64, attempt: u16, code: OutcomeCode, payload: &[u8]) -> Message<'_> {
     let (used, others, queue, busy, owner, version) = (None, 0.0, 0, 0.0, None, 0);
-    Message::Outcome(Outcome { command, hand_off, code, used, others, queue, busy, owner, version, payload })
+    Message::Outcome(Outcome {
+        request_id,
+        attempt,
+        code,
+        used,
+        others,
+        queue,
+        busy,
+        owner,
+        version,
+        payload,
+    })
 }
 
 struct Rig {
@@ -136,13 +147,13 @@
     }
 
     /// A host that the list has told nothing yet, with other settings.
-    fn unheard(node: TcpListener, change: impl FnOnce(&mut HostSheet)) -> Rig {
+    fn unheard(node: TcpListener, change: impl FnOnce(&mut HostConfig)) -> Rig {
         let list = TcpListener::bind("127.0.0.1:0").unwrap();
-        let mut sheet: HostSheet = read_text("test", SETTINGS, |r| host(r, 1)).unwrap().unwrap();
-        change(&mut sheet);
-        (sheet.list.address, sheet.list.map) = (list.local_addr().unwrap(), true);
+        let mut config: HostConfig = read_text("test", SETTINGS, |r| host(r, 1)).unwrap().unwrap();
+        change(&mut config);
+        (config.list.address, config.list.map) = (list.local_addr().unwrap(), true);
         let (stop, other) = UnixStream::pair().unwrap();
-        let gateway = Gateway::bind(sheet, other, 99).unwrap();
+        let gateway = Gateway::bind(config, other, 99).unwrap();
         let address = gateway.address();
         let host = std::thread::spawn(move || gateway.run().unwrap());
         let mut list = End::new(list.accept().unwrap().0);
@@ -177,7 +188,7 @@
         node
     }
 
-    /// Ends the host with commands in hand.
+    /// Ends the host with requests in hand.
     fn end_at_once(mut self) {
         self.stop.write_all(&[1, 1]).unwrap();
         self.host.join().unwrap();
@@ -195,16 +206,16 @@
     let mut client = rig.client();
     client.take(1, 0, &[]);
     let mut node = rig.greeted();
-    let out = node.hand_off().unwrap();
+    let out = node.attempt().unwrap();
     node.settle(out, b"first");
     node.settle(out, b"second");
-    node.say(&outcome(out.0, 9, Code::Error, &[]));
-    node.say(&outcome(12345, 0, Code::Settled, &[]));
+    node.say(&outcome(out.0, 9, OutcomeCode::Error, &[]));
+    node.say(&outcome(12345, 0, OutcomeCode::Succeeded, &[]));
     client.take(2, 0, &[]);
-    let next = node.hand_off().unwrap();
+    let next = node.attempt().unwrap();
     node.settle(next, b"third");
-    assert_eq!(client.answer(), Some((1, Verdict::Settled, "first".to_string())));
-    assert_eq!(client.answer(), Some((2, Verdict::Settled, "third".to_string())));
+    assert_eq!(client.answer(), Some((1, FinalCode::Succeeded, "first".to_string())));
+    assert_eq!(client.answer(), Some((2, FinalCode::Succeeded, "third".to_string())));
     assert_eq!(rig.end(), HostEnd::Stopped);
 }
 
@@ -214,12 +225,12 @@
     let mut client = rig.client();
     client.take(1, 1, b"paid");
     let mut node = rig.greeted();
-    let (command, hand_off) = node.hand_off().unwrap();
+    let (request_id, attempt) = node.attempt().unwrap();
     let mut frame = Vec::new();
-    write(&outcome(command, hand_off, Code::Settled, b"done"), &mut frame);
+    write(&outcome(request_id, attempt, OutcomeCode::Succeeded, b"done"), &mut frame);
     node.stream.write_all(&frame[..frame.len() / 2]).unwrap();
     drop(node);
-    assert_eq!(client.answer(), Some((1, Verdict::Scrapped, "reset".to_string())));
+    assert_eq!(client.answer(), Some((1, FinalCode::Failed, "reset".to_string())));
     rig.end();
 }
 
@@ -230,8 +241,8 @@
     rig.node = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = rig.client();
     client.take(1, 1, b"paid");
-    let (command, verdict, _) = client.answer().unwrap();
-    assert_eq!((command, verdict), (1, Verdict::Bounced));
+    let (request_id, verdict, _) = client.answer().unwrap();
+    assert_eq!((request_id, verdict), (1, FinalCode::Rejected));
     rig.end();
 }
 
@@ -243,13 +254,13 @@
     for _ in 0..2 {
         let mut node = rig.accept();
         node.greet(2, 60_000_000);
-        assert_eq!(node.hand_off(), None, "a hand-off reached an old process");
+        assert_eq!(node.attempt(), None, "a hand-off reached an old process");
     }
     let mut node = rig.accept();
     node.greet(1, 1_100_000);
-    let out = node.hand_off().unwrap();
+    let out = node.attempt().unwrap();
     node.settle(out, &[]);
-    assert_eq!(client.answer().map(|a| a.1), Some(Verdict::Settled));
+    assert_eq!(client.answer().map(|a| a.1), Some(FinalCode::Succeeded));
     rig.end();
 }
 
@@ -260,8 +271,8 @@
     client.take(1, 1, b"paid");
     let mut node = rig.accept();
     node.greet(2, 5_000);
-    let (_, hand_off) = node.hand_off().unwrap();
-    assert_eq!(hand_off, 1, "the hand-off that was meant for the old process was counted as ended");
+    let (_, attempt) = node.attempt().unwrap();
+    assert_eq!(attempt, 1, "the hand-off that was meant for the old process was counted as ended");
     rig.end();
 }
 
@@ -273,16 +284,16 @@
     let (payload, count) = (vec![5; 1 << 20], 40);
     client.take(100, 0, &[]);
     let mut node = rig.greeted();
-    let first = node.hand_off().unwrap();
+    let first = node.attempt().unwrap();
     let writer = std::thread::spawn(move || {
-        (1..=count).for_each(|command| client.take(command, 1, &payload));
+        (1..=count).for_each(|request_id| client.take(request_id, 1, &payload));
         client
     });
     node.settle(first, &[]);
     // Reads now and then, so that the window opens, and never all.
     let mut whole = Vec::new();
     for _ in 0..6 {
-        let out = node.hand_off().unwrap();
+        let out = node.attempt().unwrap();
         whole.push(out.0);
         node.settle(out, &[]);
     }
@@ -292,7 +303,7 @@
     std::thread::sleep(Duration::from_millis(300));
     // What is read from here on had left before the notice, or the connection broke in the middle of it.
     node.stream.set_read_timeout(Some(Duration::from_millis(1500))).unwrap();
-    let late = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| while node.hand_off().is_some() {}));
+    let late = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| while node.attempt().is_some() {}));
     drop(late);
     let mut ended = [0; 3];
     for _ in 0..=count {
@@ -300,7 +311,10 @@
         ended[verdict as usize] += 1;
     }
     assert_eq!(ended.iter().sum::<u64>(), count + 1);
-    assert!(ended[Verdict::Settled as usize] >= 7 && ended[Verdict::Bounced as usize] > 0, "{ended:?}");
+    assert!(
+        ended[FinalCode::Succeeded as usize] >= 7 && ended[FinalCode::Rejected as usize] > 0,
+        "{ended:?}"
+    );
     rig.end();
 }
 
@@ -313,9 +327,9 @@
     let mut client = rig.client();
     client.take(1, 0, &[]);
     let mut node = rig.greeted();
-    let out = node.hand_off().unwrap();
+    let out = node.attempt().unwrap();
     node.settle(out, &[]);
-    assert_eq!(client.answer().map(|a| a.1), Some(Verdict::Settled));
+    assert_eq!(client.answer().map(|a| a.1), Some(FinalCode::Succeeded));
     assert_eq!(half.answer(), None, "the half frame's client was kept");
     drop(idle);
     rig.end();
@@ -327,14 +341,14 @@
     let mut client = rig.client();
     client.take(1, 1, b"paid");
     let mut node = rig.greeted();
-    let out = node.hand_off().unwrap();
+    let out = node.attempt().unwrap();
     drop(client);
     let mut other = rig.client();
     other.take(1, 0, &[]);
-    let second = node.hand_off().unwrap();
+    let second = node.attempt().unwrap();
     node.settle(out, &[]);
     node.settle(second, b"other");
-    assert_eq!(other.answer(), Some((1, Verdict::Settled, "other".to_string())));
+    assert_eq!(other.answer(), Some((1, FinalCode::Succeeded, "other".to_string())));
     assert_eq!(rig.end(), HostEnd::Stopped);
 }
 
@@ -345,15 +359,15 @@
     deaf.take(1, 0, &[]);
     let mut node = rig.greeted();
     let big = vec![1; 1 << 20];
-    let out = node.hand_off().unwrap();
+    let out = node.attempt().unwrap();
     node.settle(out, &big);
     // Its answers fill what the kernel takes and then what the host keeps for it.
-    for command in 2..60 {
-        deaf.take(command, 0, &[]);
+    for request_id in 2..60 {
+        deaf.take(request_id, 0, &[]);
     }
     let mut served = 1;
     node.stream.set_read_timeout(Some(Duration::from_millis(700))).unwrap();
-    while let Ok(Some(out)) = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| node.hand_off())) {
+    while let Ok(Some(out)) = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| node.attempt())) {
         node.settle(out, &big);
         served += 1;
     }
@@ -361,9 +375,9 @@
     node.stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let mut client = rig.client();
     client.take(1, 0, &[]);
-    let out = node.hand_off().unwrap();
+    let out = node.attempt().unwrap();
     node.settle(out, b"here");
-    assert_eq!(client.answer(), Some((1, Verdict::Settled, "here".to_string())));
+    assert_eq!(client.answer(), Some((1, FinalCode::Succeeded, "here".to_string())));
     rig.end();
 }
 
@@ -373,13 +387,13 @@
     let mut client = rig.client();
     client.take(1, 0, &[]);
     let mut node = rig.greeted();
-    let out = node.hand_off().unwrap();
+    let out = node.attempt().unwrap();
     rig.stop.write_all(&[1]).unwrap();
     std::thread::sleep(Duration::from_millis(100));
     client.take(2, 0, &[]);
-    assert_eq!(client.answer(), Some((2, Verdict::Bounced, "stopping".to_string())));
+    assert_eq!(client.answer(), Some((2, FinalCode::Rejected, "stopping".to_string())));
     node.settle(out, b"last");
-    assert_eq!(client.answer(), Some((1, Verdict::Settled, "last".to_string())));
+    assert_eq!(client.answer(), Some((1, FinalCode::Succeeded, "last".to_string())));
     assert_eq!(rig.host.join().unwrap(), HostEnd::Stopped);
 }
 
@@ -392,16 +406,16 @@
     client.take(1, 1, b"paid");
     let mut node = rig.greeted();
     let sent = |m: &Message| match m {
-        Message::HandOff(h) => Some((h.command, h.hand_off, h.version)),
+        Message::Attempt(h) => Some((h.request_id, h.attempt, h.version)),
         _ => None,
     };
-    let (command, _, version) = node.hear(sent).unwrap();
+    let (request_id, _, version) = node.hear(sent).unwrap();
     assert_eq!(version, 1);
-    node.say(&outcome(command, 0, Code::Moved, &[]));
+    node.say(&outcome(request_id, 0, OutcomeCode::ShardMoved, &[]));
     rig.tell_map(false, 2, Mapped::Switch, 0, 2);
-    assert_eq!(node.hear(sent), Some((command, 1, 2)));
-    node.settle((command, 1), &[]);
-    assert_eq!(client.answer().map(|a| a.1), Some(Verdict::Settled));
+    assert_eq!(node.hear(sent), Some((request_id, 1, 2)));
+    node.settle((request_id, 1), &[]);
+    assert_eq!(client.answer().map(|a| a.1), Some(FinalCode::Succeeded));
     rig.end();
 }
 
@@ -413,27 +427,28 @@
 }
 
 /// Settings of a host that tells the other.
-fn tells(sheet: &mut HostSheet, own: SocketAddr, other: &UdpSocket) {
-    sheet.start.hosts = 2.0;
-    sheet.peers = [(0, own), (1, other.local_addr().unwrap())].into();
+fn tells(config: &mut HostConfig, own: SocketAddr, other: &UdpSocket) {
+    config.start.hosts = 2.0;
+    config.peers = [(0, own), (1, other.local_addr().unwrap())].into();
 }
 
 #[test]
 fn a_host_hears_what_others_have_out_and_passes_over_what_it_cannot_read() {
     let (own, other) = two_hosts();
-    let mut rig = Rig::unheard(TcpListener::bind("127.0.0.1:0").unwrap(), |sheet| tells(sheet, own, &other));
+    let mut rig =
+        Rig::unheard(TcpListener::bind("127.0.0.1:0").unwrap(), |config| tells(config, own, &other));
     rig.tell(true, 1, State::Ready, 1, LONG_AGO);
     let mut client = rig.client();
     client.take(1, 0, &[]);
     let mut node = rig.greeted();
-    let first = node.hand_off().unwrap();
+    let first = node.attempt().unwrap();
     let mut bytes = [0; 300];
     let word = loop {
         let length = other.recv(&mut bytes).unwrap();
         let told = magpiewick_gossip::read(&bytes[..length]).unwrap();
         if let Some((tag, said)) = told.first() {
             assert_eq!((told.len(), said.out), (1, 1));
-            break (*tag, magpiewick::Told { out: 7, waits: true, ..*said });
+            break (*tag, magpiewick::GossipReport { out: 7, waits: true, ..*said });
         }
     };
     // Of no length, of an odd one, too long, from a build to come; and what would count, from nobody it knows.
@@ -443,17 +458,17 @@
     }
     UdpSocket::bind("127.0.0.1:0").unwrap().send_to(&crowd, own).unwrap();
     client.take(2, 0, &[]);
-    let second = node.hand_off().unwrap();
+    let second = node.attempt().unwrap();
     // Seven places that another host has taken are more than the window: the next waits until that is old.
     other.send_to(&crowd, own).unwrap();
     let began = std::time::Instant::now();
     std::thread::sleep(Duration::from_millis(20));
     client.take(3, 0, &[]);
-    let third = node.hand_off().unwrap();
+    let third = node.attempt().unwrap();
     assert!(began.elapsed() >= Duration::from_millis(200), "{:?}", began.elapsed());
     for out in [first, second, third] {
         node.settle(out, b"done");
-        assert_eq!(client.answer().map(|a| a.1), Some(Verdict::Settled));
+        assert_eq!(client.answer().map(|a| a.1), Some(FinalCode::Succeeded));
     }
     rig.end();
 }
@@ -462,28 +477,28 @@
 fn a_host_that_takes_over_serves_from_the_kept_list_though_old_builds_still_talk() {
     let (own, other) = two_hosts();
     let kept = std::env::temp_dir().join(format!("magpiewick-kept-{}", std::process::id()));
-    let remember = |sheet: &mut HostSheet| sheet.list.remember = Some(kept.clone());
+    let remember = |config: &mut HostConfig| config.list.remember = Some(kept.clone());
     let mut before = Rig::unheard(TcpListener::bind("127.0.0.1:0").unwrap(), remember);
     before.tell(true, 1, State::Ready, 1, LONG_AGO);
     let mut client = before.client();
     client.take(1, 0, &[]);
     let mut node = before.greeted();
-    let out = node.hand_off().unwrap();
+    let out = node.attempt().unwrap();
     node.settle(out, &[]);
     client.answer();
     let listener = before.node.try_clone().unwrap();
     assert_eq!(before.end(), HostEnd::Stopped);
-    let after = Rig::unheard(listener, |sheet| {
-        remember(sheet);
-        tells(sheet, own, &other);
+    let after = Rig::unheard(listener, |config| {
+        remember(config);
+        tells(config, own, &other);
     });
     other.send_to(&[0, 1, 2, 3], own).unwrap();
     let mut client = after.client();
     client.take(1, 0, &[]);
     let mut node = after.greeted();
-    let out = node.hand_off().unwrap();
+    let out = node.attempt().unwrap();
     node.settle(out, b"at once");
-    assert_eq!(client.answer(), Some((1, Verdict::Settled, "at once".to_string())));
+    assert_eq!(client.answer(), Some((1, FinalCode::Succeeded, "at once".to_string())));
     after.end();
     std::fs::remove_file(kept).unwrap();
 }
@@ -491,43 +506,43 @@
 impl End {
     fn batch(&mut self) -> Option<Vec<(u64, u16)>> {
         self.hear(|m| match m {
-            Message::Batch(parts) => Some(parts.iter().map(|h| (h.command, h.hand_off)).collect()),
+            Message::Batch(parts) => Some(parts.iter().map(|h| (h.request_id, h.attempt)).collect()),
             _ => None,
         })
     }
 
     /// Asks for a range of blocks, to read or to write.
-    fn range(&mut self, command: u64, band: u16, key: u64, blocks: u32, payload: &[u8]) {
-        let (volume, mark, units, limit_us, write) = (1, command, 1.0, 4_000_000, !payload.is_empty());
-        let take = Take { command, band, write, volume, key, mark, units, limit_us, blocks, payload };
+    fn range(&mut self, request_id: u64, class: u16, key: u64, blocks: u32, payload: &[u8]) {
+        let (volume, mark, units, limit_us, write) = (1, request_id, 1.0, 4_000_000, !payload.is_empty());
+        let take = Take { request_id, class, write, volume, key, mark, units, limit_us, blocks, payload };
         self.say(&Message::Take(take));
     }
 
     fn piece(&mut self) -> Option<(u64, u16, u64, u32)> {
         self.hear(|m| match m {
-            Message::HandOff(h) => Some((h.command, h.hand_off, h.key, h.blocks)),
+            Message::Attempt(h) => Some((h.request_id, h.attempt, h.key, h.blocks)),
             _ => None,
         })
     }
 }
 
-/// A command's id and hand-off.
+/// A request's id and attempt.
 type Out = (u64, u16);
 
-/// A host whose node has its window full of writes of a band, so that the four after them leave together once the
-/// first is settled.
-fn four_together(rig: &Rig, band: u16) -> (End, End, Vec<Out>, Vec<Out>) {
+/// A host whose node has its window full of writes of a class, so that the four after them leave together once the
+/// first is succeeded.
+fn four_together(rig: &Rig, class: u16) -> (End, End, Vec<Out>, Vec<Out>) {
     let mut client = rig.client();
-    (1..=4).for_each(|n| client.take(n, band, b"bytes"));
+    (1..=4).for_each(|n| client.take(n, class, b"bytes"));
     let mut node = rig.greeted();
-    let out: Vec<_> = (0..4).map(|_| node.hand_off().unwrap()).collect();
-    (5..=8).for_each(|n| client.take(n, band, b"bytes"));
+    let out: Vec<_> = (0..4).map(|_| node.attempt().unwrap()).collect();
+    (5..=8).for_each(|n| client.take(n, class, b"bytes"));
     // A read behind them shows that they were taken: it cannot leave either, as its place comes after theirs.
     client.take(9, 0, &[]);
     client.range(10, 0, 0, 7, &[]);
-    assert_eq!(client.answer(), Some((10, Verdict::Bounced, "impossible-range".to_string())));
+    assert_eq!(client.answer(), Some((10, FinalCode::Rejected, "impossible-range".to_string())));
     node.settle(out[0], b"");
-    assert_eq!(client.answer(), Some((1, Verdict::Settled, String::new())));
+    assert_eq!(client.answer(), Some((1, FinalCode::Succeeded, String::new())));
     let batch = node.batch().unwrap();
     assert_eq!(batch.len(), 4);
     (client, node, out, batch)
@@ -538,19 +553,19 @@
     let rig = Rig::start(LONG_AGO);
     let (mut client, mut node, out, batch) = four_together(&rig, 1);
     node.settle(batch[0], b"");
-    node.say(&outcome(batch[1].0, batch[1].1, Code::Error, &[]));
-    node.say(&outcome(batch[2].0, batch[2].1, Code::Full, &[]));
+    node.say(&outcome(batch[1].0, batch[1].1, OutcomeCode::Error, &[]));
+    node.say(&outcome(batch[2].0, batch[2].1, OutcomeCode::Overloaded, &[]));
     // The fourth gets no answer, and a second answer to the first changes nothing.
-    node.say(&outcome(batch[0].0, batch[0].1, Code::Error, &[]));
-    assert_eq!(client.answer(), Some((5, Verdict::Settled, String::new())));
-    assert_eq!(client.answer(), Some((6, Verdict::Scrapped, "error".to_string())));
+    node.say(&outcome(batch[0].0, batch[0].1, OutcomeCode::Error, &[]));
+    assert_eq!(client.answer(), Some((5, FinalCode::Succeeded, String::new())));
+    assert_eq!(client.answer(), Some((6, FinalCode::Failed, "error".to_string())));
     // What was turned away has not run, and is sent again once there is a place for it, as is the read behind it.
     out[1..].iter().for_each(|out| node.settle(*out, b""));
-    let again = [node.hand_off().unwrap(), node.hand_off().unwrap()];
+    let again = [node.attempt().unwrap(), node.attempt().unwrap()];
     assert!(again.contains(&(batch[2].0, 1)), "{again:?} holds what was turned away");
     drop(node);
     let rest: Vec<_> = (0..5).map(|_| client.answer().unwrap()).collect();
-    let scrapped = |n: u64| (n, Verdict::Scrapped);
+    let scrapped = |n: u64| (n, FinalCode::Failed);
     let found: Vec<_> = rest.iter().map(|(n, verdict, _)| (*n, *verdict)).filter(|f| f.0 != 9).collect();
     assert!(
         found.contains(&scrapped(8)),
@@ -563,9 +578,9 @@
 fn a_client_that_gives_up_takes_only_its_own_part_out_of_a_batch() {
     let rig = Rig::start(LONG_AGO);
     let (mut client, mut node, _out, batch) = four_together(&rig, 0);
-    client.say(&Message::GiveUp { command: 6 });
+    client.say(&Message::GiveUp { request_id: 6 });
     let cancelled = node.hear(|m| match m {
-        Message::Cancel { command, hand_off } => Some((*command, *hand_off)),
+        Message::Cancel { request_id, attempt } => Some((*request_id, *attempt)),
         _ => None,
     });
     assert_eq!(cancelled, Some(batch[1]));
@@ -601,7 +616,7 @@
     let mut node = rig.greeted();
     node.piece().unwrap();
     drop(node);
-    assert_eq!(client.answer(), Some((1, Verdict::Scrapped, "reset".to_string())));
+    assert_eq!(client.answer(), Some((1, FinalCode::Failed, "reset".to_string())));
     client.range(3, 0, 20, 1, b"eeee");
     let mut node = rig.greeted();
     let order = [node.piece().unwrap().2, node.piece().unwrap().2];
@@ -618,24 +633,24 @@
     let mut client = rig.client();
     // Half of a write cannot be taken back.
     client.range(99, 1, 18, 4, b"aaaabbbbccccdddd");
-    assert_eq!(client.answer(), Some((99, Verdict::Bounced, "crosses-extents".to_string())));
+    assert_eq!(client.answer(), Some((99, FinalCode::Rejected, "crosses-extents".to_string())));
     client.range(1, 0, 18, 4, &[]);
     let mut node = rig.greeted();
     let pieces = [node.piece().unwrap(), node.piece().unwrap()];
     assert_eq!(pieces.map(|p| (p.2, p.3)), [(18, 2), (20, 2)]);
     // The later piece comes first, and the first one fails once: it is fetched again.
     node.settle((pieces[1].0, pieces[1].1), b"CD");
-    node.say(&outcome(pieces[0].0, pieces[0].1, Code::Error, &[]));
+    node.say(&outcome(pieces[0].0, pieces[0].1, OutcomeCode::Error, &[]));
     let again = node.piece().unwrap();
     assert_eq!((again.0, again.1), (pieces[0].0, 1));
     node.settle((again.0, again.1), b"AB");
-    assert_eq!(client.answer(), Some((1, Verdict::Settled, "ABCD".to_string())));
+    assert_eq!(client.answer(), Some((1, FinalCode::Succeeded, "ABCD".to_string())));
     // Who gives up a read gives up its pieces.
     client.range(2, 0, 18, 4, &[]);
     let pieces = [node.piece().unwrap(), node.piece().unwrap()];
-    client.say(&Message::GiveUp { command: 2 });
+    client.say(&Message::GiveUp { request_id: 2 });
     let cancel = |m: &Message| match m {
-        Message::Cancel { command, .. } => Some(*command),
+        Message::Cancel { request_id, .. } => Some(*request_id),
         _ => None,
     };
     let mut cancelled = [node.hear(cancel).unwrap(), node.hear(cancel).unwrap()];
@@ -647,11 +662,11 @@
 #[test]
 fn a_list_service_that_answers_nothing_is_connected_to_anew() {
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut sheet: HostSheet = read_text("test", SETTINGS, |r| host(r, 1)).unwrap().unwrap();
-    (sheet.list.address, sheet.list.asked) = (list.local_addr().unwrap(), true);
-    sheet.start.ask_within = Some(1000.0);
+    let mut config: HostConfig = read_text("test", SETTINGS, |r| host(r, 1)).unwrap().unwrap();
+    (config.list.address, config.list.asked) = (list.local_addr().unwrap(), true);
+    config.start.max_poll_interval = Some(1000.0);
     let (mut stop, other) = UnixStream::pair().unwrap();
-    let gateway = Gateway::bind(sheet, other, 99).unwrap();
+    let gateway = Gateway::bind(config, other, 99).unwrap();
     let host = std::thread::spawn(move || gateway.run().unwrap());
     let watch = |m: &Message| matches!(m, Message::Watch { .. }).then_some(());
     // It is asked, and its connection stands silent: the next question comes over another one.
@@ -667,35 +682,46 @@
 #[test]
 fn what_is_held_back_when_the_host_is_told_to_stop_is_answered() {
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut rig = Rig::unheard(node, |sheet| sheet.bounds.most_in_hand = 2);
+    let mut rig = Rig::unheard(node, |config| config.bounds.most_in_hand = 2);
     rig.tell(true, 1, State::Ready, 1, LONG_AGO);
     let mut client = rig.client();
-    (1..=6).for_each(|command| client.take(command, 1, b"block"));
+    (1..=6).for_each(|request_id| client.take(request_id, 1, b"block"));
     let mut node = rig.greeted();
-    let out = [node.hand_off().unwrap(), node.hand_off().unwrap()];
+    let out = [node.attempt().unwrap(), node.attempt().unwrap()];
     rig.stop.write_all(&[1]).unwrap();
     std::thread::sleep(Duration::from_millis(100));
-    out.into_iter().for_each(|hand_off| node.settle(hand_off, b"done"));
-    let mut answers: Vec<(u64, Verdict)> =
+    out.into_iter().for_each(|attempt| node.settle(attempt, b"done"));
+    let mut answers: Vec<(u64, FinalCode)> =
         (0..6).map_while(|_| client.answer()).map(|a| (a.0, a.1)).collect();
     answers.sort_unstable_by_key(|answer| answer.0);
     let numbers: Vec<u64> = answers.iter().map(|answer| answer.0).collect();
     assert_eq!(numbers, [1, 2, 3, 4, 5, 6]);
-    assert!(answers[2..].iter().all(|answer| answer.1 == Verdict::Bounced), "{answers:?}");
+    assert!(answers[2..].iter().all(|answer| answer.1 == FinalCode::Rejected), "{answers:?}");
     drop(client);
     assert_eq!(rig.host.join().unwrap(), HostEnd::Stopped);
 }
 
-/// Sends commands on and on until the host ends the connection: what ended it, as the client sees it, and the highest
-/// of its commands that was answered and how many were.
+/// Sends requests on and on until the host ends the connection: what ended it, as the client sees it, and the highest
+/// of its requests that was answered and how many were.
 fn sends_until_the_end(mut client: End) -> (std::io::Result<usize>, u64, u64) {
     let mut sends = client.stream.try_clone().unwrap();
     let sending = std::thread::spawn(move || {
-        for command in 1.. {
-            let (volume, key, mark, units, limit_us, blocks) = (1, 7 + command, command, 1.0, 4_000_000, 1);
-            let (band, writes, payload) = (0, false, &[][..]);
-            let take =
-                Take { command, band, write: writes, volume, key, mark, units, limit_us, blocks, payload };
+        for request_id in 1.. {
+            let (volume, key, mark, units, limit_us, blocks) =
+                (1, 7 + request_id, request_id, 1.0, 4_000_000, 1);
+            let (class, writes, payload) = (0, false, &[][..]);
+            let take = Take {
+                request_id,
+                class,
+                write: writes,
+                volume,
+                key,
+                mark,
+                units,
+                limit_us,
+                blocks,
+                payload,
+            };
             let mut bytes = Vec::new();
             write(&Message::Take(take), &mut bytes);
             if sends.write_all(&bytes).is_err() {
@@ -710,7 +736,7 @@
         while let Ok(Read::Whole(message, n)) = read(&client.bytes[used..]) {
             used += n;
             if let Message::Final(answer) = message {
-                (highest, count) = (highest.max(answer.command), count + 1);
+                (highest, count) = (highest.max(answer.request_id), count + 1);
             }
         }
         client.bytes.drain(..used);
@@ -737,8 +763,8 @@
         let mut node = rig.greeted();
         let (mut ends, at) = (node.stream.try_clone().unwrap(), std::time::Instant::now());
         let serving = std::thread::spawn(move || {
-            while let Some(hand_off) = node.hand_off() {
-                node.settle(hand_off, b"done");
+            while let Some(attempt) = node.attempt() {
+                node.settle(attempt, b"done");
             }
         });
         std::thread::sleep(Duration::from_millis(60));
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,11 +1,11 @@
 //! The messages that hosts send each other, each a datagram of its own: what a host has out and saw of nodes.
 //!
-//! A message is the version and entries of four bytes: the tag of a node (see the desk), one byte of hand-offs
-//! out (3 bits), whether commands wait (1) and answers (4), and the mean wait in sixteenths of a doubling over a
+//! A message is the version and entries of four bytes: the tag of a node (see the engine), one byte of attempts
+//! out (3 bits), whether requests wait (1) and answers (4), and the mean wait in sixteenths of a doubling over a
 //! tenth of a millisecond. All of a message counts or none of it, and one of another version is not read: a
 //! host of another build is to this one as a host that says nothing.
 
-use magpiewick::{Ms, Told};
+use magpiewick::{GossipReport, Ms};
 use std::fmt;
 
 /// The most bytes of a message.
@@ -35,7 +35,7 @@
 }
 
 /// The messages that hold what is to be told, as few as can be.
-pub fn written(told: &[(u16, Told)]) -> impl Iterator<Item = Vec<u8>> + '_ {
+pub fn written(told: &[(u16, GossipReport)]) -> impl Iterator<Item = Vec<u8>> + '_ {
     told.chunks((MOST - HEAD) / ENTRY).map(|part| {
         let mut bytes = vec![VERSION];
         for (tag, t) in part {
@@ -50,7 +50,7 @@
 }
 
 /// What a message tells, by the nodes' tags; the nodes' indices are left at 0.
-pub fn read(bytes: &[u8]) -> Result<Vec<(u16, Told)>, Fault> {
+pub fn read(bytes: &[u8]) -> Result<Vec<(u16, GossipReport)>, Fault> {
     match bytes {
         [VERSION, entries @ ..] if entries.len().is_multiple_of(ENTRY) && bytes.len() <= MOST => {
             Ok(entries.chunks_exact(ENTRY).map(entry).collect())
@@ -60,9 +60,14 @@
     }
 }
 
-fn entry(e: &[u8]) -> (u16, Told) {
+fn entry(e: &[u8]) -> (u16, GossipReport) {
     let (counts, wait) = (u32::from(e[2]), FINEST * (f64::from(e[3]) / STEPS).exp2());
-    let told =
-        Told { node: 0, out: counts >> 5, waits: counts >> 4 & 1 > 0, answers: counts & MOST_ANSWERS, wait };
+    let told = GossipReport {
+        node: 0,
+        out: counts >> 5,
+        waits: counts >> 4 & 1 > 0,
+        answers: counts & MOST_ANSWERS,
+        wait,
+    };
     (u16::from_le_bytes([e[0], e[1]]), told)
 }
--- a/crates/gossip/tests/bytes.rs
+++ b/crates/gossip/tests/bytes.rs
@@ -1,16 +1,16 @@
 //! What is written is read again, and bytes from anywhere are refused or read, never worse.
 
-use magpiewick::Told;
+use magpiewick::GossipReport;
 use magpiewick_gossip::{read, written, Fault, MOST};
 use quickcheck::quickcheck;
 
 quickcheck! {
     fn what_is_written_is_read(told: Vec<(u16, u8, u16)>) -> bool {
-        let told: Vec<(u16, Told)> = told
+        let told: Vec<(u16, GossipReport)> = told
             .into_iter()
             .map(|(id, n, ms)| {
                 let (out, waits, answers) = (u32::from(n >> 5), n & 16 > 0, u32::from(n % 16));
-                (id, Told { node: 0, out, waits, answers, wait: f64::from(ms % 6000) })
+                (id, GossipReport { node: 0, out, waits, answers, wait: f64::from(ms % 6000) })
             })
             .collect();
         let mut again = Vec::new();
@@ -21,7 +21,7 @@
             again.extend(read(&message).unwrap());
         }
         let near = |a: f64, b: f64| a.max(0.1) / b < 1.03 && b / a.max(0.1) < 1.03;
-        let same = |(a, b): (&(u16, Told), &(u16, Told))| {
+        let same = |(a, b): (&(u16, GossipReport), &(u16, GossipReport))| {
             a.0 == b.0 && (a.1.out, a.1.waits, a.1.answers) == (b.1.out, b.1.waits, b.1.answers) && near(a.1.wait, b.1.wait)
         };
         again.len() == told.len() && told.iter().zip(&again).all(same)
@@ -38,7 +38,9 @@
 #[test]
 fn another_version_and_a_cut_or_grown_message_are_named() {
     let whole: Vec<u8> =
-        written(&[(7, Told { node: 0, out: 1, waits: true, answers: 3, wait: 40.0 })]).next().unwrap();
+        written(&[(7, GossipReport { node: 0, out: 1, waits: true, answers: 3, wait: 40.0 })])
+            .next()
+            .unwrap();
     assert!(read(&whole).is_ok());
     assert_eq!(read(&whole[..whole.len() - 1]), Err(Fault::Length));
     assert_eq!(read(&[&whole[..], &[0]].concat()), Err(Fault::Length));
--- a/crates/hcl-settings/src/lib.rs
+++ b/crates/hcl-settings/src/lib.rs
@@ -66,7 +66,7 @@
     all: &'t Collected<'t>,
     body: &'t Body,
     label: Option<String>,
-    /// What messages call it, as `band "read"`.
+    /// What messages call it, as `class "read"`.
     name: String,
     at: usize,
     known: RefCell<(Vec<&'static str>, Vec<&'static str>)>,
--- a/crates/hcl-settings/tests/faults.rs
+++ b/crates/hcl-settings/tests/faults.rs
@@ -3,14 +3,14 @@
 use magpiewick_hcl_settings::{read_text, Part};
 use quickcheck::quickcheck;
 
-fn band(part: &Part) -> (f64, f64, u64) {
-    let band = part.labelled("band").into_iter().next();
+fn class(part: &Part) -> (f64, f64, u64) {
+    let class = part.labelled("band").into_iter().next();
     let all = part.must("host").map_or(0, |h| h.field("number").whole(0..=9));
-    band.map_or((0.0, 0.0, all), |b| (b.field("soft_limit").time(), b.field("payoff").number_or(1.0), all))
+    class.map_or((0.0, 0.0, all), |b| (b.field("soft_limit").time(), b.field("payoff").number_or(1.0), all))
 }
 
 fn faults(text: &str) -> Vec<String> {
-    match read_text("f.hcl", text, band) {
+    match read_text("f.hcl", text, class) {
         Ok(_) => Vec::new(),
         Err(faults) => faults.to_string().lines().map(str::to_string).collect(),
     }
@@ -19,7 +19,7 @@
 #[test]
 fn a_good_file_is_read() {
     let text = "host {\n  number = 3\n}\nband \"read\" {\n  soft_limit = \"1.5s\"\n}\n";
-    assert_eq!(read_text("f.hcl", text, band), Ok((1500.0, 1.0, 3)));
+    assert_eq!(read_text("f.hcl", text, class), Ok((1500.0, 1.0, 3)));
 }
 
 #[test]
--- a/crates/instance-settings/src/lib.rs
+++ b/crates/instance-settings/src/lib.rs
@@ -1,7 +1,9 @@
 //! What a start setting is called and means, read once for the bench's wire and for the platform. Keys that are
 //! not known are left alone.
 
-use magpiewick::{Band, Budget, Group, Ms, Plan, Repeats, Start};
+use magpiewick::{
+    DeduplicationScope, Idempotency, Ms, QosPolicy, RequestClass, RetryBudget, SchedulerConfig,
+};
 use std::collections::HashMap;
 use std::str::FromStr;
 
@@ -14,12 +16,12 @@
 
 /// What the door to the platform reads: the names by which clients ask, and what the connections must keep to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Door {
-    pub bands: Vec<DoorBand>,
+pub struct PlatformSettings {
+    pub classes: Vec<ClassSettings>,
     pub plans: Vec<String>,
     pub zones: Vec<String>,
     pub shards: Option<usize>,
-    pub most_units: f64,
+    pub max_units: f64,
     /// A connection that does not stand by then counts as not come up.
     pub dial: Option<Ms>,
     /// Nodes close connections that were idle for so long.
@@ -29,38 +31,38 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct DoorBand {
+pub struct ClassSettings {
     pub name: String,
     /// How long a client waits over all its tries.
-    pub time_limit: Ms,
-    /// Whether its commands write; none where the settings do not say.
+    pub client_timeout: Ms,
+    /// Whether its requests write; none where the settings do not say.
     pub writes: Option<bool>,
 }
 
 /// The settings as pairs of a dotted path and a value, whichever form they came in.
-pub struct Facts(HashMap<String, String>);
+pub struct InstanceSettings(HashMap<String, String>);
 
-impl Facts {
+impl InstanceSettings {
     /// Reads pairs of the form path=value, each on its own line.
-    pub fn pairs(text: &str) -> Result<Facts, Fault> {
+    pub fn pairs(text: &str) -> Result<InstanceSettings, Fault> {
         let mut pairs = HashMap::new();
         for line in text.lines().filter(|line| !line.is_empty()) {
             let (key, value) =
                 line.split_once('=').ok_or_else(|| format!("start setting without '=': {line:?}"))?;
             pairs.insert(key.to_string(), value.to_string());
         }
-        Ok(Facts(pairs))
+        Ok(InstanceSettings(pairs))
     }
 
     /// Reads nested JSON: a list of plain values stands as these joined by commas, a list of objects as its
     /// length under `count` and its items under their numbers, as the pairs have it.
-    pub fn json(settings: &Value) -> Result<Facts, Fault> {
+    pub fn json(settings: &Value) -> Result<InstanceSettings, Fault> {
         let mut pairs = HashMap::new();
         match settings {
             Value::Object(_) => nested(String::new(), settings, &mut pairs),
             _ => return Err("the start settings are not an object".to_string()),
         }
-        Ok(Facts(pairs))
+        Ok(InstanceSettings(pairs))
     }
 
     fn parsed<T: FromStr>(&self, key: &str) -> Result<Option<T>, Fault> {
@@ -112,80 +114,92 @@
         Ok(count)
     }
 
-    fn band(&self, i: usize) -> Result<Band, Fault> {
+    fn class(&self, i: usize) -> Result<RequestClass, Fault> {
         let key = |name: &str| format!("profiles.{i}.{name}");
-        let repeats = [
-            ("idempotent", Repeats::Retriable),
-            ("deduplicated", Repeats::Fingerprinted),
-            ("at_most_once", Repeats::Binding),
+        let idempotency = [
+            ("idempotent", Idempotency::Idempotent),
+            ("deduplicated", Idempotency::IdempotentWithKey),
+            ("at_most_once", Idempotency::NonIdempotent),
         ];
-        let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Shard)];
-        Ok(Band {
-            soft_limit: self.needed(&key("slo_ns"), self.time(&key("slo_ns"))?)?,
-            time_limit: self.needed(&key("hard_limit_ns"), self.time(&key("hard_limit_ns"))?)?,
-            payoff: self.number_or(&key("worth"), 1.0)?,
-            repeats: self.needed(&key("semantics"), self.one_of(&key("semantics"), &repeats)?)?,
-            group: self.one_of(&key("key_scope"), &groups)?.unwrap_or(Group::Shard),
-            memory: self.time(&key("window_ns"))?.unwrap_or(0.0),
-            in_order: self.flag(&key("in_turn"))?,
+        let groups = [
+            ("all", DeduplicationScope::All),
+            ("zone", DeduplicationScope::Zone),
+            ("cell", DeduplicationScope::Shard),
+        ];
+        Ok(RequestClass {
+            latency_objective: self.needed(&key("slo_ns"), self.time(&key("slo_ns"))?)?,
+            client_timeout: self.needed(&key("hard_limit_ns"), self.time(&key("hard_limit_ns"))?)?,
+            priority_weight: self.number_or(&key("worth"), 1.0)?,
+            idempotency: self.needed(&key("semantics"), self.one_of(&key("semantics"), &idempotency)?)?,
+            deduplication_scope: self
+                .one_of(&key("key_scope"), &groups)?
+                .unwrap_or(DeduplicationScope::Shard),
+            deduplication_window: self.time(&key("window_ns"))?.unwrap_or(0.0),
+            ordered: self.flag(&key("in_turn"))?,
         })
     }
 
-    fn plan(&self, i: usize) -> Result<Plan, Fault> {
+    fn plan(&self, i: usize) -> Result<QosPolicy, Fault> {
         let number = |name: &str, absent| self.number_or(&format!("service_levels.{i}.{name}"), absent);
-        Ok(Plan {
+        Ok(QosPolicy {
             price: number("price", 1.0)?,
             weight: number("proportion", 1.0)?,
             rate: number("rate", 0.0)?,
             reserve: number("reservation", 0.0)?,
             limit_rate: number("never_over", 0.0)?,
-            limit_store: number("cap_depth", 0.0)?,
+            limit_burst: number("cap_depth", 0.0)?,
         })
     }
 
-    /// Whether the list of nodes must be asked for; else it is pushed.
+    /// Whether the endpoint list must be asked for; else it is pushed.
     fn asked(&self) -> Result<bool, Fault> {
         Ok(self.one_of("registry_mode", &[("push", false), ("ask", true)])?.unwrap_or(false))
     }
 
     /// What the module is told at the start of an instance.
-    pub fn start(&self, seed: u64) -> Result<Start, Fault> {
+    pub fn scheduler_config(&self, seed: u64) -> Result<SchedulerConfig, Fault> {
         let budget = match self.time("safety.counted_over_ns")? {
-            Some(window) if window > 0.0 && self.0.contains_key("safety.extra_per_request") => Some(Budget {
-                free: self.number_or("safety.free_resends", 0.0)?,
-                share: self.number_or("safety.extra_per_request", 0.0)?,
-                window,
-            }),
+            Some(window) if window > 0.0 && self.0.contains_key("safety.extra_per_request") => {
+                Some(RetryBudget {
+                    free: self.number_or("safety.free_resends", 0.0)?,
+                    share: self.number_or("safety.extra_per_request", 0.0)?,
+                    window,
+                })
+            }
             _ => None,
         };
         let asked = self.asked()?;
-        let ask_within = self.time("safety.must_ask_in_ns")?;
-        Ok(Start {
+        let max_poll_interval = self.time("safety.must_ask_in_ns")?;
+        Ok(SchedulerConfig {
             seed,
             hosts: self.number_or("balancers", 1.0)?.max(1.0),
-            bands: (0..self.count("profiles")?).map(|i| self.band(i)).collect::<Result<_, _>>()?,
+            classes: (0..self.count("profiles")?).map(|i| self.class(i)).collect::<Result<_, _>>()?,
             plans: (0..self.count("service_levels")?).map(|i| self.plan(i)).collect::<Result<_, _>>()?,
             round: self.needed("round_ns", self.time("round_ns")?)?,
-            max_hand_offs: self.parsed("limits.max_attempts")?.unwrap_or(1),
-            may_cancel: self.flag("limits.cancelling")?,
-            longest_back: match self.flag("limits.retry_after")? {
+            max_attempts: self.parsed("limits.max_attempts")?.unwrap_or(1),
+            can_cancel: self.flag("limits.cancelling")?,
+            max_retry_after: match self.flag("limits.retry_after")? {
                 true => self.time("limits.max_retry_after_ns")?.unwrap_or(0.0),
                 false => 0.0,
             },
-            ask_within: if asked { Some(self.needed("safety.must_ask_in_ns", ask_within)?) } else { None },
-            cold_share: self.number_or("safety.cold_share", 1.0)?,
-            cold_time: self.time("safety.cold_ns")?.unwrap_or(0.0),
-            cold_units: self.number_or("specifics.cold_bears", 0.0)?,
-            fall_time: self.time("safety.tip_after_ns")?.unwrap_or(0.0),
-            fall_multiple: self.number_or("safety.fall_multiple", 1.0)?,
-            order_rest: self.time("safety.order_pause_ns")?.unwrap_or(0.0),
+            max_poll_interval: if asked {
+                Some(self.needed("safety.must_ask_in_ns", max_poll_interval)?)
+            } else {
+                None
+            },
+            slow_start_share: self.number_or("safety.cold_share", 1.0)?,
+            slow_start_duration: self.time("safety.cold_ns")?.unwrap_or(0.0),
+            slow_start_units: self.number_or("specifics.cold_bears", 0.0)?,
+            overload_window: self.time("safety.tip_after_ns")?.unwrap_or(0.0),
+            overload_multiple: self.number_or("safety.fall_multiple", 1.0)?,
+            ordering_quiet_period: self.time("safety.order_pause_ns")?.unwrap_or(0.0),
             budget,
-            most_units: self.number_or("specifics.units_top", 1.0)?,
+            max_units: self.number_or("specifics.units_top", 1.0)?,
             mean_units: self.number_or("specifics.unit_mean", 1.0)?,
-            // The bench's servers take commands one by one.
-            most_together: self.number_or("specifics.units_top", 1.0)?,
-            share_payoff: self.number_or("specifics.share_worth", 1.0)?,
-            counts_others: self.flag("specifics.counts_others")?,
+            // The bench's servers take requests one by one.
+            max_batch_units: self.number_or("specifics.units_top", 1.0)?,
+            share_weight: self.number_or("specifics.share_worth", 1.0)?,
+            counts_remote_service: self.flag("specifics.counts_others")?,
             peer: match self.flag("limits.may_tell")? {
                 true => Some(self.needed("my_number", self.parsed("my_number")?)?),
                 false => None,
@@ -194,28 +208,28 @@
     }
 
     /// What a door to clients and nodes must know beside it.
-    pub fn door(&self) -> Result<Door, Fault> {
+    pub fn platform_settings(&self) -> Result<PlatformSettings, Fault> {
         let text = |key: String| self.0.get(&key).cloned();
         let list = |key: &str| self.0.get(key).map(String::as_str).unwrap_or_default();
         let writes: Vec<&str> = list("specifics.changes_data").split(',').collect();
         let name = |key: String| text(key.clone()).ok_or_else(|| format!("start setting {key} is missing"));
-        let band = |i: usize| {
+        let class = |i: usize| {
             let writes = match writes.get(i) {
                 Some(&"true") => Some(true),
                 Some(&"false") => Some(false),
                 _ => None,
             };
-            let time_limit = self.band(i)?.time_limit;
-            Ok(DoorBand { name: name(format!("profiles.{i}.name"))?, time_limit, writes })
+            let client_timeout = self.class(i)?.client_timeout;
+            Ok(ClassSettings { name: name(format!("profiles.{i}.name"))?, client_timeout, writes })
         };
-        Ok(Door {
-            bands: (0..self.count("profiles")?).map(band).collect::<Result<_, Fault>>()?,
+        Ok(PlatformSettings {
+            classes: (0..self.count("profiles")?).map(class).collect::<Result<_, Fault>>()?,
             plans: (0..self.count("service_levels")?)
                 .map(|i| name(format!("service_levels.{i}.name")))
                 .collect::<Result<_, Fault>>()?,
             zones: list("zones").split(',').map(str::to_string).collect(),
             shards: self.parsed("specifics.n_shards")?,
-            most_units: self.number_or("specifics.units_top", f64::INFINITY)?,
+            max_units: self.number_or("specifics.units_top", f64::INFINITY)?,
             dial: self.time("limits.dial_timeout_ns")?,
             idle: self.time("limits.keepalive_ns")?,
             pushed: match self.asked()? {
--- a/crates/instance-settings/tests/forms.rs
+++ b/crates/instance-settings/tests/forms.rs
@@ -1,6 +1,6 @@
 //! Both forms of one object give the same view.
 
-use magpiewick_instance_settings::Facts;
+use magpiewick_instance_settings::InstanceSettings;
 use serde_json::{json, Value};
 
 fn settings() -> Value {
@@ -45,11 +45,15 @@
 
 #[test]
 fn nested_and_dotted_give_the_same_start_and_door() {
-    let (nested, dotted) = (Facts::json(&settings()).unwrap(), Facts::pairs(PAIRS).unwrap());
-    assert_eq!(format!("{:?}", nested.start(7).unwrap()), format!("{:?}", dotted.start(7).unwrap()));
-    let door = nested.door().unwrap();
-    assert_eq!(door, dotted.door().unwrap());
-    assert_eq!((door.bands[1].name.as_str(), door.bands[1].writes), ("write", Some(true)));
+    let (nested, dotted) =
+        (InstanceSettings::json(&settings()).unwrap(), InstanceSettings::pairs(PAIRS).unwrap());
+    assert_eq!(
+        format!("{:?}", nested.scheduler_config(7).unwrap()),
+        format!("{:?}", dotted.scheduler_config(7).unwrap())
+    );
+    let door = nested.platform_settings().unwrap();
+    assert_eq!(door, dotted.platform_settings().unwrap());
+    assert_eq!((door.classes[1].name.as_str(), door.classes[1].writes), ("write", Some(true)));
     assert_eq!((door.zones.len(), door.shards, door.idle), (2, Some(8), Some(30_000.0)));
 }
 
@@ -57,12 +61,12 @@
 fn the_same_faults_are_named_in_both_forms() {
     let mut bad = settings();
     bad["profiles"][0]["slo_ns"] = json!("soon");
-    let nested = Facts::json(&bad).unwrap().start(7).unwrap_err();
+    let nested = InstanceSettings::json(&bad).unwrap().scheduler_config(7).unwrap_err();
     let dotted = PAIRS.replace("profiles.0.slo_ns=200000000", "profiles.0.slo_ns=soon");
-    assert_eq!(nested, Facts::pairs(&dotted).unwrap().start(7).unwrap_err());
+    assert_eq!(nested, InstanceSettings::pairs(&dotted).unwrap().scheduler_config(7).unwrap_err());
     assert!(nested.contains("profiles.0.slo_ns"), "{nested}");
     bad["profiles"][0]["slo_ns"] = Value::Null;
-    assert!(Facts::json(&bad).unwrap().start(7).unwrap_err().contains("is missing"));
-    assert!(Facts::json(&json!([1])).is_err());
-    assert!(Facts::json(&json!({})).unwrap().start(7).is_err());
+    assert!(InstanceSettings::json(&bad).unwrap().scheduler_config(7).unwrap_err().contains("is missing"));
+    assert!(InstanceSettings::json(&json!([1])).is_err());
+    assert!(InstanceSettings::json(&json!({})).unwrap().scheduler_config(7).is_err());
 }
--- a/crates/node-protocol/src/lib.rs
+++ b/crates/node-protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! The protocol between clients, hosts, storage nodes and the list service, as `docs/wire.md` sets it down
+//! The protocol between clients, hosts, storage nodes and the endpoint list service, as `docs/wire.md` sets it down
 //! byte by byte. Pure: bytes in, messages out, and back.
 //!
 //! The decoder never panics, never sizes anything by a promised length, and refuses a frame by its header
@@ -8,8 +8,8 @@
 mod message;
 
 pub use message::{
-    Code, Final, HandOff, Hello, Line, List, MapLine, MapNews, Mapped, Message, MoveStage, Outcome, Role,
-    State, Take, Verdict, LONG_AGO, VERSION,
+    Attempt, Final, FinalCode, Hello, Line, List, MapLine, MapNews, Mapped, Message, MoveStage, Outcome,
+    OutcomeCode, Role, State, Take, LONG_AGO, VERSION,
 };
 
 use fields::Fields;
--- a/crates/node-protocol/src/message.rs
+++ b/crates/node-protocol/src/message.rs
@@ -41,13 +41,13 @@
     }
 }
 
-/// A command on its way from a host to a node.
+/// A request on its way from a host to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HandOff<'a> {
-    pub command: u64,
-    /// Counts a command's hand-offs from 0.
-    pub hand_off: u16,
-    pub band: u16,
+pub struct Attempt<'a> {
+    pub request_id: u64,
+    /// Counts a request's attempts from 0.
+    pub attempt: u16,
+    pub class: u16,
     pub write: bool,
     pub volume: u64,
     /// The piece of data; 0 for none.
@@ -56,7 +56,7 @@
     pub mark: u64,
     pub units: f32,
     pub shard: u32,
-    /// How long the client still waits: a node does not begin the command after it.
+    /// How long the client still waits: a node does not begin the request after it.
     pub left_us: u32,
     /// The version of the extent as the host knows it; 0 where it follows no map.
     pub version: u32,
@@ -65,46 +65,46 @@
     pub payload: &'a [u8],
 }
 
-/// How a hand-off ended, as it stands on the wire: the module's outcomes.
+/// How an attempt ended, as it stands on the wire: the module's outcomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Code {
-    Settled,
+pub enum OutcomeCode {
+    Succeeded,
     Error,
-    Full,
+    Overloaded,
     TimedOut,
-    NoConnection,
+    ConnectFailed,
     Reset,
     Cancelled,
-    Moot,
+    DeadlineExceeded,
     /// The node does not hold the piece of data (any more, or for the moment): nothing ran.
-    Moved,
+    ShardMoved,
 }
 
-/// A node's answer to one hand-off.
+/// A node's answer to one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outcome<'a> {
-    pub command: u64,
-    pub hand_off: u16,
-    pub code: Code,
+    pub request_id: u64,
+    pub attempt: u16,
+    pub code: OutcomeCode,
     /// The volume's service everywhere in a finished period, as a part of its plan's rate; none where unknown.
     pub used: Option<f32>,
     /// Units that the node served the volume through other hosts since its last answer to this one.
     pub others: f32,
-    /// Commands that wait at the node, and the part of its cores that is busy.
+    /// Requests that wait at the node, and the part of its cores that is busy.
     pub queue: u32,
     pub busy: f32,
-    /// With `Moved`: the shard that owns the extent, where the node knows it, and the extent's version.
+    /// With `ShardMoved`: the shard that owns the extent, where the node knows it, and the extent's version.
     pub owner: Option<u32>,
     pub version: u32,
     pub payload: &'a [u8],
 }
 
-/// A command as a client asks it.
+/// A request as a client asks it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Take<'a> {
     /// The client's own number for it, not used again on this connection.
-    pub command: u64,
-    pub band: u16,
+    pub request_id: u64,
+    pub class: u16,
     pub write: bool,
     pub volume: u64,
     pub key: u64,
@@ -118,20 +118,20 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Settled,
+pub enum FinalCode {
+    Succeeded,
     /// Trying again is harmless.
-    Bounced,
+    Rejected,
     /// Nothing is promised.
-    Scrapped,
+    Failed,
 }
 
-/// The one final answer to a command.
+/// The one final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Final<'a> {
-    pub command: u64,
-    pub verdict: Verdict,
-    /// When a bounced client best comes back; 0 for no advice.
+    pub request_id: u64,
+    pub verdict: FinalCode,
+    /// When a rejected client best comes back; 0 for no advice.
     pub back_us: u32,
     /// What a read brought; else the word for the reason.
     pub payload: &'a [u8],
@@ -144,7 +144,7 @@
     Gone,
 }
 
-/// A line of the list of nodes.
+/// A line of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Line {
     pub node: u32,
@@ -217,13 +217,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message<'a> {
     Hello(Hello),
-    HandOff(HandOff<'a>),
-    /// Hand-offs that travel as one command of the node; each gets its own outcome.
-    Batch(Vec<HandOff<'a>>),
+    Attempt(Attempt<'a>),
+    /// Attempts that travel as one request of the node; each gets its own outcome.
+    Batch(Vec<Attempt<'a>>),
     Outcome(Outcome<'a>),
     Cancel {
-        command: u64,
-        hand_off: u16,
+        request_id: u64,
+        attempt: u16,
     },
     Probe {
         number: u32,
@@ -236,7 +236,7 @@
     Take(Take<'a>),
     Final(Final<'a>),
     GiveUp {
-        command: u64,
+        request_id: u64,
     },
     /// Asks for the list from this epoch on (0: all of it) and for its changes; answered by a list or `Refused`.
     Watch {
@@ -275,17 +275,17 @@
 
 const ROLES: [Role; 4] = [Role::Client, Role::Host, Role::Node, Role::List];
 const STATES: [State; 3] = [State::Ready, State::Draining, State::Gone];
-const VERDICTS: [Verdict; 3] = [Verdict::Settled, Verdict::Bounced, Verdict::Scrapped];
-const CODES: [Code; 9] = [
-    Code::Settled,
-    Code::Error,
-    Code::Full,
-    Code::TimedOut,
-    Code::NoConnection,
-    Code::Reset,
-    Code::Cancelled,
-    Code::Moot,
-    Code::Moved,
+const VERDICTS: [FinalCode; 3] = [FinalCode::Succeeded, FinalCode::Rejected, FinalCode::Failed];
+const CODES: [OutcomeCode; 9] = [
+    OutcomeCode::Succeeded,
+    OutcomeCode::Error,
+    OutcomeCode::Overloaded,
+    OutcomeCode::TimedOut,
+    OutcomeCode::ConnectFailed,
+    OutcomeCode::Reset,
+    OutcomeCode::Cancelled,
+    OutcomeCode::DeadlineExceeded,
+    OutcomeCode::ShardMoved,
 ];
 const MAPPED: [Mapped; 6] =
     [Mapped::Extent, Mapped::Create, Mapped::Remove, Mapped::Switch, Mapped::Split, Mapped::Merge];
@@ -314,10 +314,10 @@
                 life: f.u64("life")?,
                 age_us: f.u64("age")?,
             }),
-            2 => Message::HandOff(hand_off(f, payload)?),
+            2 => Message::Attempt(attempt(f, payload)?),
             3 => Message::Outcome(Outcome {
-                command: f.u64("command")?,
-                hand_off: f.u16("hand-off")?,
+                request_id: f.u64("command")?,
+                attempt: f.u16("hand-off")?,
                 code: pick(&CODES, f.u8("outcome")?, "outcome")?,
                 used: Some(f.amount("use")?).filter(|used| *used < NO_USE),
                 others: f.amount("units of others")?,
@@ -327,7 +327,7 @@
                 version: f.u32("version")?,
                 payload: payload_within(payload)?,
             }),
-            4 => Message::Cancel { command: f.u64("command")?, hand_off: f.u16("hand-off")? },
+            4 => Message::Cancel { request_id: f.u64("command")?, attempt: f.u16("hand-off")? },
             5 => Message::Probe { number: f.u32("number")? },
             6 => Message::Probed {
                 number: f.u32("number")?,
@@ -335,8 +335,8 @@
                 busy: f.amount("busy part")?,
             },
             7 => Message::Take(Take {
-                command: f.u64("command")?,
-                band: f.u16("band")?,
+                request_id: f.u64("command")?,
+                class: f.u16("band")?,
                 write: f.flag("write mark")?,
                 volume: f.u64("volume")?,
                 key: f.u64("key")?,
@@ -347,12 +347,12 @@
                 payload: payload_within(payload)?,
             }),
             8 => Message::Final(Final {
-                command: f.u64("command")?,
+                request_id: f.u64("command")?,
                 verdict: pick(&VERDICTS, f.u8("final answer")?, "final answer")?,
                 back_us: f.u32("time to come back")?,
                 payload: payload_within(payload)?,
             }),
-            9 => Message::GiveUp { command: f.u64("command")? },
+            9 => Message::GiveUp { request_id: f.u64("command")? },
             10 => Message::Watch { epoch: f.u64("epoch")? },
             11 => Message::List(List {
                 whole: f.flag("whole mark")?,
@@ -394,7 +394,7 @@
                 put(out, &[&m.number.to_le_bytes(), &m.life.to_le_bytes(), &m.age_us.to_le_bytes()]);
                 (1, &[])
             }
-            Message::HandOff(m) => {
+            Message::Attempt(m) => {
                 put_hand_off(out, m);
                 (2, m.payload)
             }
@@ -403,14 +403,14 @@
                 (17, &[])
             }
             Message::Outcome(m) => {
-                put(out, &[&m.command.to_le_bytes(), &m.hand_off.to_le_bytes(), &[place(&CODES, &m.code)]]);
+                put(out, &[&m.request_id.to_le_bytes(), &m.attempt.to_le_bytes(), &[place(&CODES, &m.code)]]);
                 put(out, &[&m.used.unwrap_or(NO_USE).to_le_bytes(), &m.others.to_le_bytes()]);
                 put(out, &[&m.queue.to_le_bytes(), &m.busy.to_le_bytes()]);
                 put(out, &[&m.owner.unwrap_or(NO_OWNER).to_le_bytes(), &m.version.to_le_bytes()]);
                 (3, m.payload)
             }
-            Message::Cancel { command, hand_off } => {
-                put(out, &[&command.to_le_bytes(), &hand_off.to_le_bytes()]);
+            Message::Cancel { request_id, attempt } => {
+                put(out, &[&request_id.to_le_bytes(), &attempt.to_le_bytes()]);
                 (4, &[])
             }
             Message::Probe { number } => {
@@ -422,18 +422,18 @@
                 (6, &[])
             }
             Message::Take(m) => {
-                put(out, &[&m.command.to_le_bytes(), &m.band.to_le_bytes(), &[u8::from(m.write)]]);
+                put(out, &[&m.request_id.to_le_bytes(), &m.class.to_le_bytes(), &[u8::from(m.write)]]);
                 put(out, &[&m.volume.to_le_bytes(), &m.key.to_le_bytes(), &m.mark.to_le_bytes()]);
                 put(out, &[&m.units.to_le_bytes(), &m.limit_us.to_le_bytes(), &m.blocks.to_le_bytes()]);
                 (7, m.payload)
             }
             Message::Final(m) => {
-                put(out, &[&m.command.to_le_bytes(), &[place(&VERDICTS, &m.verdict)]]);
+                put(out, &[&m.request_id.to_le_bytes(), &[place(&VERDICTS, &m.verdict)]]);
                 put(out, &[&m.back_us.to_le_bytes()]);
                 (8, m.payload)
             }
-            Message::GiveUp { command } => {
-                put(out, &[&command.to_le_bytes()]);
+            Message::GiveUp { request_id } => {
+                put(out, &[&request_id.to_le_bytes()]);
                 (9, &[])
             }
             Message::Watch { epoch } => {
@@ -492,15 +492,15 @@
     parts.iter().for_each(|part| out.extend_from_slice(part));
 }
 
-fn hand_off<'a>(f: &mut Fields, payload: &'a [u8]) -> Result<HandOff<'a>, Fault> {
-    Ok(HandOff { payload: payload_within(payload)?, ..hand_off_fields(f)? })
+fn attempt<'a>(f: &mut Fields, payload: &'a [u8]) -> Result<Attempt<'a>, Fault> {
+    Ok(Attempt { payload: payload_within(payload)?, ..hand_off_fields(f)? })
 }
 
-fn hand_off_fields(f: &mut Fields) -> Result<HandOff<'static>, Fault> {
-    Ok(HandOff {
-        command: f.u64("command")?,
-        hand_off: f.u16("hand-off")?,
-        band: f.u16("band")?,
+fn hand_off_fields(f: &mut Fields) -> Result<Attempt<'static>, Fault> {
+    Ok(Attempt {
+        request_id: f.u64("command")?,
+        attempt: f.u16("hand-off")?,
+        class: f.u16("band")?,
         write: f.flag("write mark")?,
         volume: f.u64("volume")?,
         key: f.u64("key")?,
@@ -514,21 +514,21 @@
     })
 }
 
-fn put_hand_off(out: &mut Vec<u8>, m: &HandOff) {
-    put(out, &[&m.command.to_le_bytes(), &m.hand_off.to_le_bytes(), &m.band.to_le_bytes()]);
+fn put_hand_off(out: &mut Vec<u8>, m: &Attempt) {
+    put(out, &[&m.request_id.to_le_bytes(), &m.attempt.to_le_bytes(), &m.class.to_le_bytes()]);
     put(out, &[&[u8::from(m.write)], &m.volume.to_le_bytes(), &m.key.to_le_bytes()]);
     put(out, &[&m.mark.to_le_bytes(), &m.units.to_le_bytes(), &m.shard.to_le_bytes()]);
     put(out, &[&m.left_us.to_le_bytes(), &m.version.to_le_bytes(), &m.blocks.to_le_bytes()]);
 }
 
 /// Reads the parts of a batch. Nothing is sized by the promised count.
-fn batch(parts: u16, payload: &[u8]) -> Result<Vec<HandOff<'_>>, Fault> {
+fn batch(parts: u16, payload: &[u8]) -> Result<Vec<Attempt<'_>>, Fault> {
     let mut f = Fields::new(payload);
     let mut all = Vec::new();
     for _ in 0..parts {
         let part = hand_off_fields(&mut f)?;
         let length = f.u32("length of a part")? as usize;
-        all.push(HandOff { payload: f.bytes(length, "part")?, ..part });
+        all.push(Attempt { payload: f.bytes(length, "part")?, ..part });
     }
     (f.is_empty() && !all.is_empty()).then_some(all).ok_or(Fault::Impossible("number of parts"))
 }
--- a/crates/node-protocol/tests/codec.rs
+++ b/crates/node-protocol/tests/codec.rs
@@ -37,10 +37,10 @@
                 life: *d,
                 age_us: *a,
             }),
-            1 => Message::HandOff(HandOff {
-                command: *a,
-                hand_off: short,
-                band: *c as u16,
+            1 => Message::Attempt(Attempt {
+                request_id: *a,
+                attempt: short,
+                class: *c as u16,
                 write,
                 volume: *d,
                 key: *b,
@@ -53,9 +53,14 @@
                 payload,
             }),
             2 => Message::Outcome(Outcome {
-                command: *a,
-                hand_off: short,
-                code: [Code::Settled, Code::Error, Code::Full, Code::Moot][(*c % 4) as usize],
+                request_id: *a,
+                attempt: short,
+                code: [
+                    OutcomeCode::Succeeded,
+                    OutcomeCode::Error,
+                    OutcomeCode::Overloaded,
+                    OutcomeCode::DeadlineExceeded,
+                ][(*c % 4) as usize],
                 used: write.then_some(*x),
                 others: *x,
                 queue: *d as u32,
@@ -64,12 +69,12 @@
                 version: *b as u32,
                 payload,
             }),
-            3 => Message::Cancel { command: *a, hand_off: short },
+            3 => Message::Cancel { request_id: *a, attempt: short },
             4 => Message::Probe { number: *a as u32 },
             5 => Message::Probed { number: *a as u32, queue: *b as u32, busy: *x },
             6 => Message::Take(Take {
-                command: *a,
-                band: short,
+                request_id: *a,
+                class: short,
                 write,
                 volume: *c,
                 key: *d,
@@ -80,12 +85,12 @@
                 payload,
             }),
             7 => Message::Final(Final {
-                command: *a,
-                verdict: [Verdict::Settled, Verdict::Bounced, Verdict::Scrapped][(*b % 3) as usize],
+                request_id: *a,
+                verdict: [FinalCode::Succeeded, FinalCode::Rejected, FinalCode::Failed][(*b % 3) as usize],
                 back_us: *c as u32,
                 payload,
             }),
-            8 => Message::GiveUp { command: *a },
+            8 => Message::GiveUp { request_id: *a },
             9 => Message::Watch { epoch: *a },
             10 => Message::List(List { whole: write, epoch: *a, lines: (0..*d % 5).map(line).collect() }),
             13 => Message::Move { volume: *a, start: *b, shard: *c as u32, abandon: write },
@@ -176,7 +181,7 @@
 #[test]
 fn later_fields_and_kinds_are_passed_over() {
     let mut bytes = Vec::new();
-    write(&Message::GiveUp { command: 5 }, &mut bytes);
+    write(&Message::GiveUp { request_id: 5 }, &mut bytes);
     let frame = |kind: u8, body: &[u8]| {
         let mut f = (body.len() as u32).to_le_bytes().to_vec();
         f.extend_from_slice(&[kind, 0, body.len() as u8, 0]);
@@ -186,7 +191,7 @@
         f
     };
     let longer = frame(9, &[5, 0, 0, 0, 0, 0, 0, 0, 77, 78]);
-    assert_eq!(read(&longer), Ok(Read::Whole(Message::GiveUp { command: 5 }, longer.len())));
+    assert_eq!(read(&longer), Ok(Read::Whole(Message::GiveUp { request_id: 5 }, longer.len())));
     assert_eq!(read(&frame(200, &[1])), Ok(Read::Skip(HEADER + 1)));
     assert_eq!(read(&frame(100, &[1])), Err(Fault::UnknownKind(100)));
 }
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -1,9 +1,9 @@
-//! Whether what a client asks is a command, by the settings; free of I/O.
+//! Whether what a client asks is a request, by the settings; free of I/O.
 
-use magpiewick::{Command, Ms};
-use magpiewick_engine::Taken;
-use magpiewick_instance_settings::Door;
+use magpiewick::Ms;
+use magpiewick_engine::IncomingRequest;
 use magpiewick_http1::{Refused, Request};
+use magpiewick_instance_settings::PlatformSettings;
 
 /// No client waits longer, and no volume comes through more hosts.
 const MOST_WAIT: Ms = 3_600_000.0;
@@ -64,19 +64,19 @@
     number(digits).map(|n| n * unit).filter(|t| *t <= MOST_WAIT)
 }
 
-fn shard_of(text: &str, door: &Door) -> Option<usize> {
+fn shard_of(text: &str, door: &PlatformSettings) -> Option<usize> {
     let number: u16 = Some(text).filter(|t| t.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()?;
     Some(usize::from(number)).filter(|n| door.shards.is_none_or(|shards| *n < shards))
 }
 
 /// Size, shard (none for a new object) and number of hosts.
-fn placement(text: &str, door: &Door) -> Option<(f64, Option<usize>, f64)> {
+fn placement(text: &str, door: &PlatformSettings) -> Option<(f64, Option<usize>, f64)> {
     let (mut units, mut shard, mut hosts) = (None, None, None);
     for part in text.split(',') {
         let (name, value) = part.split_once('=')?;
         let value = value.trim();
         let before = match name.trim() {
-            "units" => units.replace(number(value).filter(|u| *u > 0.0 && *u <= door.most_units)?).is_some(),
+            "units" => units.replace(number(value).filter(|u| *u > 0.0 && *u <= door.max_units)?).is_some(),
             "shard" if value == "-1" => shard.replace(None).is_some(),
             "shard" => shard.replace(Some(shard_of(value, door)?)).is_some(),
             "hosts" => hosts.replace(number(value).filter(|h| (1.0..=MOST_HOSTS).contains(h))?).is_some(),
@@ -90,54 +90,54 @@
     Some((units?, shard?, hosts?))
 }
 
-/// The command that a request with a body of so many bytes asks for; `used` of its time is over already.
-pub fn command(
-    request: &Request,
+/// The request that a request with a body of so many bytes asks for; `used` of its time is over already.
+pub fn request(
+    head: &Request,
     bytes: usize,
-    door: &Door,
+    door: &PlatformSettings,
     used: Ms,
     number: u64,
-) -> Result<Taken, Refused> {
-    let Some((volume, key)) = place(request.target) else {
+) -> Result<IncomingRequest, Refused> {
+    let Some((volume, key)) = place(head.target) else {
         return Err(Refused { status: 404, why: "the path names no volume and piece" });
     };
-    let band = needed(request, "x-class", "there must be one X-Class")?;
-    let Some(band) = door.bands.iter().position(|b| b.name == band) else {
+    let class = needed(head, "x-class", "there must be one X-Class")?;
+    let Some(class) = door.classes.iter().position(|b| b.name == class) else {
         return bad("the X-Class is not known here");
     };
-    let plan = needed(request, "x-qos-policy", "there must be one X-Qos-Policy")?;
+    let plan = needed(head, "x-qos-policy", "there must be one X-Qos-Policy")?;
     let Some(plan) = door.plans.iter().position(|p| *p == plan) else {
         return bad("the X-Qos-Policy is not known here");
     };
-    let fits = match request.method {
-        "GET" => bytes == 0 && door.bands[band].writes != Some(true),
-        "PUT" => door.bands[band].writes != Some(false),
+    let fits = match head.method {
+        "GET" => bytes == 0 && door.classes[class].writes != Some(true),
+        "PUT" => door.classes[class].writes != Some(false),
         _ => false,
     };
     if !fits {
         return Err(Refused { status: 405, why: "the method does not fit the X-Class" });
     }
-    let limit = needed(request, "x-deadline", "there must be one X-Deadline")?;
+    let limit = needed(head, "x-deadline", "there must be one X-Deadline")?;
     let Some(limit) = time(limit) else { return bad("the X-Deadline is no time") };
-    let placed = needed(request, "x-placement", "there must be one X-Placement")?;
+    let placed = needed(head, "x-placement", "there must be one X-Placement")?;
     let Some((units, shard, hosts)) = placement(placed, door) else {
         return bad("the X-Placement is malformed");
     };
-    let command = Command {
-        band,
+    let request = magpiewick::Request {
+        class,
         plan,
         volume: 0,
         key: None,
         units,
         shard,
         hosts,
-        // Some clients name a little more than their band's time. One such would make the module, which knows
+        // Some clients name a little more than their class's time. One such would make the module, which knows
         // later tries by their shorter time, take every first try after it for a later one.
-        time_limit: limit.min(door.bands[band].time_limit) - used,
+        client_timeout: limit.min(door.classes[class].client_timeout) - used,
         counts: 1.0,
         with: None,
     };
-    Ok(Taken { id: number, key, volume, command })
+    Ok(IncomingRequest { id: number, key, volume, request })
 }
 
 #[cfg(test)]
--- a/crates/platform/src/ask/tests.rs
+++ b/crates/platform/src/ask/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
-use magpiewick_instance_settings::DoorBand;
 use magpiewick_http1::Framing;
+use magpiewick_instance_settings::ClassSettings;
 use quickcheck::quickcheck;
 
-fn door() -> Door {
-    let band = |name: &str, writes| DoorBand { name: name.to_string(), time_limit: 1000.0, writes };
-    Door {
-        bands: vec![band("read", Some(false)), band("write", Some(true))],
+fn door() -> PlatformSettings {
+    let class = |name: &str, writes| ClassSettings { name: name.to_string(), client_timeout: 1000.0, writes };
+    PlatformSettings {
+        classes: vec![class("read", Some(false)), class("write", Some(true))],
         plans: vec!["basic".to_string(), "gold".to_string()],
         zones: Vec::new(),
         shards: Some(8),
-        most_units: 6.0,
+        max_units: 6.0,
         dial: None,
         idle: None,
         pushed: None,
@@ -29,30 +29,30 @@
     }
 }
 
-/// The status that is given to a request; 0: it is a command.
+/// The status that is given to a request; 0: it is a request.
 fn status(head: &str) -> u16 {
     let read = magpiewick_http1::request(head.as_bytes()).unwrap_or_else(|r| panic!("{head}: {}", r.why));
-    let command = id(&read).and_then(|_| command(&read, bytes(&read), &door(), 0.0, 1));
-    command.map_or_else(|refused| refused.status, |_| 0)
+    let request = id(&read).and_then(|_| request(&read, bytes(&read), &door(), 0.0, 1));
+    request.map_or_else(|refused| refused.status, |_| 0)
 }
 
 #[test]
 fn a_command_is_what_the_fields_say() {
     let read = magpiewick_http1::request(GOOD.as_bytes()).unwrap();
     assert_eq!(id(&read), Ok("9b1f03aa5c7e2d41"));
-    let taken = command(&read, bytes(&read), &door(), 30.0, 9).unwrap();
+    let taken = request(&read, bytes(&read), &door(), 30.0, 9).unwrap();
     assert_eq!((taken.id, taken.volume, taken.key), (9, 0x3b4d60021, 0x7f3a9c21e0b4d655));
-    let c = taken.command;
-    assert_eq!((c.band, c.plan, c.units, c.shard, c.hosts), (1, 1, 2.0, Some(5), 3.0));
-    assert_eq!(c.time_limit, 450.0, "what the client has waited is gone");
+    let c = taken.request;
+    assert_eq!((c.class, c.plan, c.units, c.shard, c.hosts), (1, 1, 2.0, Some(5), 3.0));
+    assert_eq!(c.client_timeout, 450.0, "what the client has waited is gone");
     let new = GOOD.replace("shard=5", "shard=-1").replace("480m", "480000u");
     let read = magpiewick_http1::request(new.as_bytes()).unwrap();
-    let c = command(&read, bytes(&read), &door(), 0.0, 9).unwrap().command;
-    assert_eq!((c.shard, c.time_limit), (None, 480.0));
+    let c = request(&read, bytes(&read), &door(), 0.0, 9).unwrap().request;
+    assert_eq!((c.shard, c.client_timeout), (None, 480.0));
     let long = GOOD.replace("480m", "1009m");
     let read = magpiewick_http1::request(long.as_bytes()).unwrap();
-    let c = command(&read, bytes(&read), &door(), 20.0, 9).unwrap().command;
-    assert_eq!(c.time_limit, 980.0, "no client waits longer than its band's time");
+    let c = request(&read, bytes(&read), &door(), 20.0, 9).unwrap().request;
+    assert_eq!(c.client_timeout, 980.0, "no client waits longer than its band's time");
 }
 
 #[test]
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -42,7 +42,7 @@
     pub blocked: Option<(Ms, u64)>,
     /// Since when nothing more is written and what comes is thrown away.
     pub sent_away: Option<Ms>,
-    /// The client asked for the end after the open command's answer.
+    /// The client asked for the end after the open request's answer.
     pub last: bool,
 }
 
@@ -97,7 +97,7 @@
         self.blocked.map(|(since, _)| since)
     }
 
-    /// The memory that it takes, without the command that is open on it.
+    /// The memory that it takes, without the request that is open on it.
     pub fn held(&self) -> usize {
         self.stream.held() + self.queue.held()
     }
@@ -179,7 +179,7 @@
         false
     }
 
-    /// Ends a client's connection; the command that was open on it.
+    /// Ends a client's connection; the request that was open on it.
     pub fn drop_client(&mut self, key: usize, why: Closed) -> Option<u64> {
         self.client(key)?;
         self.clients -= 1;
@@ -196,10 +196,10 @@
         let Some(client) = self.client(key) else { return };
         let close = close || client.last || leaves && !client.has_more();
         http1::write_answer(client.stream.output(), status, fields, body, close);
-        let (serial, command) = (client.serial, client.open);
+        let (serial, request_id) = (client.serial, client.open);
         (client.open, client.closing, client.since) = (None, client.closing || close, now);
         self.again.push(key);
-        self.request_log.replied(serial, command, status, close);
+        self.request_log.replied(serial, request_id, status, close);
     }
 
     /// Refuses what a client sent: nothing of it goes further.
@@ -213,8 +213,8 @@
 
     /// Whether a request has its answer, or its client has ended its connection by now, whatever was read of it. One
     /// that has is ended with the next turn of the loop.
-    pub fn has_ended(&mut self, command: u64) -> bool {
-        let Some(key) = self.commands.get(&command).and_then(|open| open.client) else { return true };
+    pub fn has_ended(&mut self, request_id: u64) -> bool {
+        let Some(key) = self.requests.get(&request_id).and_then(|open| open.client) else { return true };
         let left = self.client(key).is_some_and(|client| client.stream.peer_ended());
         if left {
             self.gone.push(key);
@@ -250,15 +250,15 @@
 
     /// Ends a client's connection. What is open on it has nobody to be answered to any more.
     pub(crate) fn end_client(&mut self, key: usize, why: Closed) {
-        let Some(command) = self.floor.drop_client(key, why) else { return };
+        let Some(request_id) = self.floor.drop_client(key, why) else { return };
         self.floor.counts.gone += 1;
-        self.floor.log_client_gone(command);
-        if let Some(open) = self.floor.commands.get_mut(&command) {
+        self.floor.log_client_gone(request_id);
+        if let Some(open) = self.floor.requests.get_mut(&request_id) {
             open.client = None;
         }
-        self.desk.abandoned(self.floor.now, command);
-        self.floor.take_unwritten_back(command);
-        self.floor.release(command);
+        self.engine.on_client_disconnect(self.floor.now, request_id);
+        self.floor.take_unwritten_back(request_id);
+        self.floor.release(request_id);
     }
 
     /// A client whose bytes are not read may have gone behind them.
@@ -397,7 +397,7 @@
         }
     }
 
-    /// Takes a request as a command, or answers it as a question about this host.
+    /// Takes a request as a request, or answers it as a question about this host.
     fn taken(
         &mut self,
         key: usize,
@@ -416,12 +416,12 @@
         let id = ask::id(request)?;
         self.next_command += 1;
         let number = self.next_command;
-        let mut taken = ask::command(request, body.len(), &self.floor.door, used, number)?;
+        let mut taken = ask::request(request, body.len(), &self.floor.door, used, number)?;
         if let Some(over) = self.floor.shutdown.over_at() {
             if over <= self.floor.now {
                 return Err(NO_TIME_LEFT);
             }
-            taken.command.time_limit = taken.command.time_limit.min(over - self.floor.now);
+            taken.request.client_timeout = taken.request.client_timeout.min(over - self.floor.now);
         }
         if self.floor.ids.contains_key(id) {
             return Err(Refused { status: 409, why: "the X-Request-Id is open already" });
@@ -437,14 +437,14 @@
             last: None,
         };
         self.floor.ids.insert(id.to_string(), number);
-        self.floor.commands.insert(number, open);
+        self.floor.requests.insert(number, open);
         self.floor.counts.taken += 1;
         if let Some(client) = self.floor.client(key) {
             client.open = Some(number);
             let (serial, in_front) = (client.serial, client.asked.saturating_sub(1));
             self.floor.request_log.taken(serial, id, number, in_front);
         }
-        self.desk.take(self.floor.now, taken, &mut self.floor);
+        self.engine.submit(self.floor.now, taken, &mut self.floor);
         Ok(())
     }
 
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -12,7 +12,7 @@
 /// How often a connection whose bytes are not read is looked at, as it may have ended behind them: half of the time
 /// within which nothing may begin any more for a client that has gone.
 pub const LOOKS: Ms = 50.0;
-/// How much of it: reading 60 MB that nobody wants would cost the processor that commands need.
+/// How much of it: reading 60 MB that nobody wants would cost the processor that requests need.
 pub const THROWN: usize = 256 << 10;
 
 /// The part of the descriptors that are not the host's own which may be clients': those that are in earnest hold a
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Standing {
     pub key: usize,
-    /// A command is open or an answer is not written whole.
+    /// A request is open or an answer is not written whole.
     pub busy: bool,
     /// A part of a request came.
     pub partial: bool,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,8 +1,8 @@
 //! What the platform tells a host: the file that `PROXY_CONFIG` names. It is read as a whole or not at all.
 
 use crate::discovery::{self, listing, Listing};
-use magpiewick::{ListClient, Ms, Start};
-use magpiewick_instance_settings::{Door, Facts};
+use magpiewick::{EndpointClient, Ms, SchedulerConfig};
+use magpiewick_instance_settings::{InstanceSettings, PlatformSettings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -48,27 +48,27 @@
     pub memory_mb: f64,
     /// What of the file only a start takes in: all but the address of discovery and what each start has anew.
     pub fixed: Value,
-    /// The list of nodes as the host last had it; none where it never had one.
+    /// The endpoint list as the host last had it; none where it never had one.
     pub known: Option<Listing>,
-    pub start: Start,
-    pub door: Door,
+    pub start: SchedulerConfig,
+    pub door: PlatformSettings,
     /// How long the host may go without asking for the list; none where it is pushed.
-    pub ask_within: Option<Ms>,
+    pub max_poll_interval: Option<Ms>,
 }
 
 impl Told {
     /// Whether the host's own agent has the list, and tells it on a watch.
     pub fn pushed(&self) -> bool {
-        self.ask_within.is_none()
+        self.max_poll_interval.is_none()
     }
 
     /// The client of discovery, which begins with the list that the host remembers.
-    pub fn list_client(&self, now: Ms) -> ListClient {
-        let pace = discovery::pace(self.ask_within, self.door.pushed);
+    pub fn endpoint_client(&self, now: Ms) -> EndpointClient {
+        let pace = discovery::pace(self.max_poll_interval, self.door.pushed);
         let rules = discovery::freshness_rules(self.door.pushed);
         let known = self.known.as_ref().filter(|known| !known.lines.is_empty());
         let as_of = discovery::remembered_as_of(now, self.pushed());
-        ListClient::new(pace, rules, self.start.seed, now, as_of, known.map(|known| known.generation))
+        EndpointClient::new(pace, rules, self.start.seed, now, as_of, known.map(|known| known.generation))
     }
 }
 
@@ -110,12 +110,12 @@
             file.limits.memory_mb
         ));
     }
-    let facts = Facts::json(&file.settings).map_err(|e| format!("settings: {e}"))?;
-    let mut start = facts.start(seed).map_err(|e| format!("settings: {e}"))?;
-    let door = facts.door().map_err(|e| format!("settings: {e}"))?;
+    let settings = InstanceSettings::json(&file.settings).map_err(|e| format!("settings: {e}"))?;
+    let mut start = settings.scheduler_config(seed).map_err(|e| format!("settings: {e}"))?;
+    let door = settings.platform_settings().map_err(|e| format!("settings: {e}"))?;
     // The list client alone decides when the list is asked for.
-    let ask_within = start.ask_within.take();
-    if start.bands.is_empty() || start.plans.is_empty() {
+    let max_poll_interval = start.max_poll_interval.take();
+    if start.classes.is_empty() || start.plans.is_empty() {
         return Err("settings: there must be a band and a plan".to_string());
     }
     let known = file.known.filter(|known| !known.is_null());
@@ -130,7 +130,7 @@
         known,
         start,
         door,
-        ask_within,
+        max_poll_interval,
     })
 }
 
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,6 +1,6 @@
-//! The list of nodes as discovery tells it, and how discovery is to be asked; free of I/O.
+//! The endpoint list as discovery tells it, and how discovery is to be asked; free of I/O.
 
-use magpiewick::{Condition, FreshnessRules, Ms, Pace};
+use magpiewick::{EndpointState, FreshnessRules, Ms, Pace};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -35,14 +35,14 @@
 /// A process may stand still for so long between reading its clock and writing.
 const STALL: Ms = 150.0;
 
-/// How calls to discovery are paced: `ask_within`, how long the host may go without asking, where lists are asked
+/// How calls to discovery are paced: `max_poll_interval`, how long the host may go without asking, where lists are asked
 /// for; `pushed`, for how long a node may still be sent to after its drain was told, where they are pushed. There the
 /// host's own agent tells the list, and what it has counts as told whether or not it was read: a watch that broke
 /// unnoticed must be over, and made anew, before that time is. Guards against agents that fall silent, and that were
 /// and are back; it costs a call without lines every so often, to the host's own machine. Where lists are asked for, a
 /// call is a load on the one service of all hosts, and its news count when they are written.
-pub fn pace(ask_within: Option<Ms>, pushed: Option<Ms>) -> Pace {
-    let Some(ask_within) = ask_within else {
+pub fn pace(max_poll_interval: Option<Ms>, pushed: Option<Ms>) -> Pace {
+    let Some(max_poll_interval) = max_poll_interval else {
         let grace = pushed.unwrap_or(0.0).max(LEAST_GRACE);
         return Pace {
             wait: (PUSHED_WAIT * grace).min(WAIT).floor(),
@@ -50,7 +50,7 @@
             late: (PUSHED_LATE * grace).min(LATE),
             first_late: (PUSHED_LATE * grace).min(LATE),
             most_calls: 1,
-            ask_within: grace,
+            max_poll_interval: grace,
         };
     };
     Pace {
@@ -59,7 +59,7 @@
         late: LATE,
         first_late: FIRST_LATE,
         most_calls: MOST_CALLS,
-        ask_within,
+        max_poll_interval,
     }
 }
 
@@ -99,7 +99,7 @@
     pub address: Option<SocketAddr>,
     pub zone: String,
     pub shard: usize,
-    pub condition: Condition,
+    pub state: EndpointState,
     /// Unix time in milliseconds; none: long ago.
     pub started: Option<u64>,
 }
@@ -138,16 +138,16 @@
 const MOST_ID: usize = 128;
 
 fn line(i: Instance) -> Result<Line, String> {
-    let condition = match i.lifecycle.as_str() {
-        "SERVING" => Condition::Ready,
-        "DRAINING" => Condition::Draining,
-        "DELETED" => Condition::Gone,
+    let state = match i.lifecycle.as_str() {
+        "SERVING" => EndpointState::Ready,
+        "DRAINING" => EndpointState::Draining,
+        "DELETED" => EndpointState::Removed,
         other => return Err(format!("{}: impossible lifecycle {other:?}", i.instance_id)),
     };
     if i.instance_id.is_empty() || i.instance_id.len() > MOST_ID {
         return Err("an instanceId that is none".to_string());
     }
-    let gone = condition == Condition::Gone;
+    let gone = state == EndpointState::Removed;
     let address = match &i.host_port {
         Some(text) => match text.parse() {
             Ok(address) => Some(address),
@@ -168,7 +168,7 @@
         }
         at => at.map(|at| at as u64).filter(|at| *at > 0),
     };
-    Ok(Line { id: i.instance_id, address, zone: i.zone, shard, condition, started })
+    Ok(Line { id: i.instance_id, address, zone: i.zone, shard, state, started })
 }
 
 /// Reads an answer; one line that cannot be read fails it whole.
--- a/crates/platform/src/discovery/tests.rs
+++ b/crates/platform/src/discovery/tests.rs
@@ -12,11 +12,11 @@
     let listing = one(GOOD).unwrap();
     assert_eq!((listing.generation, listing.whole), (4, true));
     let line = &listing.lines[0];
-    assert_eq!((line.id.as_str(), line.shard, line.condition), ("s-1", 3, Condition::Ready));
+    assert_eq!((line.id.as_str(), line.shard, line.state), ("s-1", 3, EndpointState::Ready));
     assert_eq!((line.started, line.address), (Some(1_700_000_000_000), "127.0.0.1:9000".parse().ok()));
     assert_eq!(one(&GOOD.replace("1700000000000", "0")).unwrap().lines[0].started, None);
     let gone = one(r#"{"instanceId":"s-1","lifecycle":"DELETED"}"#).unwrap();
-    assert_eq!(gone.lines[0].condition, Condition::Gone);
+    assert_eq!(gone.lines[0].state, EndpointState::Removed);
 }
 
 #[test]
--- a/crates/platform/src/discovery_calls.rs
+++ b/crates/platform/src/discovery_calls.rs
@@ -6,7 +6,7 @@
 use crate::outcome::Sign;
 use crate::upstream::{next_answer, Came};
 use crate::{config, unix_time, Platform};
-use magpiewick::{Answered, Failure, Ms, News, Step, Target, Validity, Verdict};
+use magpiewick::{Answered, EndpointUpdate, Failure, Ms, Step, Target, Validity, Verdict};
 use magpiewick_exchange::{Arrived, Doubt, Upstream};
 use magpiewick_http1::{self as http1, Answers};
 use magpiewick_transport::{out_of_descriptors, reach, Ended, Reach, Stream};
@@ -63,7 +63,7 @@
     /// Does what the list client wants now, and holds the module to what the list is worth.
     pub(crate) fn run_list_client(&mut self) {
         let now = self.floor.now;
-        while let Some(step) = self.floor.list_client.due(now) {
+        while let Some(step) = self.floor.endpoint_client.due(now) {
             match step {
                 Step::Call { call, target } => self.begin_call(call, target),
                 Step::Drop { call } => self.drop_call(call),
@@ -76,14 +76,14 @@
     /// written are taken back.
     pub(crate) fn look_at_validity(&mut self) {
         let now = self.floor.now;
-        let validity = self.floor.list_client.validity(now);
+        let validity = self.floor.endpoint_client.validity(now);
         if validity == self.validity {
             return;
         }
-        let age = self.floor.list_client.age(now);
+        let age = self.floor.endpoint_client.age(now);
         self.floor.discovery_log.validity_changed(self.validity, validity, age);
         self.validity = validity;
-        self.desk.set_list_expired(validity == Validity::Expired);
+        self.engine.set_endpoint_list_expired(validity == Validity::Expired);
         if validity == Validity::Expired {
             self.floor.take_all_back();
         }
@@ -92,7 +92,7 @@
     fn begin_call(&mut self, call: u64, target: Target) {
         let (now, address) = (self.floor.now, self.floor.discovery);
         let (path, wait) = (path(target), wait_of(target));
-        let late = self.floor.list_client.calls_out() - 1;
+        let late = self.floor.endpoint_client.calls_out() - 1;
         self.floor.discovery_log.called(now, call, late, address, &path);
         let key = match self.call_connection(address) {
             Ok(key) => key,
@@ -167,7 +167,7 @@
         if connecting {
             self.floor.discovery_log.connected(call, connection.address, now - connection.began);
         }
-        self.floor.list_client.connected(call);
+        self.floor.endpoint_client.connected(call);
     }
 
     /// The connection of a call is of no more use.
@@ -182,7 +182,7 @@
     }
 
     fn call_failed(&mut self, call: u64, why: CallFailure, failure: Failure) {
-        let (now, client) = (self.floor.now, &mut self.floor.list_client);
+        let (now, client) = (self.floor.now, &mut self.floor.endpoint_client);
         let present = client.is_present(call);
         client.failed(now, call, failure);
         self.log_failed(call, present, &why);
@@ -195,7 +195,7 @@
             return self.floor.discovery_log.former_ended(now, call, why);
         }
         self.floor.counts.lists_failed += 1;
-        let next_in = self.floor.list_client.next_call_at() - now;
+        let next_in = self.floor.endpoint_client.next_call_at() - now;
         self.floor.discovery_log.failed(now, call, why, next_in);
     }
 
@@ -236,10 +236,10 @@
         let Some(Peer::Call(connection)) = self.floor.peers.get_mut(key) else { return };
         let Some(call) = connection.call.take() else { return };
         let took = now - connection.began;
-        let present = self.floor.list_client.is_present(call);
+        let present = self.floor.endpoint_client.is_present(call);
         let (generation, lines) = (listing.generation, listing.lines.len());
         let head = Answered { generation, whole: listing.whole, lines };
-        let verdict = self.floor.list_client.answered(now, call, head);
+        let verdict = self.floor.endpoint_client.answered(now, call, head);
         if present && !last && verdict != Verdict::Gap && self.floor.resting_call.is_none() {
             self.floor.resting_call = Some(key);
         } else {
@@ -258,11 +258,11 @@
         self.run_list_client();
     }
 
-    /// Tells the desk what a discovery told.
-    fn take_in(&mut self, listing: &Listing, news: News) {
+    /// Tells the engine what a discovery told.
+    fn take_in(&mut self, listing: &Listing, news: EndpointUpdate) {
         self.floor.counts.lists += 1;
         let entries = self.floor.listed(listing, unix_time());
-        self.desk.listed(self.floor.now, news, &entries);
+        self.engine.on_endpoint_update(self.floor.now, news, &entries);
     }
 
     /// The operator replaced the file and said so.
@@ -291,20 +291,20 @@
         }
         self.floor.discovery_log.reloaded(ReloadOutcome::Taken);
         tracing::info!(
-            %before, %after, generation = self.floor.list_client.generation(),
-            calls_out = self.floor.list_client.calls_out(), "discovery is at another address"
+            %before, %after, generation = self.floor.endpoint_client.generation(),
+            calls_out = self.floor.endpoint_client.calls_out(), "discovery is at another address"
         );
         if let Some(key) = self.floor.resting_call.take() {
             self.floor.peers.try_remove(key);
         }
         self.floor.discovery = after;
-        self.floor.list_client.reloaded(now);
+        self.floor.endpoint_client.reloaded(now);
         self.run_list_client();
     }
 
     fn reload_refused(&mut self, now: Ms, why: &str) {
         if self.reload.refused(now) {
-            self.floor.list_client.reload_refused(now);
+            self.floor.endpoint_client.reload_refused(now);
         }
         let retry_in = self.reload.retry_at().map(|at| at - now);
         self.floor.discovery_log.reload_refused(now, why, self.floor.discovery, retry_in);
--- a/crates/platform/src/floor.rs
+++ b/crates/platform/src/floor.rs
@@ -1,5 +1,5 @@
-//! What the desk's wishes come to on sockets: connections to clients, nodes and discovery, and the commands that
-//! travel between them. Every decision on a command is the desk's.
+//! What the engine's wishes come to on sockets: connections to clients, nodes and discovery, and the requests that
+//! travel between them. Every decision on a request is the engine's.
 
 use crate::client_connection::Client;
 use crate::clients::Room;
@@ -13,11 +13,11 @@
 use crate::shutdown::Shutdown;
 use crate::upstream::Link;
 use crate::wall_clock::WallClock;
-use magpiewick::{Answer, Condition, Ending, Entry, ListClient, Ms, Outcome};
-use magpiewick_engine::{Part, Reason, World};
+use magpiewick::{Answer, Endpoint, EndpointClient, EndpointState, FinalStatus, Ms, Outcome};
+use magpiewick_engine::{AttemptRef, Environment, Reason};
 use magpiewick_exchange::{EndpointTrust, Upstream};
-use magpiewick_instance_settings::Door;
 use magpiewick_http1::Answers;
+use magpiewick_instance_settings::PlatformSettings;
 use magpiewick_transport::{Clock, Poll, Stream, Timers};
 use slab::Slab;
 use std::collections::{BTreeMap, HashMap};
@@ -35,8 +35,8 @@
     Dial(usize, u64),
     /// An answer that has begun is to have gone on by now.
     Answer(usize, u64),
-    /// A hand-off's answer is to be there by now.
-    HandOff(u64, u32),
+    /// An attempt's answer is to be there by now.
+    Attempt(u64, u32),
     /// A client's connection is to have done something by now.
     Client(usize, u64),
     /// A client's connection that is not read may have ended meanwhile.
@@ -71,13 +71,13 @@
     }
 }
 
-/// A command until its answer is given and none of its hand-offs is out.
+/// A request until its answer is given and none of its attempts is out.
 pub struct Open {
     pub client: Option<usize>,
     pub id: String,
     pub head: Vec<u8>,
     pub body: Vec<u8>,
-    /// The hand-off that is out, on which connection, and since when.
+    /// The attempt that is out, on which connection, and since when.
     pub out: Option<(u32, usize, Ms)>,
     pub taken_at: Ms,
     /// Attempts begun, and the node and outcome of the last one.
@@ -89,7 +89,7 @@
 pub struct Node {
     pub id: String,
     pub address: Option<SocketAddr>,
-    pub condition: Condition,
+    pub state: EndpointState,
     /// When it started: as the list told it, and by the loop's clock.
     told: Option<u64>,
     started: Option<Ms>,
@@ -121,18 +121,18 @@
     pub now: Ms,
     /// What came in may be that old.
     pub age: Ms,
-    pub door: Door,
+    pub door: PlatformSettings,
     pub peers: Slab<Peer>,
-    pub commands: HashMap<u64, Open>,
+    pub requests: HashMap<u64, Open>,
     pub ids: HashMap<String, u64>,
     pub nodes: BTreeMap<u32, Node>,
     numbers: Numbers,
     pub pool: Pool,
     pub timers: Timers<Timed>,
-    /// Outcomes that are owed to the desk.
+    /// Outcomes that are owed to the engine.
     pub owed: Vec<(u64, Answer)>,
     pub wakes_at: Ms,
-    pub list_client: ListClient,
+    pub endpoint_client: EndpointClient,
     pub discovery: SocketAddr,
     /// The connection to discovery on which the last call was answered.
     pub resting_call: Option<usize>,
@@ -158,7 +158,7 @@
 impl Floor {
     pub fn new(poll: Poll, clock: Clock, wall_clock: WallClock, told: &Told) -> Floor {
         let (door, sockets, discovery) = (told.door.clone(), told.sockets, told.discovery);
-        let longest = told.start.bands.iter().map(|b| b.time_limit).fold(0.0, f64::max);
+        let longest = told.start.classes.iter().map(|b| b.client_timeout).fold(0.0, f64::max);
         let shutdown = Shutdown::new(longest);
         let now = clock.now();
         Floor {
@@ -169,14 +169,14 @@
             pool: Pool::new(door.idle),
             door,
             peers: Slab::new(),
-            commands: HashMap::new(),
+            requests: HashMap::new(),
             ids: HashMap::new(),
             nodes: BTreeMap::new(),
             numbers: Numbers::default(),
             timers: Timers::default(),
             owed: Vec::new(),
             wakes_at: 0.0,
-            list_client: told.list_client(now),
+            endpoint_client: told.endpoint_client(now),
             discovery,
             resting_call: None,
             shutdown,
@@ -211,14 +211,14 @@
         Ok(key)
     }
 
-    /// The memory that a connection takes, without the command that is open on it.
+    /// The memory that a connection takes, without the request that is open on it.
     pub fn held(&self, key: usize) -> usize {
         self.peers.get(key).map_or(0, Peer::held)
     }
 
     /// Connections that give way, as too many bytes wait in memory.
     pub fn too_large(&self) -> Vec<usize> {
-        let command = |id: &u64| self.commands.get(id).map_or(0, |open| open.head.len() + open.body.len());
+        let request_id = |id: &u64| self.requests.get(id).map_or(0, |open| open.head.len() + open.body.len());
         memory::give_way(
             self.most_held,
             self.peers.iter().map(|(key, peer)| match peer {
@@ -226,33 +226,33 @@
                     // What it has asked, whether it is its turn or not, is owed an answer.
                     let owed = c.open.is_some() || c.has_more();
                     let kind = if owed { Holder::Owed } else { Holder::Written };
-                    (kind, peer.held() + c.open.as_ref().map_or(0, command), key)
+                    (kind, peer.held() + c.open.as_ref().map_or(0, request_id), key)
                 }
                 Peer::Link(_) | Peer::Call(_) => (Holder::Node, peer.held(), key),
             }),
         )
     }
 
-    pub fn log_client_gone(&mut self, command: u64) {
-        if let Some(open) = self.commands.get(&command) {
+    pub fn log_client_gone(&mut self, request_id: u64) {
+        if let Some(open) = self.requests.get(&request_id) {
             let named = named(&self.nodes, open, self.now);
             self.request_log.client_gone(self.now, &named);
         }
     }
 
-    /// Forgets a command that was answered and has nothing out.
-    pub fn release(&mut self, command: u64) {
+    /// Forgets a request that was answered and has nothing out.
+    pub fn release(&mut self, request_id: u64) {
         let over = |open: &Open| open.client.is_none() && open.out.is_none();
-        if self.commands.get(&command).is_some_and(over) {
-            if let Some(open) = self.commands.remove(&command) {
+        if self.requests.get(&request_id).is_some_and(over) {
+            if let Some(open) = self.requests.remove(&request_id) {
                 self.ids.remove(&open.id);
             }
         }
     }
 
     /// Passes a node's answer on to the client that asked, if it still waits.
-    pub fn settle(&mut self, command: u64, body: &[u8]) {
-        if let Some(client) = self.end_request(command) {
+    pub fn settle(&mut self, request_id: u64, body: &[u8]) {
+        if let Some(client) = self.end_request(request_id) {
             self.counts.settled += 1;
             self.reply(client, 200, &[], body, false);
         }
@@ -260,15 +260,15 @@
 
     /// Ends a request: the client that is now given its one final answer, if it still waits. Nothing of it begins any
     /// more: an attempt that is not written whole is taken back.
-    fn end_request(&mut self, command: u64) -> Option<usize> {
-        let client = self.commands.get_mut(&command)?.client.take();
-        self.take_unwritten_back(command);
-        self.release(command);
+    fn end_request(&mut self, request_id: u64) -> Option<usize> {
+        let client = self.requests.get_mut(&request_id)?.client.take();
+        self.take_unwritten_back(request_id);
+        self.release(request_id);
         client
     }
 
     /// Takes a listing's lines in, read at this Unix time: the module's entries of them.
-    pub fn listed(&mut self, listing: &Listing, unix: f64) -> Vec<(u32, Entry)> {
+    pub fn listed(&mut self, listing: &Listing, unix: f64) -> Vec<(u32, Endpoint)> {
         self.wall_clock.read(unix, self.clock.now());
         if listing.whole {
             let named: Vec<&str> = listing.lines.iter().map(|l| l.id.as_str()).collect();
@@ -279,10 +279,10 @@
         listing.lines.iter().filter_map(|line| self.line(line)).collect()
     }
 
-    fn line(&mut self, line: &Line) -> Option<(u32, Entry)> {
-        let number = match line.condition {
+    fn line(&mut self, line: &Line) -> Option<(u32, Endpoint)> {
+        let number = match line.state {
             // Whatever was never known cannot go.
-            Condition::Gone => self.numbers.known(&line.id)?,
+            EndpointState::Removed => self.numbers.known(&line.id)?,
             _ => self.numbers.of(self.now, &line.id),
         };
         let zone = self.door.zones.iter().position(|z| *z == line.zone).unwrap_or(self.door.zones.len());
@@ -291,18 +291,18 @@
             Some(node) => node.started,
             None => line.started.map(|at| self.wall_clock.latest(at as f64, self.now)),
         };
-        let entry = Entry { node: 0, zone, shard: line.shard, condition: line.condition, started };
-        if line.condition == Condition::Gone {
+        let entry = Endpoint { node: 0, zone, shard: line.shard, state: line.state, started_at: started };
+        if line.state == EndpointState::Removed {
             self.forget_node(number);
             return Some((number, entry));
         }
         let (id, told) = (line.id.clone(), line.started);
-        let node = Node { id, address: line.address, condition: line.condition, told, started };
+        let node = Node { id, address: line.address, state: line.state, told, started };
         let before = self.nodes.insert(number, node);
-        if line.condition != Condition::Ready || before.is_some_and(|n| n.address != line.address) {
+        if line.state != EndpointState::Ready || before.is_some_and(|n| n.address != line.address) {
             self.drop_resting(number, UpstreamClosed::EndpointLeft);
         }
-        if line.condition != Condition::Ready {
+        if line.state != EndpointState::Ready {
             self.take_back(number);
         }
         Some((number, entry))
@@ -329,25 +329,25 @@
     }
 }
 
-impl World for Floor {
-    fn send(&mut self, node: u32, parts: &[Part]) {
+impl Environment for Floor {
+    fn send(&mut self, node: u32, parts: &[AttemptRef]) {
         parts.iter().for_each(|part| self.begin_attempt(node, part));
     }
 
-    fn cancel(&mut self, command: u64, hand_off: u32) {
-        self.give_up(command, hand_off, Sign::GivenUp);
+    fn cancel(&mut self, request_id: u64, attempt: u32) {
+        self.give_up(request_id, attempt, Sign::GivenUp);
     }
 
-    fn answer(&mut self, command: u64, ending: Ending, reason: Reason) {
-        let Some(open) = self.commands.get(&command) else { return };
-        let status = if matches!(ending, Ending::Scrapped) { 502 } else { 503 };
+    fn answer(&mut self, request_id: u64, ending: FinalStatus, reason: Reason) {
+        let Some(open) = self.requests.get(&request_id) else { return };
+        let status = if matches!(ending, FinalStatus::Failed) { 502 } else { 503 };
         let named = named(&self.nodes, open, self.now);
         self.request_log.answered(self.now, &named, status, reason);
-        let Some(key) = self.end_request(command) else { return };
+        let Some(key) = self.end_request(request_id) else { return };
         let word = reason.word();
         let (back, count) = match ending {
-            Ending::Bounced { back } => (back, &mut self.counts.bounced),
-            Ending::Scrapped => (0.0, &mut self.counts.scrapped),
+            FinalStatus::Rejected { retry_after } => (retry_after, &mut self.counts.bounced),
+            FinalStatus::Failed => (0.0, &mut self.counts.scrapped),
         };
         *count += 1;
         let back = format!("{:.3}", back / 1000.0);
@@ -359,10 +359,10 @@
     }
 
     /// The module judges nodes by their answers alone and asks for no probe.
-    fn probe(&mut self, _: u32) {}
+    fn check_health(&mut self, _: u32) {}
 
     /// The list client decides when the list is asked for; the module is not told that it may.
-    fn watch(&mut self) {}
+    fn poll_endpoints(&mut self) {}
 
     fn wake(&mut self, at: Ms) {
         self.wakes_at = at;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,5 @@
 //! The operators' platform as a door of magpiewick: one host, told by its environment and a JSON file, that speaks
-//! HTTP/1.1 with clients, nodes and discovery. One poll loop on one thread drives the desk; what only sockets ask
+//! HTTP/1.1 with clients, nodes and discovery. One poll loop on one thread drives the engine; what only sockets ask
 //! is decided in small modules without I/O.
 
 mod ask;
@@ -23,8 +23,8 @@
 use config::Told;
 use discovery_log::CallFailure;
 use floor::{Floor, Peer, Timed, FIRST_KEY};
-use magpiewick::{Failure, Ms, News, Validity};
-use magpiewick_engine::{Desk, Stood};
+use magpiewick::{EndpointUpdate, Failure, Ms, Validity};
+use magpiewick_engine::{Engine, StallDetector};
 use magpiewick_transport::{accept_error, AcceptError, Clock, Poll, Registered, Woken};
 use outcome::Sign;
 use reload::Reload;
@@ -68,9 +68,9 @@
 }
 
 struct Platform {
-    desk: Desk,
+    engine: Engine,
     floor: Floor,
-    stood: Stood,
+    stall_detector: StallDetector,
     listener: Option<Registered<TcpListener>>,
     accepts_from: Ms,
     term: Registered<UnixStream>,
@@ -114,9 +114,9 @@
         let seed = told.start.seed;
         let floor = Floor::new(poll, clock, wall_clock, &told);
         let mut platform = Platform {
-            desk: Desk::new(told.start, now),
+            engine: Engine::new(told.start, now),
             floor,
-            stood: Stood::new(now, round),
+            stall_detector: StallDetector::new(now, round),
             listener: Some(listener),
             accepts_from: now,
             term,
@@ -131,7 +131,7 @@
         };
         if let Some(known) = told.known {
             let entries = platform.floor.listed(&known, unix_time());
-            platform.desk.listed(now, News::Remembered, &entries);
+            platform.engine.on_endpoint_update(now, EndpointUpdate::Restored, &entries);
             // Clients wait for a host that has come back, a quarter of a second for discovery's answer alone, and the
             // module knows that what is remembered may be old. Where lists are pushed, what the agent has counts as
             // told from the first moment, so that its answer is waited for.
@@ -152,11 +152,11 @@
             }
             let now = self.floor.clock.now();
             let sleep = (self.wakes_at() - now).clamp(0.0, MOST_SLEEP);
-            self.stood.sleeps(now, sleep);
+            self.stall_detector.sleeps(now, sleep);
             self.floor.poll.wait(&mut woken, Some(Clock::until(now, now + sleep)))?;
             self.floor.now = self.floor.clock.now();
-            self.stood.woke(self.floor.now);
-            self.floor.age = self.stood.age();
+            self.stall_detector.woke(self.floor.now);
+            self.floor.age = self.stall_detector.age();
             // Before anything is sent: the process may have stood still for long.
             self.look_at_validity();
             self.read_all(&woken.readable);
@@ -201,7 +201,7 @@
     fn asked_to_end(&mut self) {
         if signalled(&mut self.term) {
             self.floor.shutdown.asked(self.floor.now);
-            tracing::info!(in_hand = self.desk.in_hand(), "asked to end");
+            tracing::info!(in_hand = self.engine.pending(), "asked to end");
         }
     }
 
@@ -226,10 +226,10 @@
     fn wakes_at(&self) -> Ms {
         let floor = &self.floor;
         let closes = floor.shutdown.closes_at().filter(|_| self.listener.is_some());
-        let over = floor.shutdown.over_at().filter(|_| !floor.commands.is_empty());
+        let over = floor.shutdown.over_at().filter(|_| !floor.requests.is_empty());
         // Past it a client that does not read its answer is waited for, as by its own timer.
         let out = floor.shutdown.out_at().filter(|at| *at > floor.now);
-        let list = Some(floor.list_client.wakes_at(floor.now));
+        let list = Some(floor.endpoint_client.wakes_at(floor.now));
         let retry = self.reload.retry_at();
         let times = [floor.timers.next_at(), list, retry, Some(self.tells_at), closes, over, out];
         let listens =
@@ -241,7 +241,7 @@
     /// there is time: the end of the process would break their connections, and take with it what they have not read.
     fn ended(&self) -> bool {
         let (floor, shutdown) = (&self.floor, &self.floor.shutdown);
-        if self.listener.is_some() || !shutdown.closed(floor.now) || !floor.commands.is_empty() {
+        if self.listener.is_some() || !shutdown.closed(floor.now) || !floor.requests.is_empty() {
             return false;
         }
         let out = shutdown.out_at().is_some_and(|at| floor.now >= at);
@@ -277,24 +277,24 @@
     fn finish(&mut self) {
         let now = self.floor.now;
         let out: Vec<(u64, u32)> =
-            self.floor.commands.iter().filter_map(|(id, open)| Some((*id, open.out?.0))).collect();
-        out.into_iter().for_each(|(command, hand_off)| self.floor.give_up(command, hand_off, Sign::Late));
+            self.floor.requests.iter().filter_map(|(id, open)| Some((*id, open.out?.0))).collect();
+        out.into_iter().for_each(|(request_id, attempt)| self.floor.give_up(request_id, attempt, Sign::Late));
         self.settle_all();
-        let mut held: Vec<u64> = self.floor.commands.keys().copied().collect();
+        let mut held: Vec<u64> = self.floor.requests.keys().copied().collect();
         held.sort_unstable();
-        held.into_iter().for_each(|command| self.desk.finish(now, command, &mut self.floor));
+        held.into_iter().for_each(|request_id| self.engine.finish(now, request_id, &mut self.floor));
     }
 
-    /// Tells the desk what is owed to it and does what it wants, until nothing is left to do now.
+    /// Tells the engine what is owed to it and does what it wants, until nothing is left to do now.
     fn settle_all(&mut self) {
         self.run_list_client();
         loop {
             self.end_gone_clients();
-            for (command, answer) in std::mem::take(&mut self.floor.owed) {
-                self.desk.outcome(self.floor.now, command, answer, &mut self.floor);
-                self.floor.release(command);
+            for (request_id, answer) in std::mem::take(&mut self.floor.owed) {
+                self.engine.on_outcome(self.floor.now, request_id, answer, &mut self.floor);
+                self.floor.release(request_id);
             }
-            self.desk.run(self.floor.now, &mut self.floor);
+            self.engine.run(self.floor.now, &mut self.floor);
             self.flush_queued();
             let floor = &self.floor;
             if floor.owed.is_empty() && floor.again.is_empty() && floor.gone.is_empty() {
@@ -346,7 +346,7 @@
             match timed {
                 Timed::Dial(key, serial) => self.floor.look_at_dial(key, serial),
                 Timed::Answer(key, serial) => self.floor.look_at_answer(key, serial),
-                Timed::HandOff(command, hand_off) => self.floor.give_up(command, hand_off, Sign::Late),
+                Timed::Attempt(request_id, attempt) => self.floor.give_up(request_id, attempt, Sign::Late),
                 Timed::Client(key, serial) => self.client_late(key, serial),
                 Timed::Unread(key, serial) => self.unread(key, serial),
             }
@@ -365,7 +365,7 @@
         if self.floor.shutdown.closed(now) && self.listener.is_some() {
             self.close();
         }
-        if self.floor.shutdown.over_at().is_some_and(|at| now >= at) && !self.floor.commands.is_empty() {
+        if self.floor.shutdown.over_at().is_some_and(|at| now >= at) && !self.floor.requests.is_empty() {
             self.finish();
         }
         if now >= self.tells_at {
@@ -375,9 +375,9 @@
     }
 
     fn tell_counters(&self) {
-        let (floor, client) = (&self.floor, &self.floor.list_client);
+        let (floor, client) = (&self.floor, &self.floor.endpoint_client);
         tracing::info!(
-            in_hand = floor.commands.len(), clients = floor.clients, peers = floor.peers.len(),
+            in_hand = floor.requests.len(), clients = floor.clients, peers = floor.peers.len(),
             nodes = floor.nodes.len(), counts = ?floor.counts, "counters"
         );
         tracing::info!(
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -25,7 +25,7 @@
 
 /// Those that give way: of each kind the largest first, until the rest is within the bound. Guards against many
 /// large answers at once, and against clients that read theirs slowly; each alone is within its own bound. It could
-/// harm where a node's answers are large and the memory is small: a hand-off that would have been answered.
+/// harm where a node's answers are large and the memory is small: an attempt that would have been answered.
 pub fn give_way(bound: usize, all: impl Iterator<Item = (Holder, usize, usize)>) -> Vec<usize> {
     let mut all: Vec<(Holder, usize, usize)> = all.filter(|(_, bytes, _)| *bytes > 0).collect();
     let mut held: usize = all.iter().map(|a| a.1).sum();
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Which connection to a node a hand-off takes, and which give way; free of I/O.
+//! Which connection to a node an attempt takes, and which give way; free of I/O.
 //!
 //! A connection is named by the loop's key. It rests here from the end of an answer that was whole until it is
 //! taken or retired; all others are the loop's.
@@ -14,7 +14,7 @@
 /// at once, and 50 ms is what the platform's protocol allows the network in every limit of time. Of 5,000 pieces of
 /// answers in pieces none came more than 2.2 ms after the one before it, and with 1 s to wait none came later. Guards against answers that stop short on a
 /// connection that stays open, which would else be waited for as long as for a node's work; it could harm where the
-/// network loses packets or a node stops in the middle of an answer: a hand-off that would have been answered.
+/// network loses packets or a node stops in the middle of an answer: an attempt that would have been answered.
 pub const STALLS: Ms = 50.0;
 
 pub struct Pool {
@@ -85,7 +85,7 @@
     }
 }
 
-/// A number is given out again when its node has been gone for so long: longer than any hand-off there is out, and
+/// A number is given out again when its node has been gone for so long: longer than any attempt there is out, and
 /// than it takes until the module, which forgets a node with the next news of the list, has forgotten it.
 const FORGOTTEN: Ms = 60_000.0;
 
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -1,8 +1,8 @@
-//! What the end of a hand-off proves; free of I/O.
+//! What the end of an attempt proves; free of I/O.
 
 use magpiewick::Outcome;
 
-/// What was seen of a hand-off.
+/// What was seen of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
     /// A whole answer.
@@ -14,7 +14,7 @@
     Spoilt,
     /// The connection could not be made, broke or ended.
     Broke,
-    /// The time for the connection or for the hand-off ran out, or the host gave up.
+    /// The time for the connection or for the attempt ran out, or the host gave up.
     Late,
     GivenUp,
     /// The host took it back before it was written whole, whatever the node does.
@@ -38,11 +38,11 @@
 /// `written`: the kernel took the last byte. Only what the platform names as proof counts as never run.
 pub fn outcome(sign: Sign, written: bool) -> Outcome {
     match sign {
-        Sign::Answer { status: 200, .. } => Outcome::Settled,
-        Sign::Answer { status: 503 | 504, not_run: true } => Outcome::Full,
+        Sign::Answer { status: 200, .. } => Outcome::Succeeded,
+        Sign::Answer { status: 503 | 504, not_run: true } => Outcome::Overloaded,
         Sign::Answer { .. } => Outcome::Error,
-        Sign::TakenBack if !written => Outcome::Moot,
-        _ if !written => Outcome::NoConnection,
+        Sign::TakenBack if !written => Outcome::DeadlineExceeded,
+        _ if !written => Outcome::ConnectFailed,
         Sign::Spoilt | Sign::Broke => Outcome::Reset,
         Sign::Late => Outcome::TimedOut,
         Sign::GivenUp | Sign::TakenBack => Outcome::Cancelled,
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -1,6 +1,6 @@
 //! When the configuration file is read again; free of I/O.
 
-use magpiewick::{Backoff, Chance, Ms};
+use magpiewick::{Backoff, Ms, RandomSource};
 
 /// Waits before a file that could not be used is read again: it may have been met half written.
 const FIRST_WAIT: Ms = 50.0;
@@ -12,13 +12,13 @@
     /// What was announced last was not met yet.
     new: bool,
     backoff: Backoff,
-    chance: Chance,
+    rng: RandomSource,
 }
 
 impl Reload {
     pub fn new(seed: u64) -> Reload {
         let backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
-        Reload { retry_at: None, new: false, backoff, chance: Chance::new(seed) }
+        Reload { retry_at: None, new: false, backoff, rng: RandomSource::new(seed) }
     }
 
     /// The operator announced a new configuration.
@@ -30,7 +30,7 @@
     /// The file could not be used. It is read again until it can be, without another announcement. Whether it is the
     /// first time since the last one.
     pub fn refused(&mut self, now: Ms) -> bool {
-        self.retry_at = Some(now + self.backoff.failed(&mut self.chance));
+        self.retry_at = Some(now + self.backoff.failed(&mut self.rng));
         std::mem::take(&mut self.new)
     }
 
--- a/crates/platform/src/request_log.rs
+++ b/crates/platform/src/request_log.rs
@@ -187,14 +187,14 @@
         }
     }
 
-    /// A request was read whole and taken; `command` is its number in other lines.
-    pub fn taken(&self, client: u64, id: &str, command: u64, in_front: u32) {
-        tracing::debug!(client, id, command, in_front, "request taken");
+    /// A request was read whole and taken; `request` is its number in other lines.
+    pub fn taken(&self, client: u64, id: &str, request_id: u64, in_front: u32) {
+        tracing::debug!(client, id, request_id, in_front, "request taken");
     }
 
     /// An answer was handed to a client's connection.
-    pub fn replied(&self, client: u64, command: Option<u64>, status: u16, close: bool) {
-        tracing::debug!(client, command, status, close, "answer queued");
+    pub fn replied(&self, client: u64, request_id: Option<u64>, status: u16, close: bool) {
+        tracing::debug!(client, request_id, status, close, "answer queued");
     }
 
     /// An attempt begins on a connection to a node.
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -2,7 +2,7 @@
 
 use magpiewick::Ms;
 
-/// The end comes by force no sooner than so long after the longest time limit that the platform heeds.
+/// The end comes by force no sooner than so long after the longest client timeout that the platform heeds.
 const HEEDED: Ms = 3000.0;
 const BEHIND: Ms = 700.0;
 /// By how much sooner all is to be answered: a process may be held up for 0.15 s just then. How long before that
@@ -23,7 +23,7 @@
 }
 
 impl Shutdown {
-    /// `longest`: the longest time limit of any band.
+    /// `longest`: the longest client timeout of any class.
     pub fn new(longest: Ms) -> Shutdown {
         Shutdown { since: None, lasts: longest.min(HEEDED) + BEHIND - MARGIN }
     }
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -5,8 +5,8 @@
 use crate::nodes::STALLS;
 use crate::outcome::{outcome, Sign};
 use crate::request_log::UpstreamClosed;
-use magpiewick::{Answer, Condition, Ms, Outcome};
-use magpiewick_engine::{Part, Reason};
+use magpiewick::{Answer, EndpointState, Ms, Outcome};
+use magpiewick_engine::{AttemptRef, Reason};
 use magpiewick_exchange::{Arrived, Doubt, Upstream};
 use magpiewick_http1::{self as http1, Answers};
 use magpiewick_transport::{out_of_descriptors, reach, Ended, Reach, Stream};
@@ -22,13 +22,13 @@
     /// An attempt that is written when the connection stands: until when its client waits, and by when it must have
     /// left the host.
     Coming {
-        command: u64,
+        request_id: u64,
         ends: Ms,
         latest: Ms,
     },
     /// An attempt; until which byte of the stream it goes, and when that was written.
     Out {
-        command: u64,
+        request_id: u64,
         end: u64,
         written: Option<Ms>,
     },
@@ -136,23 +136,25 @@
         let Some(link) = self.drop_link(key, UpstreamClosed::Attempt(sign)) else { return };
         match link.stage {
             Stage::Rests => {}
-            Stage::Coming { command, .. } => self.end_attempt(command, outcome(sign, false), None, None),
-            Stage::Out { command, written, .. } => {
-                self.end_attempt(command, outcome(sign, link.written()), written, None);
+            Stage::Coming { request_id, .. } => {
+                self.end_attempt(request_id, outcome(sign, false), None, None)
+            }
+            Stage::Out { request_id, written, .. } => {
+                self.end_attempt(request_id, outcome(sign, link.written()), written, None);
             }
         }
     }
 
-    /// Ends the attempt of a command that is out: its outcome is owed to the desk.
+    /// Ends the attempt of a request that is out: its outcome is owed to the engine.
     pub fn end_attempt(
         &mut self,
-        command: u64,
+        request_id: u64,
         outcome: Outcome,
         written: Option<Ms>,
         answer: Option<&http1::Answer>,
     ) {
         let now = self.now;
-        let Some(open) = self.commands.get_mut(&command) else { return };
+        let Some(open) = self.requests.get_mut(&request_id) else { return };
         let Some((_, _, since)) = open.out.take() else { return };
         if let Some((_, last)) = &mut open.last {
             *last = Some(outcome);
@@ -164,34 +166,35 @@
         let latency = (now - written.unwrap_or(since)).max(0.0);
         let used = read("x-iops-used").map(|percent| percent / 100.0);
         let others = read("x-rho").unwrap_or(0.0);
-        let over = outcome == Outcome::Settled;
-        if let Some(open) = self.commands.get(&command) {
+        let over = outcome == Outcome::Succeeded;
+        if let Some(open) = self.requests.get(&request_id) {
             self.request_log.attempt_ended(&named(&self.nodes, open, now), outcome, latency);
         }
         *self.counts.outcomes.entry(Reason::After(outcome).word()).or_default() += 1;
-        self.owed.push((command, Answer { outcome, latency, over, used, others }));
+        self.owed.push((request_id, Answer { outcome, latency, over, used, others }));
     }
 
     /// Begins an attempt on a resting connection that is good, or on a new one.
-    pub fn begin_attempt(&mut self, node: u32, part: &Part) {
+    pub fn begin_attempt(&mut self, node: u32, part: &AttemptRef) {
         let now = self.now;
         let address = self.nodes.get(&node).and_then(|n| n.address);
         let dialled = match (self.resting_link(node), address) {
             (Some(key), _) => Ok(key),
             (None, Some(address)) => self.dial(node, address),
-            (None, None) => Err(Outcome::NoConnection),
+            (None, None) => Err(Outcome::ConnectFailed),
         };
-        self.log_retry(node, part.command);
-        let Some(open) = self.commands.get_mut(&part.command) else { return };
+        self.log_retry(node, part.request_id);
+        let Some(open) = self.requests.get_mut(&part.request_id) else { return };
         (open.attempts, open.last) = (open.attempts + 1, Some((node, None)));
-        open.out = Some((part.hand_off, *dialled.as_ref().unwrap_or(&usize::MAX), now));
+        open.out = Some((part.attempt, *dialled.as_ref().unwrap_or(&usize::MAX), now));
         let key = match dialled {
             Ok(key) => key,
-            Err(outcome) => return self.end_attempt(part.command, outcome, None, None),
+            Err(outcome) => return self.end_attempt(part.request_id, outcome, None, None),
         };
         let Some(link) = self.link(key) else { return };
-        link.stage = Stage::Coming { command: part.command, ends: now + part.time_out, latest: part.latest };
-        self.timers.set(now + part.time_out, Timed::HandOff(part.command, part.hand_off));
+        link.stage =
+            Stage::Coming { request_id: part.request_id, ends: now + part.timeout, latest: part.send_by };
+        self.timers.set(now + part.timeout, Timed::Attempt(part.request_id, part.attempt));
         self.flush_link(key);
     }
 
@@ -208,8 +211,8 @@
         }
     }
 
-    fn log_retry(&mut self, node: u32, command: u64) {
-        let Some(open) = self.commands.get(&command) else { return };
+    fn log_retry(&mut self, node: u32, request_id: u64) {
+        let Some(open) = self.requests.get(&request_id) else { return };
         let Some((_, Some(after))) = open.last else { return };
         let named = named(&self.nodes, open, self.now);
         let to = self.nodes.get(&node).map_or("", |n| n.id.as_str());
@@ -221,23 +224,23 @@
     /// comes back where it is too late for that, or its client has left.
     fn write_attempt(&mut self, key: usize) -> Result<(), Sign> {
         let now = self.clock.now();
-        let Some(&mut Link { stage: Stage::Coming { command, ends, latest }, .. }) = self.link(key) else {
+        let Some(&mut Link { stage: Stage::Coming { request_id, ends, latest }, .. }) = self.link(key) else {
             return Ok(());
         };
         if now > latest {
             return Err(Sign::GivenUp);
         }
-        if self.has_ended(command) {
+        if self.has_ended(request_id) {
             return Err(Sign::TakenBack);
         }
-        let Some(open) = self.commands.get(&command) else { return Err(Sign::GivenUp) };
+        let Some(open) = self.requests.get(&request_id) else { return Err(Sign::GivenUp) };
         let Some(Peer::Link(link)) = self.peers.get_mut(key) else { return Ok(()) };
         let left = (ends - now).max(1.0).floor();
         let deadline = format!("X-Deadline: {left}m\r\n\r\n");
         let out = link.stream.output();
         [&open.head, deadline.as_bytes(), &open.body].iter().for_each(|part| out.extend_from_slice(part));
         let end = link.stream.queued_in_all();
-        link.stage = Stage::Out { command, end, written: None };
+        link.stage = Stage::Out { request_id, end, written: None };
         let request = named(&self.nodes, open, now);
         self.request_log.attempt_begun(&request, link.serial, link.exchanges.exchanges(), left);
         self.counts.sent += 1;
@@ -247,7 +250,7 @@
     /// Opens a connection to a node, or what the attempt that wanted it comes to.
     fn dial(&mut self, node: u32, address: SocketAddr) -> Result<usize, Outcome> {
         if self.links >= self.room.links {
-            let key = self.pool.gives_way().ok_or(Outcome::NoConnection)?;
+            let key = self.pool.gives_way().ok_or(Outcome::ConnectFailed)?;
             self.drop_link(key, UpstreamClosed::GaveWay);
         }
         let (now, serial) = (self.now, self.next_serial());
@@ -265,8 +268,8 @@
         };
         // A host that is out of descriptors, ports or memory must not take that for a sign of the node.
         let key = opened.map_err(|error| match reach(&error) {
-            Reach::Remote => Outcome::NoConnection,
-            Reach::Local => Outcome::Moot,
+            Reach::Remote => Outcome::ConnectFailed,
+            Reach::Local => Outcome::DeadlineExceeded,
         })?;
         self.links += 1;
         self.counts.opened += 1;
@@ -340,10 +343,10 @@
     /// A whole answer came on a connection on which an attempt is out.
     fn answered(&mut self, key: usize, came: &Came) {
         let Some(link) = self.link(key) else { return };
-        let Stage::Out { command, written, .. } = link.stage else { return };
+        let Stage::Out { request_id, written, .. } = link.stage else { return };
         let (node, serial, whole) = (link.node, link.serial, link.written());
         link.begun = None;
-        let id = self.commands.get(&command).map_or("", |open| open.id.as_str());
+        let id = self.requests.get(&request_id).map_or("", |open| open.id.as_str());
         let names = came.answer.field("x-request-id");
         let (status, body, behind) = (came.answer.status, &came.answer.body[..], &came.behind[..]);
         let arrived = Arrived { status, body, behind, names };
@@ -357,9 +360,9 @@
         }
         let not_run = came.answer.field("x-not-run") == Some("1");
         let outcome = outcome(Sign::Answer { status, not_run }, whole);
-        self.end_attempt(command, outcome, written, Some(&came.answer));
-        if outcome == Outcome::Settled {
-            self.settle(command, body);
+        self.end_attempt(request_id, outcome, written, Some(&came.answer));
+        if outcome == Outcome::Succeeded {
+            self.settle(request_id, body);
         }
     }
 
@@ -380,7 +383,7 @@
         let Some(link) = self.link(key) else { return };
         link.exchanges.ended(now, arrived);
         let node = link.node;
-        let ready = self.nodes.get(&node).is_some_and(|n| n.condition == Condition::Ready);
+        let ready = self.nodes.get(&node).is_some_and(|n| n.state == EndpointState::Ready);
         let why = match (last, ready, self.trust.may_reuse(node, arrived.status)) {
             (true, ..) => UpstreamClosed::AfterAnswer,
             (_, false, _) => UpstreamClosed::EndpointLeft,
@@ -416,17 +419,17 @@
 
     /// Takes an attempt back that is not written whole, as its request has ended: its node has not begun it, and must
     /// not begin it any more. That is no cancel of work, and needs no leave to cancel.
-    pub fn take_unwritten_back(&mut self, command: u64) {
-        let Some((_, key, _)) = self.commands.get(&command).and_then(|open| open.out) else { return };
+    pub fn take_unwritten_back(&mut self, request_id: u64) {
+        let Some((_, key, _)) = self.requests.get(&request_id).and_then(|open| open.out) else { return };
         if self.link(key).is_some_and(|link| !link.written()) {
             self.end_link(key, Sign::TakenBack);
         }
     }
 
     /// Ends an attempt that is out, as its time is over or nobody waits for it.
-    pub fn give_up(&mut self, command: u64, hand_off: u32, sign: Sign) {
-        let out = self.commands.get(&command).and_then(|open| open.out);
-        if let Some((_, key, _)) = out.filter(|out| out.0 == hand_off) {
+    pub fn give_up(&mut self, request_id: u64, attempt: u32, sign: Sign) {
+        let out = self.requests.get(&request_id).and_then(|open| open.out);
+        if let Some((_, key, _)) = out.filter(|out| out.0 == attempt) {
             self.end_link(key, sign);
         }
     }
--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -4,12 +4,12 @@
 //! no code with what it audits but the figures of the settings file.
 
 use crate::clients::{Said, Try};
-use crate::sheet::DrillSheet;
+use crate::config::ScenarioConfig;
 use crate::storm::{storms, Storms};
-use magpiewick::{Group, Repeats};
-use magpiewick_gateway::sheet::HostSheet;
-use magpiewick_node_protocol::Verdict as Answer;
-use magpiewick_emulator::{FleetSheet, NodeSheet, Seen};
+use magpiewick::{DeduplicationScope, Idempotency};
+use magpiewick_emulator::{EmulatorConfig, NodeConfig, Seen};
+use magpiewick_gateway::config::HostConfig;
+use magpiewick_node_protocol::FinalCode as Answer;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -25,11 +25,11 @@
     Drain,
     Cold,
     Order,
-    Budget,
+    RetryBudget,
     Limits,
     /// Not one of the seven: an acknowledged write is where its piece of data lies.
     Data,
-    /// Nor this: what a drill states of storms. Checked where it states something.
+    /// Nor this: what a scenario states of storms. Checked where it states something.
     Storm,
 }
 
@@ -40,7 +40,7 @@
         Rule::Drain,
         Rule::Cold,
         Rule::Order,
-        Rule::Budget,
+        Rule::RetryBudget,
         Rule::Limits,
         Rule::Data,
         Rule::Storm,
@@ -60,8 +60,9 @@
     /// The host's life, where one host is to blame.
     pub host: Option<u64>,
     pub node: Option<u32>,
-    /// The client's mark of the command.
-    pub command: Option<u64>,
+    /// The client's mark of the request.
+    #[serde(rename = "command")]
+    pub request_id: Option<u64>,
     pub what: String,
 }
 
@@ -71,12 +72,13 @@
     /// How much was checked for each rule.
     pub checked: BTreeMap<&'static str, u64>,
     pub findings: Vec<Finding>,
-    /// Payoff that was due, and what was reached of it within the soft limit.
+    /// Payoff that was due, and what was reached of it within the latency objective.
     pub due: f64,
     pub reached: f64,
-    pub hand_offs: u64,
+    #[serde(rename = "hand_offs")]
+    pub attempts: u64,
     pub further: u64,
-    /// Hand-offs that met a node without the data, what became of their commands, and changes of owners.
+    /// Attempts that met a node without the data, what became of their requests, and changes of owners.
     pub stale: u64,
     pub stale_settled: u64,
     pub stale_bounced: u64,
@@ -92,11 +94,11 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct HostShare {
     pub host: usize,
-    /// Writes that it was asked, those that it sent, and the commands of nodes that these travelled in.
+    /// Writes that it was asked, those that it sent, and the requests of nodes that these travelled in.
     pub writes: u64,
     pub sent: u64,
     pub node_commands: u64,
-    /// The part of the payoff due that it settled within the soft limit.
+    /// The part of the priority weight due that it succeeded within the latency objective.
     pub payoff: f64,
     /// Milliseconds to the last byte of reads of several blocks: the median and the 99th of 100.
     pub long_reads: u64,
@@ -106,9 +108,9 @@
 
 /// All that is known of a run.
 pub struct Evidence<'a> {
-    pub host: &'a HostSheet,
-    pub fleet: &'a FleetSheet,
-    pub drill: &'a DrillSheet,
+    pub host: &'a HostConfig,
+    pub fleet: &'a EmulatorConfig,
+    pub drill: &'a ScenarioConfig,
     pub seen: &'a [(Ms, Seen)],
     pub said: &'a [(Ms, Said)],
     /// Hosts that the script stopped where they stood: number, from, to.
@@ -133,14 +135,14 @@
     }
 }
 
-/// A hand-off as a node saw it, and when its wait ended.
+/// An attempt as a node saw it, and when its wait ended.
 struct Sent {
     at: Ms,
     node: u32,
     life: u64,
     host: u64,
-    command: u64,
-    hand_off: u16,
+    request_id: u64,
+    attempt: u16,
     volume: u64,
     units: f64,
     mark: u64,
@@ -170,7 +172,7 @@
 }
 
 /// Units that a node does in a millisecond, so long after it started cold.
-pub(crate) fn units_a_ms(fleet: &FleetSheet, n: &NodeSheet, after: Ms) -> f64 {
+pub(crate) fn units_a_ms(fleet: &EmulatorConfig, n: &NodeConfig, after: Ms) -> f64 {
     let c = fleet.cold;
     let warmth = (c.share + (1.0 - c.share) * after / c.time).min(1.0);
     n.cores as f64 * n.speed / fleet.unit_work * warmth
@@ -213,11 +215,11 @@
 }
 
 impl Audit<'_> {
-    fn find(&mut self, rule: Rule, at: Ms, sent: Option<usize>, command: Option<u64>, what: String) {
+    fn find(&mut self, rule: Rule, at: Ms, sent: Option<usize>, request_id: Option<u64>, what: String) {
         let s = sent.map(|i| &self.sent[i]);
         let (host, node) = (s.map(|s| s.host), s.map(|s| s.node));
-        let command = command.or(s.map(|s| s.mark));
-        self.verdict.findings.push(Finding { rule, at, host, node, command, what });
+        let request_id = request_id.or(s.map(|s| s.mark));
+        self.verdict.findings.push(Finding { rule, at, host, node, request_id, what });
     }
 
     fn checked(&mut self, rule: Rule, count: usize) {
@@ -263,17 +265,17 @@
         for (at, seen) in self.e.seen {
             match *seen {
                 Seen::Started { node, life, .. } => _ = lives.insert(node, life),
-                Seen::HandOff { node, host, command, hand_off, volume, units, mark, .. } => {
+                Seen::Attempt { node, host, request_id, attempt, volume, units, mark, .. } => {
                     let life = lives.get(&node).copied().unwrap_or(0);
-                    out.insert((host, command, hand_off), self.sent.len());
+                    out.insert((host, request_id, attempt), self.sent.len());
                     let (at, answered, dropped) = (*at, None, None);
                     self.sent.push(Sent {
                         at,
                         node,
                         life,
                         host,
-                        command,
-                        hand_off,
+                        request_id,
+                        attempt,
                         volume,
                         units,
                         mark,
@@ -281,13 +283,13 @@
                         dropped,
                     });
                 }
-                Seen::Answered { host, command, hand_off, ran, .. } => {
-                    if let Some(&i) = out.get(&(host, command, hand_off)) {
+                Seen::Answered { host, request_id, attempt, ran, .. } => {
+                    if let Some(&i) = out.get(&(host, request_id, attempt)) {
                         self.sent[i].answered.get_or_insert((*at, ran));
                     }
                 }
-                Seen::Cancelled { host, command, hand_off, .. } => {
-                    if let Some(&i) = out.get(&(host, command, hand_off)) {
+                Seen::Cancelled { host, request_id, attempt, .. } => {
+                    if let Some(&i) = out.get(&(host, request_id, attempt)) {
                         self.sent[i].dropped.get_or_insert(*at);
                     }
                 }
@@ -300,7 +302,7 @@
                 _ => {}
             }
         }
-        // A hand-off belongs to the latest try of its mark that its host had taken by then.
+        // An attempt belongs to the latest try of its mark that its host had taken by then.
         let mut by_mark: HashMap<(u64, u64), Vec<usize>> = HashMap::new();
         for (i, tried) in self.tried.iter().enumerate() {
             by_mark.entry((tried.t.host, tried.t.mark)).or_default().push(i);
@@ -311,7 +313,7 @@
             let tries = by_mark.get(&(s.host, s.mark));
             let latest =
                 || tries.and_then(|all| all.iter().rev().find(|t| self.tried[**t].at <= s.at).copied());
-            let belongs = *first.entry((s.host, s.command)).or_insert_with(latest);
+            let belongs = *first.entry((s.host, s.request_id)).or_insert_with(latest);
             match belongs {
                 Some(t) => self.tried[t].sent.push(i),
                 None => {
@@ -320,8 +322,8 @@
                 }
             }
         }
-        self.verdict.hand_offs = self.sent.len() as u64;
-        self.verdict.further = self.sent.iter().filter(|s| s.hand_off > 0).count() as u64;
+        self.verdict.attempts = self.sent.len() as u64;
+        self.verdict.further = self.sent.iter().filter(|s| s.attempt > 0).count() as u64;
     }
 
     /// Rule 1: one final answer in time, and nothing sent after it.
@@ -352,14 +354,16 @@
         }
     }
 
-    /// Rule 2: no effect twice, no hand-off and no bounce that could bring one.
+    /// Rule 2: no effect twice, no attempt and no bounce that could bring one.
     fn effects(&mut self) {
-        let bands = &self.e.host.start.bands;
-        let repeats = |band: u16| bands.get(usize::from(band)).map_or(Repeats::Binding, |b| b.repeats);
+        let classes = &self.e.host.start.classes;
+        let repeats = |class: u16| {
+            classes.get(usize::from(class)).map_or(Idempotency::NonIdempotent, |b| b.idempotency)
+        };
         let mut ran: HashMap<u64, u32> = HashMap::new();
         for (at, seen) in self.e.seen {
-            let Seen::Ran { node, host, band, mark, .. } = *seen else { continue };
-            if repeats(band) == Repeats::Retriable {
+            let Seen::Ran { node, host, class, mark, .. } = *seen else { continue };
+            if repeats(class) == Idempotency::Idempotent {
                 continue;
             }
             let times = ran.entry(mark).or_default();
@@ -367,30 +371,33 @@
             if *times == 2 {
                 let what = "its effect took place twice".to_string();
                 let (rule, at) = (Rule::Twice, *at);
-                let f = Finding { rule, at, host: Some(host), node: Some(node), command: Some(mark), what };
+                let f =
+                    Finding { rule, at, host: Some(host), node: Some(node), request_id: Some(mark), what };
                 self.verdict.findings.push(f);
             }
         }
         self.checked(Rule::Twice, ran.len());
         for i in 0..self.tried.len() {
-            let band = usize::from(self.tried[i].t.band);
-            if bands[band].repeats != Repeats::Retriable {
-                self.repeats(i, band);
+            let class = usize::from(self.tried[i].t.class);
+            if classes[class].idempotency != Idempotency::Idempotent {
+                self.repeats(i, class);
             }
         }
     }
 
-    fn repeats(&mut self, tried: usize, band: usize) {
-        let (noise, band) = (self.e.drill.noise, &self.e.host.start.bands[band]);
+    fn repeats(&mut self, tried: usize, class: usize) {
+        let (noise, class) = (self.e.drill.noise, &self.e.host.start.classes[class]);
         let sent = self.tried[tried].sent.clone();
         for (n, &s) in sent.iter().enumerate() {
             let at = self.sent[s].at;
             let Some(&before) = sent[..n].iter().find(|b| !self.sent[**b].never_ran(at)) else { continue };
             let (first, now) = (&self.sent[before], &self.sent[s]);
-            let what = match band.repeats {
-                Repeats::Binding => Some("a binding command sent again that may have run"),
-                _ if at > first.at + band.memory + noise => Some("sent again after its mark is forgotten"),
-                _ if !self.same_group(band.group, first.node, now.node) => {
+            let what = match class.idempotency {
+                Idempotency::NonIdempotent => Some("a binding command sent again that may have run"),
+                _ if at > first.at + class.deduplication_window + noise => {
+                    Some("sent again after its mark is forgotten")
+                }
+                _ if !self.same_group(class.deduplication_scope, first.node, now.node) => {
                     Some("sent again outside its group")
                 }
                 _ => None,
@@ -399,19 +406,20 @@
                 self.find(Rule::Twice, at, Some(s), None, what.to_string());
             }
         }
-        let Some((at, Answer::Bounced)) = self.tried[tried].answer else { return };
-        let everywhere = band.repeats == Repeats::Fingerprinted && band.group == Group::All;
+        let Some((at, Answer::Rejected)) = self.tried[tried].answer else { return };
+        let everywhere = class.idempotency == Idempotency::IdempotentWithKey
+            && class.deduplication_scope == DeduplicationScope::All;
         if let Some(&s) = sent.iter().find(|s| !self.sent[**s].never_ran(at)).filter(|_| !everywhere) {
             self.find(Rule::Twice, at, Some(s), None, "bounced though it may have run".to_string());
         }
     }
 
-    fn same_group(&self, group: Group, a: u32, b: u32) -> bool {
+    fn same_group(&self, group: DeduplicationScope, a: u32, b: u32) -> bool {
         let node = |n: u32| self.e.fleet.nodes.iter().find(|x| x.number == n);
         match (group, node(a), node(b)) {
-            (Group::All, ..) => true,
-            (Group::Zone, Some(a), Some(b)) => a.zone == b.zone,
-            (Group::Shard, Some(a), Some(b)) => a.shard == b.shard,
+            (DeduplicationScope::All, ..) => true,
+            (DeduplicationScope::Zone, Some(a), Some(b)) => a.zone == b.zone,
+            (DeduplicationScope::Shard, Some(a), Some(b)) => a.shard == b.shard,
             _ => false,
         }
     }
@@ -483,14 +491,14 @@
         }
         for (at, seen) in self.e.seen {
             if let Seen::Fell { node } = *seen {
-                let (rule, host, command, what) = (Rule::Cold, None, None, "it fell over".to_string());
-                let f = Finding { rule, at: *at, host, node: Some(node), command, what };
+                let (rule, host, request_id, what) = (Rule::Cold, None, None, "it fell over".to_string());
+                let f = Finding { rule, at: *at, host, node: Some(node), request_id, what };
                 self.verdict.findings.push(f);
             }
         }
     }
 
-    /// When a host knew the outcome of a hand-off, at the earliest; whether the key must rest after it.
+    /// When a host knew the outcome of an attempt, at the earliest; whether the key must rest after it.
     fn outcome(&self, s: &Sent, tried: &Tried) -> (Ms, bool) {
         match (s.answered, s.dropped) {
             (Some((at, _)), None) => (at, false),
@@ -500,12 +508,12 @@
         }
     }
 
-    /// Rule 5: commands of one key at one host run one at a time, in the order taken.
+    /// Rule 5: requests of one key at one host run one at a time, in the order taken.
     fn order(&mut self) {
-        let (noise, rest) = (self.e.drill.noise, self.e.host.start.order_rest);
+        let (noise, rest) = (self.e.drill.noise, self.e.host.start.ordering_quiet_period);
         let mut lines: BTreeMap<(u64, u64, u64), Vec<usize>> = BTreeMap::new();
         for (i, tried) in self.tried.iter().enumerate() {
-            if self.e.host.start.bands[usize::from(tried.t.band)].in_order {
+            if self.e.host.start.classes[usize::from(tried.t.class)].ordered {
                 lines.entry((tried.t.host, tried.t.volume, tried.t.key)).or_default().push(i);
             }
         }
@@ -540,7 +548,7 @@
         }
     }
 
-    /// Rule 6: further hand-offs of one host in any window.
+    /// Rule 6: retries of one host in any window.
     fn budget(&mut self) {
         let Some(b) = &self.e.host.start.budget else { return };
         let noise = self.e.drill.noise;
@@ -548,12 +556,12 @@
         for tried in &self.tried {
             hosts.entry(tried.t.host).or_default().0.push(tried.at);
         }
-        for (i, s) in self.sent.iter().enumerate().filter(|(_, s)| s.hand_off > 0) {
+        for (i, s) in self.sent.iter().enumerate().filter(|(_, s)| s.attempt > 0) {
             hosts.entry(s.host).or_default().1.push(i);
         }
         let mut found = Vec::new();
         for (taken, further) in hosts.values() {
-            self.checked(Rule::Budget, further.len());
+            self.checked(Rule::RetryBudget, further.len());
             for (n, &i) in further.iter().enumerate() {
                 let at = self.sent[i].at;
                 let within = |t: Ms, more: Ms| t > at - b.window - more && t <= at + more;
@@ -566,7 +574,7 @@
             }
         }
         for (i, what) in found {
-            self.find(Rule::Budget, self.sent[i].at, Some(i), None, what);
+            self.find(Rule::RetryBudget, self.sent[i].at, Some(i), None, what);
         }
     }
 
@@ -577,7 +585,7 @@
         let mut stores: HashMap<u64, (f64, Ms)> = HashMap::new();
         let mut found = Vec::new();
         let mut checked = 0;
-        for (i, s) in self.sent.iter().enumerate().filter(|(_, s)| known.insert((s.host, s.command))) {
+        for (i, s) in self.sent.iter().enumerate().filter(|(_, s)| known.insert((s.host, s.request_id))) {
             let Some(plan) = self.e.host.volumes.get(&s.volume).map(|v| &start.plans[v.plan]) else {
                 continue;
             };
@@ -585,10 +593,10 @@
                 continue;
             }
             checked += 1;
-            let (level, filled) = stores.get(&s.volume).copied().unwrap_or((plan.limit_store, s.at));
-            let level = (level + (s.at - filled) * plan.limit_rate / 1000.0).min(plan.limit_store) - s.units;
+            let (level, filled) = stores.get(&s.volume).copied().unwrap_or((plan.limit_burst, s.at));
+            let level = (level + (s.at - filled) * plan.limit_rate / 1000.0).min(plan.limit_burst) - s.units;
             stores.insert(s.volume, (level, s.at));
-            let slack = (0.1 * plan.limit_store).max(start.most_units);
+            let slack = (0.1 * plan.limit_burst).max(start.max_units);
             if level < -slack {
                 found.push((i, format!("the volume's store is {:.1} units below 0", -level)));
             }
@@ -616,7 +624,7 @@
             .collect();
         for i in 0..self.tried.len() {
             let (mark, answer) = (self.tried[i].t.mark, self.tried[i].answer);
-            if let Some((at, Answer::Settled)) = answer.filter(|_| !ran.contains(&mark)) {
+            if let Some((at, Answer::Succeeded)) = answer.filter(|_| !ran.contains(&mark)) {
                 let what = "settled though it never ran".to_string();
                 self.find(Rule::Data, at, None, Some(mark), what);
             }
@@ -633,7 +641,7 @@
         }
     }
 
-    /// Each block of a settled read holds what some moment of the read's time found there.
+    /// Each block of a succeeded read holds what some moment of the read's time found there.
     fn reads(&mut self) {
         let noise = self.e.drill.noise;
         let mut effects: HashMap<(u64, u64), Vec<(Ms, u64)>> = HashMap::new();
@@ -655,8 +663,8 @@
             checked += 1;
             if !may {
                 let what = format!("block {block} of volume {volume} was read as {mark}");
-                let command = Some(tried.t.mark);
-                self.find(Rule::Data, *at, None, command, what);
+                let request_id = Some(tried.t.mark);
+                self.find(Rule::Data, *at, None, request_id, what);
             }
         }
         self.checked(Rule::Data, checked);
@@ -697,7 +705,7 @@
                     let heard = self.heard(numbers.get(&host), *at);
                     told.entry((host, volume)).or_default().push((start, end, heard, version));
                 }
-                Seen::HandOff { node, host, volume, key, mark, version, .. } if version > 0 => {
+                Seen::Attempt { node, host, volume, key, mark, version, .. } if version > 0 => {
                     let known = told.get(&(host, volume)).map_or(&[][..], |all| all);
                     let of = known.iter().filter(|t| t.0 <= key && key < t.1 && at - t.2 > noise);
                     checked += usize::from(of.clone().next().is_some());
@@ -711,24 +719,24 @@
         }
         self.checked(Rule::Data, checked);
         for (at, host, node, mark, what) in found {
-            let (rule, host, node, command) = (Rule::Data, Some(host), Some(node), Some(mark));
-            self.verdict.findings.push(Finding { rule, at, host, node, command, what });
+            let (rule, host, node, request_id) = (Rule::Data, Some(host), Some(node), Some(mark));
+            self.verdict.findings.push(Finding { rule, at, host, node, request_id, what });
         }
     }
 
-    /// What each host did, and the payoff of all.
+    /// What each host did, and the priority weight of all.
     fn by_host(&mut self) {
         let start = &self.e.host.start;
         let mut shares = vec![HostShare::default(); start.hosts as usize];
         let (mut due, mut long) = (vec![0.0; shares.len()], vec![Vec::new(); shares.len()]);
         let numbers = self.numbers();
         for tried in &self.tried {
-            let (host, band) = (tried.t.at_host, &start.bands[usize::from(tried.t.band)]);
+            let (host, class) = (tried.t.at_host, &start.classes[usize::from(tried.t.class)]);
             shares[host].writes += u64::from(tried.t.write && !tried.t.later);
-            due[host] += if tried.t.later { 0.0 } else { band.payoff };
-            let Some((at, _)) = tried.answer.filter(|a| a.1 == Answer::Settled) else { continue };
-            if at <= tried.t.first + band.soft_limit {
-                shares[host].payoff += band.payoff;
+            due[host] += if tried.t.later { 0.0 } else { class.priority_weight };
+            let Some((at, _)) = tried.answer.filter(|a| a.1 == Answer::Succeeded) else { continue };
+            if at <= tried.t.first + class.latency_objective {
+                shares[host].payoff += class.priority_weight;
             }
             if !tried.t.write && tried.t.blocks > 16 {
                 long[host].push(at - tried.t.first);
@@ -737,9 +745,9 @@
         let mut known: HashSet<u64> = HashSet::new();
         let mut sent: HashSet<(usize, u64)> = HashSet::new();
         for (_, seen) in self.e.seen {
-            let Seen::HandOff { host, write: true, batch, command, .. } = *seen else { continue };
+            let Seen::Attempt { host, write: true, batch, request_id, .. } = *seen else { continue };
             let Some(&host) = numbers.get(&host) else { continue };
-            shares[host].sent += u64::from(sent.insert((host, command)));
+            shares[host].sent += u64::from(sent.insert((host, request_id)));
             shares[host].node_commands += u64::from(known.insert(batch));
         }
         let reached = shares.iter().map(|share| share.payoff).sum();
@@ -758,18 +766,18 @@
     /// Counts what stale maps cost.
     fn stale(&mut self) {
         let stale = self.e.seen.iter().filter_map(|(_, seen)| match *seen {
-            Seen::Answered { host, command, moved: true, .. } => Some((host, command)),
+            Seen::Answered { host, request_id, moved: true, .. } => Some((host, request_id)),
             _ => None,
         });
         let stale: Vec<(u64, u64)> = stale.collect();
         self.verdict.stale = stale.len() as u64;
         let of: HashSet<(u64, u64)> = stale.into_iter().collect();
         for tried in &self.tried {
-            let met = tried.sent.iter().any(|s| of.contains(&(self.sent[*s].host, self.sent[*s].command)));
+            let met = tried.sent.iter().any(|s| of.contains(&(self.sent[*s].host, self.sent[*s].request_id)));
             match tried.answer.filter(|_| met) {
-                Some((_, Answer::Settled)) => self.verdict.stale_settled += 1,
-                Some((_, Answer::Bounced)) => self.verdict.stale_bounced += 1,
-                Some((_, Answer::Scrapped)) => self.verdict.stale_scrapped += 1,
+                Some((_, Answer::Succeeded)) => self.verdict.stale_settled += 1,
+                Some((_, Answer::Rejected)) => self.verdict.stale_bounced += 1,
+                Some((_, Answer::Failed)) => self.verdict.stale_scrapped += 1,
                 None => {}
             }
         }
--- a/crates/scenario/src/bench.rs
+++ b/crates/scenario/src/bench.rs
@@ -1,14 +1,14 @@
-//! Measures what a host costs: commands a second, latency, processor time and memory, against a bare relay and
-//! against clients that speak to nodes straight, in one run with the same stand-ins and clients.
+//! Measures what a host costs: requests a second, latency, processor time and memory, against a bare relay and
+//! against clients that speak to nodes straight, in one run with the same emulated services and clients.
 
 use crate::clients::Session;
+use crate::config::{read_all, ScenarioConfig, Sheet};
 use crate::hosts::{HostProcess, Program};
 use crate::run::{offer, LoadReport};
-use crate::sheet::{read_all, DrillSheet, Sheet};
-use magpiewick_gateway::sheet::HostSheet;
-use magpiewick_transport::Clock;
+use magpiewick_emulator::{EmulatorConfig, Handle};
+use magpiewick_gateway::config::HostConfig;
 use magpiewick_hcl_settings::read_text;
-use magpiewick_emulator::{FleetSheet, Handle};
+use magpiewick_transport::Clock;
 use serde::Serialize;
 use std::io;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 /// How long each figure is measured, and how often; the repeats give the spread.
 const TIME: Ms = 2000.0;
 const REPEATS: u64 = 3;
-/// Commands that flooding clients keep in hand.
+/// Requests that flooding clients keep in hand.
 const FLOOD: usize = 256;
 
 /// One way at one number of nodes: medians, and the least and most of the repeats.
@@ -29,12 +29,12 @@
     pub way: &'static str,
     pub nodes: usize,
     pub most_a_second: [f64; 3],
-    /// Commands a second at which the figures below were taken.
+    /// Requests a second at which the figures below were taken.
     pub at: f64,
     pub p50_ms: [f64; 3],
     pub p99_ms: [f64; 3],
     pub p999_ms: [f64; 3],
-    /// Processor time of the process between, a command; 0 where there is none.
+    /// Processor time of the process between, a request; 0 where there is none.
     pub cpu_us: [f64; 3],
     /// Its resident memory: before any load, after the most that clients could offer, and after the figures above.
     pub memory_mb: [f64; 3],
@@ -64,8 +64,8 @@
 }
 
 struct Rig {
-    host: HostSheet,
-    drill: DrillSheet,
+    host: HostConfig,
+    drill: ScenarioConfig,
     handle: Handle,
     nodes: Vec<SocketAddr>,
 }
@@ -85,21 +85,21 @@
     let mut all = Vec::new();
     for &count in counts {
         let text = text(count);
-        with_file(&text, |file, sheets| at(program, file, sheets, rate, &mut all))?;
+        with_file(&text, |file, configs| at(program, file, configs, rate, &mut all))?;
     }
     Ok(all)
 }
 
-type Sheets = (HostSheet, DrillSheet, FleetSheet);
+type Sheets = (HostConfig, ScenarioConfig, EmulatorConfig);
 
 /// Reads a text as a settings file, and has it in a file while it is used.
 fn with_file<T>(text: &str, with: impl FnOnce(&Path, Sheets) -> io::Result<T>) -> io::Result<T> {
-    let sheets = read_text("bench", text, |root| {
+    let configs = read_text("bench", text, |root| {
         let Sheet { host, fleet, drill } = read_all(root, 1)?;
         Some(((host, drill?), fleet?))
     });
-    let sheets = sheets.map_err(|faults| io::Error::other(faults.to_string()))?;
-    let Some(((host, drill), fleet)) = sheets else { return Err(io::Error::other("no bench")) };
+    let configs = configs.map_err(|faults| io::Error::other(faults.to_string()))?;
+    let Some(((host, drill), fleet)) = configs else { return Err(io::Error::other("no bench")) };
     let file = std::env::temp_dir().join(format!("magpiewick-bench-{}.hcl", std::process::id()));
     std::fs::write(&file, text)?;
     let done = with(&file, (host, drill, fleet));
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -1,13 +1,13 @@
-//! Clients as an open loop: commands come at their times whatever becomes of the earlier ones, and latencies
-//! count from the time at which a command was due, so that a late loop hides nothing.
+//! Clients as an open loop: requests come at their times whatever becomes of the earlier ones, and latencies
+//! count from the time at which a request was due, so that a late loop hides nothing.
 
 use crate::audit::Rule;
+use crate::config::{Again, Habit, ScenarioConfig, Traffic};
 use crate::plant::Planted;
-use crate::sheet::{Again, DrillSheet, Habit, Traffic};
 use hdrhistogram::Histogram;
-use magpiewick_gateway::sheet::HostSheet;
+use magpiewick_gateway::config::HostConfig;
+use magpiewick_node_protocol::{FinalCode, Frames, Hello, Message, Role, Take, LONG_AGO};
 use magpiewick_transport::{Clock, Connection, Poll, Timers, Woken, NOTHING};
-use magpiewick_node_protocol::{Frames, Hello, Message, Role, Take, Verdict, LONG_AGO};
 use nanorand::{Rng, WyRand};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,16 +16,16 @@
 
 type Ms = f64;
 
-/// A try of a command as its client made it.
+/// A try of a request as its client made it.
 #[derive(Clone, Copy, Debug)]
 pub struct Try {
-    /// Counts tries over the run; a later try of a command has its mark and another number.
+    /// Counts tries over the run; a later try of a request has its mark and another number.
     pub number: u64,
     pub mark: u64,
     /// The life and the number of the host that took it.
     pub host: u64,
     pub at_host: usize,
-    pub band: u16,
+    pub class: u16,
     pub volume: u64,
     pub key: u64,
     pub blocks: u32,
@@ -34,7 +34,7 @@
     pub line: usize,
     pub units: f64,
     pub limit: Ms,
-    /// When the command was due at first, over all its tries.
+    /// When the request was due at first, over all its tries.
     pub first: Ms,
     pub later: bool,
 }
@@ -45,10 +45,10 @@
     Took(Try),
     Answered {
         number: u64,
-        verdict: Verdict,
+        verdict: FinalCode,
         back: Ms,
     },
-    /// What a settled read found in a block: the mark of what was written there, 0 for nothing.
+    /// What a succeeded read found in a block: the mark of what was written there, 0 for nothing.
     Found {
         number: u64,
         block: u64,
@@ -73,7 +73,7 @@
     pub gave_up: u64,
     pub lost: u64,
     pub taken: u64,
-    /// Microseconds from when a command was due until it was settled.
+    /// Microseconds from when a request was due until it was succeeded.
     pub latency: Histogram<u64>,
 }
 
@@ -124,19 +124,19 @@
     id: u64,
     hosts: Vec<usize>,
     surge: f64,
-    /// By mix: the key and the host of the last command.
+    /// By mix: the key and the host of the last request.
     last: Vec<(u64, usize)>,
 }
 
 /// Keys that come through one connection, so that most ranges that overlap do.
 const STRIPE: u64 = 16;
-/// How long a rig that breaks the order holds commands back.
+/// How long a rig that breaks the order holds requests back.
 const OVERTAKING: Ms = 250.0;
 
 struct Loop {
     clock: Clock,
     poll: Poll,
-    chance: WyRand,
+    rng: WyRand,
     traffic: Traffic,
     limits: Vec<Ms>,
     again: Vec<bool>,
@@ -144,7 +144,7 @@
     hosts: Vec<Host>,
     lines: Vec<Option<Line>>,
     in_hand: HashMap<u64, InHand>,
-    /// Bounced commands that come back.
+    /// Bounced requests that come back.
     back: HashMap<u64, InHand>,
     timers: Timers<u64>,
     dues: HashMap<u64, Due>,
@@ -156,13 +156,13 @@
     records: Option<Vec<(Ms, Said)>>,
     tally: Tally,
     payload: Vec<u8>,
-    /// A number from which on one answer is lost on its way, and whether ordered commands are held back on theirs:
+    /// A number from which on one answer is lost on its way, and whether ordered requests are held back on theirs:
     /// what a rig does to break a rule.
     deafened: Option<u64>,
     overtaken: bool,
     /// A number from which on one answer comes twice.
     twice: Option<u64>,
-    in_order: Vec<bool>,
+    ordered: Vec<bool>,
     /// How much longer than it says a client waits, so that a late thread is not taken for a late host.
     noise: Ms,
 }
@@ -178,7 +178,7 @@
     pub record: bool,
     /// What is broken on purpose on the way between clients and hosts.
     pub planted: Option<Planted>,
-    /// In place of the traffic's rate: so many commands are always in hand.
+    /// In place of the traffic's rate: so many requests are always in hand.
     pub in_flight: Option<usize>,
 }
 
@@ -204,8 +204,8 @@
 impl Clients {
     /// Starts the clients of a session.
     pub fn start(
-        sheet: &HostSheet,
-        drill: &DrillSheet,
+        config: &HostConfig,
+        drill: &ScenarioConfig,
         hosts: Vec<Host>,
         session: &Session,
     ) -> std::io::Result<Clients> {
@@ -214,7 +214,7 @@
         let count = hosts.len();
         let reach =
             |id: u64, v: f64| (0..(v as usize).min(count)).map(|i| (id as usize + i) % count).collect();
-        let volumes = sheet.volumes.iter();
+        let volumes = config.volumes.iter();
         let volumes = volumes.map(|(id, v)| Volume {
             id: *id,
             hosts: reach(*id, v.hosts),
@@ -225,11 +225,16 @@
             drill.traffic.mixes.iter().map(|m| m.payload * m.blocks.max(1) as usize).max().unwrap_or(0);
         let mut all = Loop {
             poll: poll.clone(),
-            chance: WyRand::new_seed(session.seed),
+            rng: WyRand::new_seed(session.seed),
             noise: drill.noise,
             traffic: traffic(drill, session.planted),
-            limits: sheet.start.bands.iter().map(|b| b.time_limit).collect(),
-            again: sheet.start.bands.iter().map(|b| b.repeats == magpiewick::Repeats::Retriable).collect(),
+            limits: config.start.classes.iter().map(|b| b.client_timeout).collect(),
+            again: config
+                .start
+                .classes
+                .iter()
+                .map(|b| b.idempotency == magpiewick::Idempotency::Idempotent)
+                .collect(),
             volumes: volumes.collect(),
             lines: (0..count * drill.traffic.clients).map(|_| None).collect(),
             hosts,
@@ -248,7 +253,7 @@
             deafened: (session.planted == Some(Planted::Rule(Rule::Lost))).then_some(200),
             overtaken: session.planted == Some(Planted::Rule(Rule::Order)),
             twice: (session.planted == Some(Planted::Again)).then_some(200),
-            in_order: sheet.start.bands.iter().map(|b| b.in_order).collect(),
+            ordered: config.start.classes.iter().map(|b| b.ordered).collect(),
             clock: session.clock,
         };
         let thread = std::thread::Builder::new().name("clients".to_string());
@@ -284,7 +289,7 @@
 }
 
 /// What clients do; deaf ones ask again at once, and as often as they can.
-fn traffic(drill: &DrillSheet, planted: Option<Planted>) -> Traffic {
+fn traffic(drill: &ScenarioConfig, planted: Option<Planted>) -> Traffic {
     let mut traffic = drill.traffic.clone();
     if planted == Some(Planted::Deaf) {
         traffic
@@ -344,7 +349,7 @@
                     self.next_at += self.gap();
                 }
                 let before = self.in_hand.len();
-                self.command(due);
+                self.request_id(due);
                 if self.in_hand.len() == before {
                     break;
                 }
@@ -364,7 +369,7 @@
     }
 
     fn draw(&mut self) -> f64 {
-        (f64::from(self.chance.generate::<u32>()) + 0.5) / (f64::from(u32::MAX) + 1.0)
+        (f64::from(self.rng.generate::<u32>()) + 0.5) / (f64::from(u32::MAX) + 1.0)
     }
 
     fn gap(&mut self) -> Ms {
@@ -389,9 +394,9 @@
         }
     }
 
-    /// Draws a command: its volume by the surges, its host among the volume's, its band by the mix. A key always
+    /// Draws a request: its volume by the surges, its host among the volume's, its class by the mix. A key always
     /// comes through one connection to a host, so that the order sent is the order taken.
-    fn command(&mut self, due: Ms) {
+    fn request_id(&mut self, due: Ms) {
         let volume = drawn(self.draw(), self.volumes.iter().map(|v| v.surge)).unwrap_or(0);
         let mix = drawn(self.draw(), self.traffic.mixes.iter().map(|m| m.share)).unwrap_or(0);
         let host = (self.draw() * self.volumes[volume].hosts.len() as f64) as usize;
@@ -411,20 +416,20 @@
             self.volumes[volume].last[mix] = (key, host);
         }
         self.serial += 1;
-        let band = self.traffic.mixes[mix].band;
+        let class = self.traffic.mixes[mix].class;
         let attempt = Try {
             number: self.serial,
             mark: self.serial,
             host: 0,
             at_host: host,
-            band,
+            class,
             volume: self.volumes[volume].id,
             key,
             blocks: blocks as u32,
             write: self.traffic.mixes[mix].write,
             line: 0,
             units,
-            limit: self.limits[usize::from(band)],
+            limit: self.limits[usize::from(class)],
             first: due,
             later: false,
         };
@@ -452,8 +457,8 @@
         self.say(Said::Took(t));
         self.set(self.now + t.limit + self.noise, Due::GiveUp(t.number));
         self.in_hand.insert(t.number, c);
-        // The key's commands that come within the delay overtake it.
-        if self.overtaken && !t.later && self.in_order[usize::from(t.band)] && t.number.is_multiple_of(2) {
+        // The key's requests that come within the delay overtake it.
+        if self.overtaken && !t.later && self.ordered[usize::from(t.class)] && t.number.is_multiple_of(2) {
             return self.set(self.now + OVERTAKING, Due::Write(t.number));
         }
         self.write(t.number);
@@ -471,8 +476,8 @@
         }
         l.connection.queue(
             &Message::Take(Take {
-                command: t.number,
-                band: t.band,
+                request_id: t.number,
+                class: t.class,
                 write: mix.write,
                 volume: t.volume,
                 key: t.key,
@@ -499,7 +504,7 @@
                 self.tally.gave_up += 1;
                 self.say(Said::GaveUp { number });
                 if let Some(line) = &mut self.lines[c.line] {
-                    line.connection.queue(&Message::GiveUp { command: number }, NOTHING);
+                    line.connection.queue(&Message::GiveUp { request_id: number }, NOTHING);
                 }
             }
             Due::Write(number) => self.write(number),
@@ -524,7 +529,7 @@
                     }
                 }
                 Ok(Message::Final(f)) => {
-                    self.answered(f.command, f.verdict, f64::from(f.back_us) / 1000.0, f.payload)
+                    self.answered(f.request_id, f.verdict, f64::from(f.back_us) / 1000.0, f.payload)
                 }
                 Ok(_) => ended = true,
                 Err(_) => {
@@ -542,7 +547,7 @@
         }
     }
 
-    fn answered(&mut self, number: u64, verdict: Verdict, back: Ms, payload: &[u8]) {
+    fn answered(&mut self, number: u64, verdict: FinalCode, back: Ms, payload: &[u8]) {
         if self.deafened.is_some_and(|from| number >= from) {
             self.deafened = None;
             return;
@@ -554,7 +559,7 @@
         }
         let Some(c) = self.in_hand.remove(&number) else { return };
         let t = c.attempt;
-        if verdict == Verdict::Settled && !t.write && self.records.is_some() {
+        if verdict == FinalCode::Succeeded && !t.write && self.records.is_some() {
             let size = (payload.len() / t.blocks.max(1) as usize).max(1);
             for n in 0..u64::from(t.blocks.max(1)) {
                 let block = payload.get(n as usize * size..).and_then(|b| b.first_chunk::<8>());
@@ -563,23 +568,27 @@
             }
         }
         match verdict {
-            Verdict::Settled => {
+            FinalCode::Succeeded => {
                 self.tally.settled += 1;
                 let took = ((self.now - c.attempt.first) * 1000.0).max(1.0) as u64;
                 self.tally.latency.saturating_record(took);
             }
-            Verdict::Bounced => self.tally.bounced += 1,
-            Verdict::Scrapped => self.tally.scrapped += 1,
+            FinalCode::Rejected => self.tally.bounced += 1,
+            FinalCode::Failed => self.tally.scrapped += 1,
         }
         match c.habit {
-            None if verdict == Verdict::Bounced && back > 0.0 && self.traffic.retries && !c.attempt.later => {
+            None if verdict == FinalCode::Rejected
+                && back > 0.0
+                && self.traffic.retries
+                && !c.attempt.later =>
+            {
                 self.come_back(c, back);
             }
             None => {}
-            // What was scrapped may have run.
+            // What was failed may have run.
             Some(habit) => {
-                let harmless = verdict == Verdict::Bounced || self.again[usize::from(c.attempt.band)];
-                if verdict != Verdict::Settled && harmless {
+                let harmless = verdict == FinalCode::Rejected || self.again[usize::from(c.attempt.class)];
+                if verdict != FinalCode::Succeeded && harmless {
                     self.again(c, habit, back);
                 }
             }
@@ -596,7 +605,7 @@
 
     /// A later try, after a wait, within what is left of the client's time.
     fn come_back(&mut self, mut c: InHand, wait: Ms) {
-        let left = c.attempt.first + self.limits[usize::from(c.attempt.band)] - self.now - wait;
+        let left = c.attempt.first + self.limits[usize::from(c.attempt.class)] - self.now - wait;
         if left < 50.0 || self.now >= self.ends {
             return;
         }
@@ -621,7 +630,7 @@
             let hosts = &self.volumes[c.volume].hosts;
             let next = hosts.iter().position(|h| *h == c.host).map_or(0, |i| (i + 1) % hosts.len());
             c.host = hosts[next];
-            let harmless = self.again[usize::from(c.attempt.band)];
+            let harmless = self.again[usize::from(c.attempt.class)];
             match c.habit {
                 Some(habit) if harmless => self.again(c, habit, 0.0),
                 None if harmless && !c.attempt.later && self.traffic.retries => self.come_back(c, 0.0),
--- a/crates/scenario/src/sheet.rs
+++ b/crates/scenario/src/config.rs
@@ -1,18 +1,18 @@
-//! What a drill or a load is told.
+//! What a scenario or a load is told.
 
-use magpiewick_gateway::sheet::{host, HostSheet, Volume};
+use magpiewick_emulator::{read_fleet, read_troubles, EmulatorConfig, Trouble};
+use magpiewick_gateway::config::{host, HostConfig, Volume};
 use magpiewick_hcl_settings::Part;
-use magpiewick_emulator::{read_fleet, read_troubles, FleetSheet, Trouble};
 
 type Ms = f64;
 
-/// The traffic of one band.
+/// The traffic of one class.
 #[derive(Clone, Debug)]
 pub struct Mix {
-    pub band: u16,
+    pub class: u16,
     pub share: f64,
     pub write: bool,
-    /// Commands ask 1 to so many units.
+    /// Requests ask 1 to so many units.
     pub units: u64,
     /// Bytes of each block that is written.
     pub payload: usize,
@@ -29,7 +29,7 @@
     Exponential,
 }
 
-/// What some of the clients do with a command that was not settled.
+/// What some of the clients do with a request that was not succeeded.
 #[derive(Clone, Copy, Debug)]
 pub struct Habit {
     pub share: f64,
@@ -53,12 +53,12 @@
     }
 }
 
-/// What a drill on storms of later tries must show.
+/// What a scenario on storms of later tries must show.
 #[derive(Clone, Debug)]
 pub struct Storm {
     /// The most units that a node that came back may be sent in 100 ms, as a multiple of what it can do in them.
     pub ceiling: f64,
-    /// Until when the traffic is quiet; to which part of that payoff, and within what time, it comes back.
+    /// Until when the traffic is quiet; to which part of that priority weight, and within what time, it comes back.
     pub quiet: Ms,
     pub recovers_to: f64,
     pub recovers_in: Ms,
@@ -66,37 +66,37 @@
 
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// Commands a second over all hosts.
+    /// Requests a second over all hosts.
     pub rate: f64,
     /// Connections to each host.
     pub clients: usize,
     /// Pieces of data in each volume.
     pub keys: u64,
-    /// How many commands follow each other through a volume, one behind the other, on average.
+    /// How many requests follow each other through a volume, one behind the other, on average.
     pub run: u64,
-    /// Whether a bounced client comes back once, when it was told to.
+    /// Whether a rejected client comes back once, when it was told to.
     pub retries: bool,
     pub mixes: Vec<Mix>,
-    /// None: a bounced client comes back as `retries` says.
+    /// None: a rejected client comes back as `retries` says.
     pub habits: Vec<Habit>,
 }
 
 #[derive(Clone, Debug)]
-pub struct DrillSheet {
+pub struct ScenarioConfig {
     pub time: Ms,
     /// How late something may still be sent to a node that is known to drain.
     pub drain_within: Ms,
     /// By how much what two threads of one machine saw may lie apart.
     pub noise: Ms,
-    /// Hosts that send every command by itself, to compare with.
+    /// Hosts that send every request by itself, to compare with.
     pub alone: Vec<u64>,
     pub traffic: Traffic,
     pub troubles: Vec<Trouble>,
     pub storm: Option<Storm>,
 }
 
-/// Reads the blocks `drill`, `traffic` and `trouble` of a file, where it has a `traffic` block.
-pub fn read(root: &Part, host: &HostSheet) -> Option<DrillSheet> {
+/// Reads the blocks `scenario`, `traffic` and `fault` of a file, where it has a `traffic` block.
+pub fn read(root: &Part, host: &HostConfig) -> Option<ScenarioConfig> {
     let troubles = read_troubles(root);
     let drill = root.part("drill");
     let traffic = root.part("traffic");
@@ -115,24 +115,24 @@
     if traffic.is_none() && drill.is_some() {
         root.fault("the block traffic is missing; a drill needs clients");
     }
-    Some(DrillSheet { time, drain_within, noise, alone, traffic: traffic?, troubles, storm })
+    Some(ScenarioConfig { time, drain_within, noise, alone, traffic: traffic?, troubles, storm })
 }
 
-fn read_traffic(p: &Part, host: &HostSheet) -> Traffic {
-    let bands: Vec<(&str, u16)> = host.bands.iter().map(String::as_str).zip(0..).collect();
+fn read_traffic(p: &Part, host: &HostConfig) -> Traffic {
+    let classes: Vec<(&str, u16)> = host.classes.iter().map(String::as_str).zip(0..).collect();
     let mixes = p.labelled("mix");
     let mixes = mixes.iter().filter_map(|m| {
-        let band = bands.iter().find(|(name, _)| *name == m.label());
-        if band.is_none() {
+        let class = classes.iter().find(|(name, _)| *name == m.label());
+        if class.is_none() {
             m.fault(format!("a mix of the unknown band {:?}", m.label()));
         }
         Some(Mix {
             share: m.field("share").number(),
             write: m.field("write").flag_or(false),
-            units: m.field("units").whole_or(1..=host.start.most_units.max(1.0) as u64, 1),
+            units: m.field("units").whole_or(1..=host.start.max_units.max(1.0) as u64, 1),
             blocks: m.field("blocks").whole_or(0..=1 << 16, 0),
             payload: m.field("payload").whole_or(0..=1 << 20, 64) as usize,
-            band: band?.1,
+            class: class?.1,
         })
     });
     let mixes: Vec<Mix> = mixes.collect();
@@ -165,9 +165,9 @@
 
 /// All that a settings file may hold.
 pub struct Sheet {
-    pub host: HostSheet,
-    pub fleet: Option<FleetSheet>,
-    pub drill: Option<DrillSheet>,
+    pub host: HostConfig,
+    pub fleet: Option<EmulatorConfig>,
+    pub drill: Option<ScenarioConfig>,
 }
 
 /// Reads a whole file; none where it has no host, which is a fault of the file.
@@ -178,7 +178,7 @@
         let shards = |v: &Volume| v.shards.iter().map(|s| *s as u32).collect();
         fleet.volumes = host.volumes.iter().map(|(id, v)| (*id, shards(v))).collect();
     }
-    // Without a host nothing can be said of a drill; its blocks are known all the same.
+    // Without a host nothing can be said of a scenario; its blocks are known all the same.
     let drill = host.as_ref().and_then(|host| read(root, host));
     Some(Sheet { host: host?, fleet, drill })
 }
--- a/crates/scenario/src/hosts.rs
+++ b/crates/scenario/src/hosts.rs
@@ -14,7 +14,7 @@
     pub file: PathBuf,
     pub list: SocketAddr,
     pub seed: u64,
-    /// Numbers of hosts that send every command by itself.
+    /// Numbers of hosts that send every request by itself.
     pub alone: Vec<u64>,
     /// Hosts know nothing of cold nodes and tell no time to come back.
     pub undamped: bool,
--- a/crates/scenario/src/plant.rs
+++ b/crates/scenario/src/plant.rs
@@ -1,9 +1,9 @@
 //! Breaks one rule on purpose, in the rig between sockets and nodes, so that an audit can be seen to find it.
 
 use crate::audit::Rule;
-use magpiewick::Repeats;
-use magpiewick_gateway::sheet::HostSheet;
+use magpiewick::Idempotency;
 use magpiewick_emulator::{Arrived, Tamper};
+use magpiewick_gateway::config::HostConfig;
 use std::collections::HashMap;
 
 type Ms = f64;
@@ -54,7 +54,7 @@
     }
 }
 
-/// How many hand-offs go by before a plant begins.
+/// How many attempts go by before a plant begins.
 const FIRST: u64 = 200;
 /// A node that nothing came to for so long was away.
 const AWAY: Ms = 1000.0;
@@ -76,18 +76,18 @@
 }
 
 /// A rig that breaks what is named and nothing else; none where it is broken elsewhere.
-pub fn plant(planted: Planted, host: &HostSheet) -> Option<Box<dyn Tamper>> {
-    let bands = || host.start.bands.iter().zip(0..);
+pub fn plant(planted: Planted, host: &HostConfig) -> Option<Box<dyn Tamper>> {
+    let classes = || host.start.classes.iter().zip(0..);
     let plans = &host.start.plans;
     let limited = host.volumes.iter().filter(|(_, v)| plans[v.plan].limit_rate > 0.0).map(|(id, _)| *id);
-    let of = |repeats| bands().filter(move |(b, _)| b.repeats == repeats && !b.in_order).map(|(_, i)| i);
-    let waits = |band: &u16| host.start.bands[usize::from(*band)].soft_limit;
-    let patient = of(Repeats::Retriable).max_by(|a, b| waits(a).total_cmp(&waits(b))).unwrap_or(0);
+    let of = |repeats| classes().filter(move |(b, _)| b.idempotency == repeats && !b.ordered).map(|(_, i)| i);
+    let waits = |class: &u16| host.start.classes[usize::from(*class)].latency_objective;
+    let patient = of(Idempotency::Idempotent).max_by(|a, b| waits(a).total_cmp(&waits(b))).unwrap_or(0);
     let plant = Plant {
         planted,
         seen: 0,
-        binding: of(Repeats::Binding).collect(),
-        free: of(Repeats::Retriable).collect(),
+        binding: of(Idempotency::NonIdempotent).collect(),
+        free: of(Idempotency::Idempotent).collect(),
         patient: (patient, 0.85 * waits(&patient)),
         limited: limited.collect(),
         met: HashMap::new(),
@@ -110,20 +110,21 @@
         if self.seen < FIRST {
             return vec![(0.0, arrived)];
         }
-        let (free, limited) = (self.free.contains(&arrived.band), self.limited.contains(&arrived.volume));
-        let next = || Arrived { hand_off: arrived.hand_off + 1, ..arrived.clone() };
-        // Copies that look like commands of their own.
+        let (free, limited) = (self.free.contains(&arrived.class), self.limited.contains(&arrived.volume));
+        let next = || Arrived { attempt: arrived.attempt + 1, ..arrived.clone() };
+        // Copies that look like requests of their own.
         let others = |copies: u64| {
-            let copy = |n| Arrived { command: arrived.command ^ (n << 48), hand_off: 0, ..arrived.clone() };
+            let copy =
+                |n| Arrived { request_id: arrived.request_id ^ (n << 48), attempt: 0, ..arrived.clone() };
             (1..=copies).map(|n| (0.0, copy(n))).collect::<Vec<_>>()
         };
         let more = match self.planted {
-            Planted::Rule(Rule::Twice) if self.binding.contains(&arrived.band) && !self.done => {
+            Planted::Rule(Rule::Twice) if self.binding.contains(&arrived.class) && !self.done => {
                 self.done = true;
                 vec![(5.0, next())]
             }
             // Held back on the way: some come to a node that has begun to drain meanwhile.
-            Planted::Rule(Rule::Drain) if arrived.band == self.patient.0 => {
+            Planted::Rule(Rule::Drain) if arrived.class == self.patient.0 => {
                 return vec![(self.patient.1, arrived)]
             }
             // A burst of what came early to a node that joined late.
@@ -135,10 +136,10 @@
             }
             // What a host holds for a node that was away, all at once.
             Planted::Rule(Rule::Storm) if rested > AWAY => others(120),
-            Planted::Rule(Rule::Budget) if free => vec![(1.0, next())],
+            Planted::Rule(Rule::RetryBudget) if free => vec![(1.0, next())],
             Planted::Rule(Rule::Limits) if free && limited => others(8),
             // As a host would that takes one part's refusal for the whole batch's.
-            Planted::Batch if self.binding.contains(&arrived.band) && arrived.parts > 1 => {
+            Planted::Batch if self.binding.contains(&arrived.class) && arrived.parts > 1 => {
                 match *self.batch.get_or_insert(arrived.batch) == arrived.batch {
                     true => vec![(60.0, next())],
                     false => Vec::new(),
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -1,8 +1,10 @@
 //! A bare relay over the same connections and poller as the host's, without desk and module: what a host's
 //! latency and processor time are measured against.
 
+use magpiewick_node_protocol::{
+    Attempt, Final, FinalCode, Frames, Hello, Message, OutcomeCode, Role, LONG_AGO,
+};
 use magpiewick_transport::{listen, Connection, Poll, Woken, NOTHING};
-use magpiewick_node_protocol::{Code, Final, Frames, HandOff, Hello, Message, Role, Verdict, LONG_AGO};
 use slab::Slab;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -14,11 +16,11 @@
     poll: Poll,
     nodes: Vec<Connection>,
     clients: Slab<Connection>,
-    /// Whose command it is, and its number there.
+    /// Whose request it is, and its number there.
     out: Slab<(usize, u64)>,
 }
 
-/// Relays commands to nodes by their keys until it is killed; says `ready` and its address first.
+/// Relays requests to nodes by their keys until it is killed; says `ready` and its address first.
 pub fn relay(nodes: &[SocketAddr]) -> io::Result<()> {
     let poll = Poll::new()?;
     let door = poll.register(listen(SocketAddr::from(([127, 0, 0, 1], 0)))?, DOOR)?;
@@ -87,12 +89,12 @@
     fn pass(&mut self, key: usize, message: &Message) {
         match message {
             Message::Take(t) => {
-                let command = self.out.insert((key, t.command)) as u64;
+                let request_id = self.out.insert((key, t.request_id)) as u64;
                 let node = (t.key % self.nodes.len() as u64) as usize;
-                let handed = HandOff {
-                    command,
-                    hand_off: 0,
-                    band: t.band,
+                let handed = Attempt {
+                    request_id,
+                    attempt: 0,
+                    class: t.class,
                     write: t.write,
                     volume: t.volume,
                     key: t.key,
@@ -104,12 +106,13 @@
                     blocks: t.blocks,
                     payload: t.payload,
                 };
-                self.nodes[node].queue(&Message::HandOff(handed), NOTHING);
+                self.nodes[node].queue(&Message::Attempt(handed), NOTHING);
             }
             Message::Outcome(o) => {
-                let Some((client, command)) = self.out.try_remove(o.command as usize) else { return };
-                let verdict = if o.code == Code::Settled { Verdict::Settled } else { Verdict::Bounced };
-                let answer = Final { command, verdict, back_us: 0, payload: o.payload };
+                let Some((client, request_id)) = self.out.try_remove(o.request_id as usize) else { return };
+                let verdict =
+                    if o.code == OutcomeCode::Succeeded { FinalCode::Succeeded } else { FinalCode::Rejected };
+                let answer = Final { request_id, verdict, back_us: 0, payload: o.payload };
                 if let Some(client) = self.connection(client) {
                     client.queue(&Message::Final(answer), NOTHING);
                 }
