--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -1,13 +1,13 @@
-//! Plays a drill: the stand-ins in one thread, the clients in another, hosts as processes, the script here.
+//! Plays a scenario: the emulated services in one thread, the clients in another, hosts as processes, the script here.
 
 use crate::audit::{audit, Evidence, Rule, Verdict};
 use crate::clients::{Clients, Host, Said, Session, Tally};
+use crate::config::ScenarioConfig;
 use crate::hosts::{HostProcess, Program};
 use crate::plant::{plant, Planted};
-use crate::sheet::DrillSheet;
-use magpiewick_gateway::sheet::HostSheet;
+use magpiewick_emulator::{play, EmulatorConfig, Handle, Step};
+use magpiewick_gateway::config::HostConfig;
 use magpiewick_transport::Clock;
-use magpiewick_emulator::{play, FleetSheet, Handle, Step};
 use serde::Serialize;
 use std::io;
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
 
 type Ms = f64;
 
-/// What a drill came to.
+/// What a scenario came to.
 #[derive(Serialize)]
-pub struct Drilled {
+pub struct ScenarioReport {
     pub ok: bool,
     pub seed: u64,
     pub hosts: usize,
@@ -30,7 +30,7 @@
     /// Tries whose host died, and tries without an answer in their time.
     pub host_died: u64,
     pub unanswered: u64,
-    /// The part of the payoff due that was settled within the soft limit.
+    /// The part of the priority weight due that was succeeded within the latency objective.
     pub payoff: f64,
     pub p50_ms: f64,
     pub p99_ms: f64,
@@ -38,9 +38,9 @@
     pub exit_codes: Vec<Option<i32>>,
     #[serde(flatten)]
     pub verdict: Verdict,
-    /// The same drill with hosts that damp nothing, where it is on storms and was asked to be compared.
+    /// The same scenario with hosts that damp nothing, where it is on storms and was asked to be compared.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub undamped: Option<Box<Drilled>>,
+    pub undamped: Option<Box<ScenarioReport>>,
     #[serde(skip)]
     pub said: Vec<(Ms, Said)>,
 }
@@ -88,16 +88,16 @@
     }
 }
 
-/// Plays the drill of a file. `program` is the gateway's own, as hosts run in processes of their own; `planted`
+/// Plays the scenario of a file. `program` is the gateway's own, as hosts run in processes of their own; `planted`
 /// names what the rig breaks.
 pub fn drill(
     program: &Path,
     file: &Path,
-    (host, fleet, sheet): (&HostSheet, &FleetSheet, &DrillSheet),
+    (host, fleet, config): (&HostConfig, &EmulatorConfig, &ScenarioConfig),
     seed: u64,
     planted: Option<Planted>,
     undamped: bool,
-) -> io::Result<Drilled> {
+) -> io::Result<ScenarioReport> {
     let is = |other: Planted| planted == Some(other);
     let (denied, swapped) = (is(Planted::Moved), is(Planted::Swapped));
     let (leaky, halved) = (is(Planted::Rule(Rule::Data)), is(Planted::Half));
@@ -111,18 +111,18 @@
     });
     let (program, file, list) = (program.to_path_buf(), file.to_path_buf(), handle.list);
     let count = host.start.hosts as usize;
-    let (seed_of_hosts, alone) = (seed << 16 | 1, sheet.alone.clone());
+    let (seed_of_hosts, alone) = (seed << 16 | 1, config.alone.clone());
     let program = Program { program, file, list, seed: seed_of_hosts, alone, undamped };
     let hosts =
         (0..count).map(|n| HostProcess::start(&program, n).map(Some)).collect::<io::Result<Vec<_>>>()?;
     let addresses = hosts.iter().flatten().map(|h| Host { address: Some(h.address) }).collect();
-    let session = Session { record: true, planted, ..Session::open(clock, sheet.time, seed) };
-    let clients = Clients::start(host, sheet, addresses, &session)?;
+    let session = Session { record: true, planted, ..Session::open(clock, config.time, seed) };
+    let clients = Clients::start(host, config, addresses, &session)?;
     let zone = |zone: u64| {
         let of = fleet.nodes.iter().filter(|n| u64::from(n.zone) == zone && !n.spare);
         of.map(|n| n.number).collect()
     };
-    let steps = sheet.troubles.iter().flat_map(|t| t.steps(zone)).filter(|(at, _)| *at < sheet.time);
+    let steps = config.troubles.iter().flat_map(|t| t.steps(zone)).filter(|(at, _)| *at < config.time);
     let steps: Vec<(Ms, Step)> = steps.collect();
     let mut rig = Rig { program, hosts, clients: &clients, clock, stalls: Vec::new(), failed: None };
     let on = |step: &Step| {
@@ -143,15 +143,15 @@
     }
     let seen = handle.records();
     let evidence =
-        Evidence { host, fleet, drill: sheet, seen: &seen, said: &said, stalls: &stalls, stored: &stored };
+        Evidence { host, fleet, drill: config, seen: &seen, said: &said, stalls: &stalls, stored: &stored };
     let verdict = audit(&evidence);
     let ended_well = exit_codes.iter().all(|code| *code == Some(0));
-    Ok(Drilled {
+    Ok(ScenarioReport {
         ok: verdict.findings.is_empty() && ended_well,
         seed,
         hosts: count,
         nodes: fleet.nodes.len(),
-        seconds: sheet.time / 1000.0,
+        seconds: config.time / 1000.0,
         taken: tally.taken,
         settled: tally.settled,
         bounced: tally.bounced,
@@ -168,7 +168,7 @@
     })
 }
 
-/// What a load came to: latencies in milliseconds, counted from when a command was due.
+/// What a load came to: latencies in milliseconds, counted from when a request was due.
 #[derive(Clone, Serialize)]
 pub struct LoadReport {
     pub offered_a_second: f64,
@@ -185,28 +185,33 @@
 }
 
 /// Offers a file's traffic to a host that runs already.
-pub fn load(host: &HostSheet, sheet: &DrillSheet, address: SocketAddr, seed: u64) -> io::Result<LoadReport> {
-    offer(host, sheet, address, &Session::open(Clock::start(), sheet.time, seed))
+pub fn load(
+    host: &HostConfig,
+    config: &ScenarioConfig,
+    address: SocketAddr,
+    seed: u64,
+) -> io::Result<LoadReport> {
+    offer(host, config, address, &Session::open(Clock::start(), config.time, seed))
 }
 
 /// Offers a session's traffic to one address.
 pub fn offer(
-    host: &HostSheet,
-    sheet: &DrillSheet,
+    host: &HostConfig,
+    config: &ScenarioConfig,
     address: SocketAddr,
     session: &Session,
 ) -> io::Result<LoadReport> {
     let hosts = vec![Host { address: Some(address) }];
-    let clients = Clients::start(host, sheet, hosts, session)?;
+    let clients = Clients::start(host, config, hosts, session)?;
     let (tally, _) = clients.finish().ok_or_else(|| io::Error::other("the clients' thread failed"))?;
-    Ok(report(&tally, sheet))
+    Ok(report(&tally, config))
 }
 
-fn report(tally: &Tally, sheet: &DrillSheet) -> LoadReport {
+fn report(tally: &Tally, config: &ScenarioConfig) -> LoadReport {
     let at = |part: f64| tally.latency.value_at_quantile(part) as f64 / 1000.0;
     LoadReport {
-        offered_a_second: sheet.traffic.rate,
-        settled_a_second: tally.settled as f64 * 1000.0 / sheet.time,
+        offered_a_second: config.traffic.rate,
+        settled_a_second: tally.settled as f64 * 1000.0 / config.time,
         taken: tally.taken,
         settled: tally.settled,
         bounced: tally.bounced,
--- a/crates/scenario/src/storm.rs
+++ b/crates/scenario/src/storm.rs
@@ -3,9 +3,9 @@
 
 use crate::audit::{units_a_ms, Evidence, Finding, Rule};
 use crate::clients::Said;
-use crate::sheet::Storm;
-use magpiewick_node_protocol::Verdict as Answer;
+use crate::config::Storm;
 use magpiewick_emulator::Seen;
+use magpiewick_node_protocol::FinalCode as Answer;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -13,7 +13,7 @@
 
 /// The slots in which the load on a node is held against its ceiling.
 const SLOT: Ms = 100.0;
-/// The payoff is looked at over so long a time, and anew after each step.
+/// The priority weight is looked at over so long a time, and anew after each step.
 const WINDOW: Ms = 1000.0;
 const STEP: Ms = 250.0;
 
@@ -28,22 +28,22 @@
     /// The part of what they were sent until they were warm that were later tries.
     pub later: f64,
     pub fell: u64,
-    /// After what time the payoff was back; none: not when the next node stopped, or at the end.
+    /// After what time the priority weight was back; none: not when the next node stopped, or at the end.
     pub recovered_ms: Option<Ms>,
 }
 
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Storms {
-    /// The payoff within the soft limit, as a part of what was due, while the traffic was quiet.
+    /// The priority weight within the latency objective, as a part of what was due, while the traffic was quiet.
     pub quiet_payoff: f64,
-    /// Tries a command over the run.
+    /// Tries a request over the run.
     pub tries: f64,
     pub returns: Vec<Return>,
 }
 
-/// Payoff due and reached, by when commands were due at first.
+/// Payoff due and reached, by when requests were due at first.
 fn payoffs(e: &Evidence) -> Vec<(Ms, f64, f64)> {
-    let bands = &e.host.start.bands;
+    let classes = &e.host.start.classes;
     let mut by_mark: HashMap<u64, usize> = HashMap::new();
     let (mut tries, mut all) = (HashMap::new(), Vec::new());
     for (at, said) in e.said {
@@ -51,15 +51,15 @@
             Said::Took(t) => {
                 tries.insert(t.number, t);
                 by_mark.entry(t.mark).or_insert_with(|| {
-                    all.push((t.first, bands[usize::from(t.band)].payoff, 0.0));
+                    all.push((t.first, classes[usize::from(t.class)].priority_weight, 0.0));
                     all.len() - 1
                 });
             }
-            Said::Answered { number, verdict: Answer::Settled, .. } => {
+            Said::Answered { number, verdict: Answer::Succeeded, .. } => {
                 let Some(t) = tries.get(&number) else { continue };
-                let band = &bands[usize::from(t.band)];
-                if let Some(&i) = by_mark.get(&t.mark).filter(|_| *at <= t.first + band.soft_limit) {
-                    all[i].2 = band.payoff;
+                let class = &classes[usize::from(t.class)];
+                if let Some(&i) = by_mark.get(&t.mark).filter(|_| *at <= t.first + class.latency_objective) {
+                    all[i].2 = class.priority_weight;
                 }
             }
             _ => {}
@@ -92,7 +92,7 @@
     all
 }
 
-/// When each command was tried, by its mark, and whether that was a later try.
+/// When each request was tried, by its mark, and whether that was a later try.
 fn tries(said: &[(Ms, Said)]) -> HashMap<u64, Vec<(Ms, bool)>> {
     let mut tries: HashMap<u64, Vec<(Ms, bool)>> = HashMap::new();
     for (at, said) in said {
@@ -116,7 +116,7 @@
             }
             Seen::Stopped { node, .. } => _ = started.remove(&node),
             Seen::Fell { node } => back.fell += u64::from(started.contains_key(&node)),
-            Seen::HandOff { node, mark, units, .. } => {
+            Seen::Attempt { node, mark, units, .. } => {
                 let Some(&start) = started.get(&node).filter(|start| *at < *start + cold.time) else {
                     continue;
                 };
@@ -148,7 +148,7 @@
         .map(|(_, to)| to - at)
 }
 
-/// What the storms of a run came to, and where they broke what the drill states.
+/// What the storms of a run came to, and where they broke what the scenario states.
 pub fn storms(e: &Evidence, storm: &Storm) -> (Storms, Vec<Finding>) {
     let took = |(at, said): &(Ms, Said)| matches!(said, Said::Took(_)).then_some(*at);
     let begin = e.said.iter().find_map(took).unwrap_or(0.0);
@@ -166,7 +166,7 @@
         back.recovered_ms = recovered(&all, at, until, storm.recovers_to * quiet_payoff);
         let mut find = |at: Ms, what: String| {
             let (rule, node) = (Rule::Storm, back.nodes.first().copied());
-            found.push(Finding { rule, at, host: None, node, command: None, what });
+            found.push(Finding { rule, at, host: None, node, request_id: None, what });
         };
         if back.most_load > storm.ceiling {
             find(back.most_at_ms, format!("sent {:.2} times what it can do in {SLOT} ms", back.most_load));
--- a/crates/scenario/src/storm/tests.rs
+++ b/crates/scenario/src/storm/tests.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn the_payoff_is_back_when_a_whole_window_is() {
-    // One command each 10 ms; from 4 s on all are served, before that half of them.
+    // One request each 10 ms; from 4 s on all are served, before that half of them.
     let all: Vec<(Ms, f64, f64)> = (0..1000)
         .map(|i| (f64::from(i) * 10.0, 1.0, if i >= 400 || i % 2 == 0 { 1.0 } else { 0.0 }))
         .collect();
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,13 +1,13 @@
-//! One instance on the bench's wire: the desk, and what writes the desk's wishes as the wire's actions.
+//! One instance on the bench's wire: the engine, and what writes the engine's wishes as the wire's actions.
 
 use crate::wire::Reply;
-use magpiewick::{Answer, Ending, Entry, Ms, News, Start, Told};
-use magpiewick_engine::{Desk, Part, Reason, Taken, World};
+use magpiewick::{Answer, Endpoint, EndpointUpdate, FinalStatus, GossipReport, Ms, SchedulerConfig};
+use magpiewick_engine::{AttemptRef, Engine, Environment, IncomingRequest, Reason};
 use magpiewick_instance_settings::NS_PER_MS;
 
 pub struct Host {
     number: u32,
-    desk: Desk,
+    engine: Engine,
     timer: Timer,
 }
 
@@ -33,34 +33,36 @@
     (ms * NS_PER_MS).max(0.0) as u64
 }
 
-impl World for Actions<'_> {
-    fn send(&mut self, node: u32, parts: &[Part]) {
-        for part in parts {
-            let time_out = ns(part.time_out).max(1);
-            self.reply.u8(3).u32(self.number).u64(part.command).u32(node).u64(time_out);
+impl Environment for Actions<'_> {
+    fn send(&mut self, node: u32, attempts: &[AttemptRef]) {
+        for part in attempts {
+            let timeout = ns(part.timeout).max(1);
+            self.reply.u8(3).u32(self.number).u64(part.request_id).u32(node).u64(timeout);
         }
     }
 
-    fn cancel(&mut self, command: u64, hand_off: u32) {
-        self.reply.u8(7).u32(self.number).u64(command).u16(hand_off as u16);
+    fn cancel(&mut self, request: u64, attempt: u32) {
+        self.reply.u8(7).u32(self.number).u64(request).u16(attempt as u16);
     }
 
-    fn answer(&mut self, command: u64, ending: Ending, _: Reason) {
+    fn answer(&mut self, request: u64, ending: FinalStatus, _: Reason) {
         match ending {
-            Ending::Bounced { back } => self.reply.u8(4).u32(self.number).u64(command).u64(ns(back)),
-            Ending::Scrapped => self.reply.u8(10).u32(self.number).u64(command),
+            FinalStatus::Rejected { retry_after } => {
+                self.reply.u8(4).u32(self.number).u64(request).u64(ns(retry_after))
+            }
+            FinalStatus::Failed => self.reply.u8(10).u32(self.number).u64(request),
         };
     }
 
-    fn probe(&mut self, node: u32) {
+    fn check_health(&mut self, node: u32) {
         self.reply.u8(1).u32(self.number).u32(node);
     }
 
-    fn watch(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.reply.u8(6).u32(self.number).u8(1);
     }
 
-    fn tell(&mut self, to: &[usize], told: &[(u16, Told)]) {
+    fn send_gossip(&mut self, to: &[usize], told: &[(u16, GossipReport)]) {
         for message in magpiewick_gossip::written(told) {
             for peer in to {
                 self.reply.u8(9).u32(self.number).u16(*peer as u16).u16(message.len() as u16).put(&message);
@@ -80,36 +82,36 @@
 }
 
 impl Host {
-    pub fn new(number: u32, start: Start, now: u64) -> Host {
-        Host { number, desk: Desk::new(start, ms(now)), timer: Timer::default() }
+    pub fn new(number: u32, start: SchedulerConfig, now: u64) -> Host {
+        Host { number, engine: Engine::new(start, ms(now)), timer: Timer::default() }
     }
 
-    fn with<'a>(&'a mut self, now: u64, reply: &'a mut Reply) -> (&'a mut Desk, Actions<'a>) {
-        (&mut self.desk, Actions { number: self.number, now, timer: &mut self.timer, reply })
+    fn with<'a>(&'a mut self, now: u64, reply: &'a mut Reply) -> (&'a mut Engine, Actions<'a>) {
+        (&mut self.engine, Actions { number: self.number, now, timer: &mut self.timer, reply })
     }
 
-    pub fn listed(&mut self, now: u64, news: News, entries: &[(u32, Entry)]) {
-        self.desk.listed(ms(now), news, entries);
+    pub fn listed(&mut self, now: u64, news: EndpointUpdate, entries: &[(u32, Endpoint)]) {
+        self.engine.on_endpoint_update(ms(now), news, entries);
     }
 
-    pub fn take(&mut self, now: u64, taken: Taken, reply: &mut Reply) {
-        let (desk, mut actions) = self.with(now, reply);
-        desk.take(ms(now), taken, &mut actions);
+    pub fn take(&mut self, now: u64, taken: IncomingRequest, reply: &mut Reply) {
+        let (engine, mut actions) = self.with(now, reply);
+        engine.submit(ms(now), taken, &mut actions);
     }
 
     pub fn outcome(&mut self, now: u64, id: u64, answer: Answer, reply: &mut Reply) {
-        let (desk, mut actions) = self.with(now, reply);
-        desk.outcome(ms(now), id, answer, &mut actions);
+        let (engine, mut actions) = self.with(now, reply);
+        engine.on_outcome(ms(now), id, answer, &mut actions);
     }
 
     pub fn abandoned(&mut self, now: u64, id: u64) {
-        self.desk.abandoned(ms(now), id);
+        self.engine.on_client_disconnect(ms(now), id);
     }
 
     /// A message from another host; one that cannot be read counts as one that got lost.
     pub fn told(&mut self, now: u64, from: u16, message: &[u8]) {
         if let Ok(told) = magpiewick_gossip::read(message) {
-            self.desk.heard(ms(now), usize::from(from), &told);
+            self.engine.on_gossip(ms(now), usize::from(from), &told);
         }
     }
 
@@ -120,7 +122,7 @@
     }
 
     pub fn run(&mut self, now: u64, reply: &mut Reply) {
-        let (desk, mut actions) = self.with(now, reply);
-        desk.run(ms(now), &mut actions);
+        let (engine, mut actions) = self.with(now, reply);
+        engine.run(ms(now), &mut actions);
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,9 +4,9 @@
 mod wire;
 
 use host::{ms, Host};
-use magpiewick::{Answer, Command, Condition, Entry, News, Outcome};
-use magpiewick_engine::Taken;
-use magpiewick_instance_settings::Facts;
+use magpiewick::{Answer, Endpoint, EndpointState, EndpointUpdate, Outcome, Request};
+use magpiewick_engine::IncomingRequest;
+use magpiewick_instance_settings::InstanceSettings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
 use wire::{Fault, Fields, Reply};
@@ -18,14 +18,14 @@
 /// What a batch's events name: the tables and the instances of this process.
 #[derive(Default)]
 struct Process {
-    tables: [Option<Vec<(u32, Entry)>>; TABLES],
+    tables: [Option<Vec<(u32, Endpoint)>>; TABLES],
     hosts: BTreeMap<u32, Instance>,
 }
 
 /// An instance with the counts that its events' fields must stay under.
 struct Instance {
     host: Host,
-    bands: usize,
+    classes: usize,
     plans: usize,
 }
 
@@ -73,16 +73,16 @@
             let zone = usize::from(f.u16("a zone")?);
             f.u8("a machine type")?;
             let shard = usize::from(f.u16("a shard")?);
-            let condition = match f.u8("a condition")? {
-                0 => Condition::Ready,
-                2 => Condition::Draining,
-                3 => Condition::Gone,
+            let state = match f.u8("a condition")? {
+                0 => EndpointState::Ready,
+                2 => EndpointState::Draining,
+                3 => EndpointState::Removed,
                 other => return Err(f.fault(format_args!("impossible node condition {other} in a table"))),
             };
             f.f32("a nominal size")?;
-            let started = f.u64("a start time")?;
-            let started = (started != 0).then(|| ms(started));
-            entries.push((id, Entry { node: 0, zone, shard, condition, started }));
+            let started_at = f.u64("a start time")?;
+            let started_at = (started_at != 0).then(|| ms(started_at));
+            entries.push((id, Endpoint { node: 0, zone, shard, state, started_at }));
         }
         self.tables[number] = Some(entries);
         Ok(())
@@ -101,9 +101,9 @@
             let length = f.u32("the settings' length")? as usize;
             let text = f.take(length, "the settings")?;
             let text = std::str::from_utf8(text).map_err(|_| f.fault("the settings are not text"))?;
-            let start = Facts::pairs(text)?.start(seed)?;
-            let (bands, plans) = (start.bands.len(), start.plans.len());
-            self.hosts.insert(number, Instance { host: Host::new(number, start, now), bands, plans });
+            let start = InstanceSettings::pairs(text)?.scheduler_config(seed)?;
+            let (classes, plans) = (start.classes.len(), start.plans.len());
+            self.hosts.insert(number, Instance { host: Host::new(number, start, now), classes, plans });
             return Ok(());
         }
         let unknown = f.fault(format_args!("an event for instance {number}, which does not run"));
@@ -113,7 +113,7 @@
                 f.take(8 + 4 + 8 + 2, "the start of a stream")?;
             }
             2 => {
-                let taken = command(f, i)?;
+                let taken = request(f, i)?;
                 i.host.take(now, taken, reply);
             }
             4 => {
@@ -138,14 +138,14 @@
                 let table = usize::from(f.u16("a table's number")?);
                 f.u64("a version")?;
                 let news = match f.u8("a list's mode")? {
-                    0 => News::Changes,
-                    1 => News::Whole,
-                    2 => News::Remembered,
-                    3 => News::Failed,
+                    0 => EndpointUpdate::Delta,
+                    1 => EndpointUpdate::Snapshot,
+                    2 => EndpointUpdate::Restored,
+                    3 => EndpointUpdate::PollFailed,
                     other => return Err(f.fault(format_args!("impossible list mode {other}"))),
                 };
                 let entries = match news {
-                    News::Failed => &[][..],
+                    EndpointUpdate::PollFailed => &[][..],
                     _ => match self.tables.get(table).and_then(|t| t.as_deref()) {
                         Some(entries) => entries,
                         None => return Err(f.fault(format_args!("table {table} was never sent"))),
@@ -169,17 +169,17 @@
     }
 }
 
-fn command(f: &mut Fields, i: &Instance) -> Result<Taken, Fault> {
+fn request(f: &mut Fields, i: &Instance) -> Result<IncomingRequest, Fault> {
     let id = f.u64("a command")?;
-    let band = usize::from(f.u16("a band")?);
+    let class = usize::from(f.u16("a band")?);
     let plan = usize::from(f.u16("a plan")?);
-    if band >= i.bands || plan >= i.plans.max(1) {
+    if class >= i.classes || plan >= i.plans.max(1) {
         return Err(
-            f.fault(format_args!("a command of band {band} and plan {plan}, which were never stated"))
+            f.fault(format_args!("a command of band {class} and plan {plan}, which were never stated"))
         );
     }
     let key = f.u64("a key")?;
-    let time_limit = ms(f.u64("a time limit")?);
+    let client_timeout = ms(f.u64("a time limit")?);
     let volume = f.u64("a volume")?;
     let units = f.f32("a size")?;
     let shard = f.f32("a shard")?;
@@ -189,31 +189,31 @@
         return Err(f.fault(format_args!("a command of {units} units for shard {shard} over {hosts} hosts")));
     }
     let shard = (shard >= 0.0).then_some(shard as usize);
-    let command = Command {
-        band,
+    let request = Request {
+        class,
         plan,
         volume: 0,
         key: None,
         units,
         shard,
         hosts: hosts.max(1.0),
-        time_limit,
+        client_timeout,
         counts: 1.0,
         with: None,
     };
-    Ok(Taken { id, key, volume, command })
+    Ok(IncomingRequest { id, key, volume, request })
 }
 
 fn outcome(f: &mut Fields) -> Result<Outcome, Fault> {
     Ok(match f.u16("an outcome")? {
-        10 => Outcome::Settled,
+        10 => Outcome::Succeeded,
         20 => Outcome::Error,
-        30 => Outcome::Full,
+        30 => Outcome::Overloaded,
         40 => Outcome::TimedOut,
-        50 => Outcome::NoConnection,
+        50 => Outcome::ConnectFailed,
         60 => Outcome::Reset,
         70 => Outcome::Cancelled,
-        80 => Outcome::Moot,
+        80 => Outcome::DeadlineExceeded,
         other => return Err(f.fault(format_args!("unknown outcome {other}"))),
     })
 }
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -14,10 +14,10 @@
     bytes
 }
 
-fn begun(facts: &str) -> Vec<u8> {
+fn begun(settings: &str) -> Vec<u8> {
     let mut record = Reply::default();
-    record.u8(6).u32(3).u64(1).u32(facts.len() as u32);
-    [&record.bytes, facts.as_bytes()].concat()
+    record.u8(6).u32(3).u64(1).u32(settings.len() as u32);
+    [&record.bytes, settings.as_bytes()].concat()
 }
 
 fn table(node: u32) -> Vec<u8> {
--- a/crates/transport/src/connection/tests.rs
+++ b/crates/transport/src/connection/tests.rs
@@ -19,20 +19,20 @@
     (from, to)
 }
 
-fn take(command: u64, payload: &[u8]) -> M<'_> {
-    let (band, volume, key, mark, units, limit_us, blocks) = (0, 1, 2, command, 1.0, 1000, 1);
-    M::Take(Take { command, band, write: true, volume, key, mark, units, limit_us, blocks, payload })
+fn take(request_id: u64, payload: &[u8]) -> M<'_> {
+    let (class, volume, key, mark, units, limit_us, blocks) = (0, 1, 2, request_id, 1.0, 1000, 1);
+    M::Take(Take { request_id, class, write: true, volume, key, mark, units, limit_us, blocks, payload })
 }
 
-/// Reads until as many frames came as wanted; the commands in their order.
-fn commands(to: &mut Connection, wanted: usize) -> Vec<u64> {
+/// Reads until as many frames came as wanted; the requests in their order.
+fn requests(to: &mut Connection, wanted: usize) -> Vec<u64> {
     let mut found = Vec::new();
     while found.len() < wanted {
         to.fill().unwrap();
         let (input, mut used) = (to.take_input(), 0);
         while let Ok(R::Whole(message, n)) = read(&input[used..]) {
             let M::Take(t) = message else { panic!("{message:?}") };
-            found.push(t.command);
+            found.push(t.request_id);
             used += n;
         }
         to.give_back(input, used);
@@ -45,8 +45,8 @@
     let poll = Poll::new().unwrap();
     let (mut from, mut to) = pair(&poll);
     let payload = vec![7; 1 << 20];
-    for command in 1..=40 {
-        from.queue(&take(command, &payload), command);
+    for request_id in 1..=40 {
+        from.queue(&take(request_id, &payload), request_id);
     }
     from.flush().unwrap();
     let left = from.never_left();
@@ -62,7 +62,7 @@
         to.fill().unwrap();
         let (input, mut used) = (to.take_input(), 0);
         while let Ok(R::Whole(M::Take(t), n)) = read(&input[used..]) {
-            found.push(t.command);
+            found.push(t.request_id);
             used += n;
         }
         to.give_back(input, used);
@@ -83,7 +83,7 @@
     assert_eq!(from.never_left(), [4]);
     from.flush().unwrap();
     assert!(from.never_left().is_empty());
-    assert_eq!(commands(&mut to, 2), [2, 4]);
+    assert_eq!(requests(&mut to, 2), [2, 4]);
 }
 
 #[test]
--- a/crates/transport/src/errors.rs
+++ b/crates/transport/src/errors.rs
@@ -12,7 +12,7 @@
     Next,
     /// No descriptor is left: another connection has to end before the next one can be accepted.
     OutOfDescriptors,
-    /// The system is short of something else. Ending a connection does not help; it is tried again later.
+    /// The system is short of something else. FinalStatus a connection does not help; it is tried again later.
     Short,
 }
 
--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,9 +1,9 @@
 //! Waits before something that failed is tried again.
 
-use crate::queues::Chance;
-use crate::terms::Ms;
+use crate::queues::RandomSource;
+use crate::types::Ms;
 
-/// Waits that double from the first to the longest, each spread by chance over half to one and a half of its length,
+/// Waits that double from the first to the longest, each spread at random over half to one and a half of its length,
 /// so that hosts which failed together do not come back together.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
@@ -18,8 +18,8 @@
     }
 
     /// The wait after one more failure.
-    pub fn failed(&mut self, chance: &mut Chance) -> Ms {
-        let wait = self.next * (0.5 + chance.part());
+    pub fn failed(&mut self, rng: &mut RandomSource) -> Ms {
+        let wait = self.next * (0.5 + rng.fraction());
         self.next = (self.next * 2.0).min(self.longest);
         wait
     }
--- a/src/list_client.rs
+++ b/src/endpoint_client.rs
@@ -1,13 +1,13 @@
 //! The client of the list's service, as a state machine without I/O: when it is called, which answers are taken in,
 //! how long a call may take, and until when the list may be relied on. Nothing else sets a time for any of these.
 //!
-//! A driver reports what happens and carries out the steps that [`ListClient::due`] names, until there is none.
+//! A driver reports what happens and carries out the steps that [`EndpointClient::due`] names, until there is none.
 //! At every moment a call is out whose deadline is known, or the time of the next call is set.
 
 use crate::backoff::Backoff;
 use crate::freshness::{Failure, Freshness, FreshnessRules, Validity};
-use crate::queues::Chance;
-use crate::terms::{Ms, News};
+use crate::queues::RandomSource;
+use crate::types::{EndpointUpdate, Ms};
 
 /// Waits after a failed call: the first, and the longest as a part of the time that a host may go without asking.
 const FIRST_WAIT: Ms = 50.0;
@@ -31,10 +31,10 @@
     /// failure may: others may stand in line before it.
     pub late: Ms,
     pub first_late: Ms,
-    /// How many calls may be out at once. Where it is one, a late call is given up for the next.
+    /// How many calls may be out at once. RouteDecision it is one, a late call is given up for the next.
     pub most_calls: usize,
     /// How long the host may go without asking.
-    pub ask_within: Ms,
+    pub max_poll_interval: Ms,
 }
 
 /// What a call asks for.
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Its lines are to be taken in, as this kind of news.
-    Take(News),
+    Take(EndpointUpdate),
     /// It does not follow what is known: the whole list is asked for.
     Gap,
     /// What is known is newer, or the call is not known any more.
@@ -108,9 +108,9 @@
 }
 
 /// The client.
-pub struct ListClient {
+pub struct EndpointClient {
     pace: Pace,
-    chance: Chance,
+    rng: RandomSource,
     backoff: Backoff,
     freshness: Freshness,
     address: u32,
@@ -127,7 +127,7 @@
     last_id: u64,
 }
 
-impl ListClient {
+impl EndpointClient {
     /// `as_of`: when what the host starts with counts as complete; `remembered`: the generation of the list that it
     /// starts with.
     pub fn new(
@@ -137,12 +137,12 @@
         now: Ms,
         as_of: Ms,
         remembered: Option<u64>,
-    ) -> ListClient {
+    ) -> EndpointClient {
         let known = remembered.map(|generation| Known { address: 0, generation, taken_at: now });
-        ListClient {
+        EndpointClient {
             pace,
-            chance: Chance::new(seed),
-            backoff: Backoff::new(FIRST_WAIT, LONGEST_WAIT * pace.ask_within),
+            rng: RandomSource::new(seed),
+            backoff: Backoff::new(FIRST_WAIT, LONGEST_WAIT * pace.max_poll_interval),
             freshness: Freshness::new(rules, as_of),
             address: 0,
             known,
@@ -190,7 +190,7 @@
         self.former.len()
     }
 
-    /// When [`ListClient::due`] is to be called at the latest, and the validity looked at.
+    /// When [`EndpointClient::due`] is to be called at the latest, and the validity looked at.
     pub fn wakes_at(&self, now: Ms) -> Ms {
         let expires_at = Some(self.freshness.expires_at()).filter(|at| *at > now);
         self.next_call_at().min(expires_at.unwrap_or(f64::INFINITY))
@@ -251,7 +251,7 @@
             self.next_at = Some(now);
         } else {
             self.dropped.extend(self.calls.drain(..).map(|call| call.id));
-            self.next_at = Some(now + self.backoff.failed(&mut self.chance));
+            self.next_at = Some(now + self.backoff.failed(&mut self.rng));
         }
     }
 
@@ -276,10 +276,10 @@
     /// Sets the next call after a failure, unless another call is out that is not late.
     fn retry(&mut self, now: Ms, failure: Failure) {
         self.answers = false;
-        let mut wait = self.backoff.failed(&mut self.chance);
+        let mut wait = self.backoff.failed(&mut self.rng);
         if failure == Failure::Busy {
-            let least = BUSY_WAIT * LONGEST_WAIT * self.pace.ask_within;
-            wait = wait.max(least * (0.5 + self.chance.part()));
+            let least = BUSY_WAIT * LONGEST_WAIT * self.pace.max_poll_interval;
+            wait = wait.max(least * (0.5 + self.rng.fraction()));
         }
         if self.next_at.is_none() && self.calls.iter().all(|call| call.late) {
             self.next_at = Some(now + wait);
@@ -341,7 +341,7 @@
                 return Verdict::Outdated;
             }
         }
-        Verdict::Take(if answer.whole { News::Whole } else { News::Changes })
+        Verdict::Take(if answer.whole { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta })
     }
 
     fn take(&mut self, now: Ms, call: &Call, answer: Answered) {
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -1,10 +1,10 @@
-//! Until when the list of nodes that a host has may be relied on.
+//! Until when the endpoint list that a host has may be relied on.
 //!
 //! A change of the list binds every host some time after the service of the list had it, whether or not it reached
 //! the host. So a host relies on its list only as long as no change that it has not heard of can bind it, and no
 //! longer than that unless the service itself is down: what nobody can be told binds nobody.
 
-use crate::terms::Ms;
+use crate::types::Ms;
 
 /// What the rules of the deployment say on when a change binds a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,15 @@
 //! The decision module of magpiewick and the plain types of its interface.
 
 mod backoff;
-mod brain;
+mod endpoint_client;
 mod freshness;
-mod list_client;
 mod queues;
-mod terms;
+mod scheduler;
+mod types;
 
 pub use backoff::Backoff;
-pub use brain::Brain;
+pub use endpoint_client::{Answered, EndpointClient, Pace, Step, Target, Verdict};
 pub use freshness::{Failure, Freshness, FreshnessRules, Validity};
-pub use list_client::{Answered, ListClient, Pace, Step, Target, Verdict};
-pub use queues::Chance;
-pub use terms::*;
+pub use queues::RandomSource;
+pub use scheduler::Scheduler;
+pub use types::*;
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -1,19 +1,19 @@
-//! Structures of the module that decide nothing: what it knows of a command, a hand-off and a node, sums over
+//! Structures of the module that decide nothing: what it knows of a request, an attempt and a node, sums over
 //! rings of time, an order of times, lists by time, turn, shard and key, so that a decision looks only at what
 //! has changed, and what other hosts told last.
 
-use crate::terms::{Command, Entry, Ms, Told};
+use crate::types::{Endpoint, GossipReport, Ms, Request};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Where a held command stands: outside the lines (its key, limit or node forbids it for now), in the line of
-/// a node, out at one, or over while its last hand-off is still out.
+/// RouteDecision a held request stands: outside the lines (its key, limit or node forbids it for now), in the line of
+/// a node, out at one, or over while its last attempt is still out.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Stage {
-    Outside,
-    Lined(usize),
-    Out(usize),
-    Over(usize),
+pub enum RequestState {
+    Blocked,
+    Queued(usize),
+    InFlight(usize),
+    Finished(usize),
 }
 
 #[derive(Clone, Copy, Default)]
@@ -30,15 +30,15 @@
     }
 }
 
-pub struct Held {
-    pub cmd: Command,
+pub struct PendingRequest {
+    pub cmd: Request,
     pub turn: u64,
-    pub stage: Stage,
+    pub state: RequestState,
     pub tag: Tag,
     pub late_at: Ms,
     pub ends: Ms,
-    pub hand_offs: u32,
-    /// The first hand-off not known not to have run: its number, when and where it went.
+    pub attempts: u32,
+    /// The first attempt not known not to have run: its number, when and where it went.
     pub may_have_run: Option<(u32, Ms, usize)>,
     pub not_before: Ms,
     pub drew_limit: bool,
@@ -53,13 +53,13 @@
     pub lined: u32,
 }
 
-/// A hand-off that is out; `passed` counts those sent after it and answered before it, `load` the units of
+/// An attempt that is out; `passed` counts those sent after it and answered before it, `load` the units of
 /// all that travel with it, which share one place of the window.
-pub struct Out {
+pub struct InFlightAttempt {
     pub batch: u64,
     pub load: f64,
     pub id: usize,
-    pub hand_off: u32,
+    pub attempt: u32,
     pub at: Ms,
     pub patience: Ms,
     /// What it takes where nothing waits.
@@ -71,7 +71,7 @@
 /// A node: the mechanism's lines and potentials, what is out, and what is known of it.
 #[derive(Default)]
 pub struct Node {
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// By finish tag and turn.
     pub line: BTreeSet<(i64, u64, usize)>,
     pub flows: BTreeMap<(usize, bool), Flow>,
@@ -79,17 +79,17 @@
     pub frame: i64,
     pub counters: BTreeMap<i64, u32>,
     pub frame_units: f64,
-    pub out: Vec<Out>,
+    pub out: Vec<InFlightAttempt>,
     pub window: f64,
-    pub soft_limit: Ms,
-    /// By how much its answers were lately over what commands take where nothing waits.
+    pub latency_objective: Ms,
+    /// By how much its answers were lately over what requests take where nothing waits.
     pub wait: Ms,
-    /// What the fastest band takes where nothing waits.
+    /// What the fastest class takes where nothing waits.
     pub base: Ms,
-    /// How many later answers make a hand-off doubtful.
+    /// How many later answers make an attempt doubtful.
     pub enough: u32,
-    /// What it settled for this host lately, and the units that it may be sent while it is cold.
-    pub served: Ring,
+    /// What it succeeded for this host lately, and the units that it may be sent while it is cold.
+    pub served: RollingWindow,
     pub credit: f64,
     pub credited: Ms,
     pub sent: Ms,
@@ -98,7 +98,7 @@
     /// What other hosts have out there, as far as they told; whether they tell at all.
     pub others: f64,
     pub hears: bool,
-    /// How many of them have commands waiting for it, and how long this host's turn takes beside theirs.
+    /// How many of them have requests waiting for it, and how long this host's turn takes beside theirs.
     pub rivals: f64,
     pub turn: f64,
     pub rest: Ms,
@@ -106,8 +106,8 @@
 }
 
 impl Node {
-    /// Takes a lined command off its line and its frame's counter; what is known of its volume there.
-    pub fn leaves_line(&mut self, id: usize, h: &Held) -> Option<&mut Flow> {
+    /// Takes a lined request off its line and its frame's counter; what is known of its volume there.
+    pub fn leaves_line(&mut self, id: usize, h: &PendingRequest) -> Option<&mut Flow> {
         self.line.remove(&(rank(h.tag.finish), h.turn, id));
         if let Some(count) = h.tag.marked().and_then(|frame| self.counters.get_mut(&frame)) {
             *count = count.saturating_sub(1);
@@ -132,8 +132,8 @@
     }
 }
 
-/// What a node's waits are held against: the typical latency of each band at the mean size, the least of
-/// these, what the shortest soft limit leaves beside it, and the floor of the window in a jam.
+/// What a node's waits are held against: the typical latency of each class at the mean size, the least of
+/// these, what the shortest latency objective leaves beside it, and the floor of the window in a jam.
 #[derive(Default)]
 pub struct Bounds {
     pub jam_floor: f64,
@@ -146,15 +146,15 @@
 
 /// Sums over fixed buckets of time, used again in a ring.
 #[derive(Default)]
-pub struct Ring {
+pub struct RollingWindow {
     slot: Ms,
     at: i64,
     sums: Vec<(f64, f64)>,
 }
 
-impl Ring {
-    pub fn new(slot: Ms, slots: usize) -> Ring {
-        Ring { slot, at: i64::MIN / 2, sums: vec![(0.0, 0.0); slots + 1] }
+impl RollingWindow {
+    pub fn new(slot: Ms, slots: usize) -> RollingWindow {
+        RollingWindow { slot, at: i64::MIN / 2, sums: vec![(0.0, 0.0); slots + 1] }
     }
 
     fn turn(&mut self, now: Ms) -> usize {
@@ -192,18 +192,18 @@
 }
 
 /// Things that each have one time, by that time.
-pub struct Agenda<K> {
+pub struct TimerQueue<K> {
     times: BTreeMap<K, i64>,
     queue: BTreeSet<(i64, K)>,
 }
 
-impl<K: Ord + Copy> Default for Agenda<K> {
-    fn default() -> Agenda<K> {
-        Agenda { times: BTreeMap::new(), queue: BTreeSet::new() }
+impl<K: Ord + Copy> Default for TimerQueue<K> {
+    fn default() -> TimerQueue<K> {
+        TimerQueue { times: BTreeMap::new(), queue: BTreeSet::new() }
     }
 }
 
-impl<K: Ord + Copy> Agenda<K> {
+impl<K: Ord + Copy> TimerQueue<K> {
     /// Gives a thing another time, or takes it off.
     pub fn set(&mut self, thing: K, at: Option<Ms>) {
         let before = match at.map(rank) {
@@ -236,16 +236,16 @@
 /// What waits, by shard, and who of it is hopeless. It is told when the first of a shard is late, as that
 /// hangs on the shard's node.
 #[derive(Default)]
-pub struct Waiting {
+pub struct ExpiryQueue {
     by_shard: BTreeMap<Option<usize>, BTreeSet<(i64, usize)>>,
-    pub late: Agenda<Option<usize>>,
+    pub late: TimerQueue<Option<usize>>,
     /// Those outside by turn, then by node those in its line; and where each stands.
     doomed: BTreeSet<((usize, u64), usize)>,
     places: BTreeMap<usize, (usize, u64)>,
 }
 
-impl Waiting {
-    /// Notes that a command waits until it is late, or does no more.
+impl ExpiryQueue {
+    /// Notes that a request waits until it is late, or does no more.
     pub fn set(&mut self, shard: Option<usize>, late_at: Ms, id: usize, waits: bool) {
         if let Some(place) = self.places.remove(&id) {
             self.doomed.remove(&(place, id));
@@ -271,7 +271,7 @@
         self.by_shard.keys().copied().collect()
     }
 
-    /// Notes a command that no longer waits as hopeless, or that it stands elsewhere now.
+    /// Notes a request that no longer waits as hopeless, or that it stands elsewhere now.
     pub fn doom(&mut self, id: usize, place: (usize, u64)) {
         if let Some(before) = self.places.insert(id, place) {
             self.doomed.remove(&(before, id));
@@ -288,18 +288,18 @@
     }
 }
 
-/// Commands outside all lines: by turn those that name a shard and may have become free to join a line, and
+/// Requests outside all lines: by turn those that name a shard and may have become free to join a line, and
 /// those that name none. The others sleep until a time or until somebody wakes them.
 #[derive(Default)]
-pub struct Outside {
+pub struct BlockedRequests {
     pub look: BTreeMap<u64, usize>,
     pub open: BTreeMap<u64, usize>,
-    asleep: Agenda<(u64, usize)>,
+    asleep: TimerQueue<(u64, usize)>,
     /// By volume: those that found its store short.
     short: BTreeMap<usize, BTreeSet<usize>>,
 }
 
-impl Outside {
+impl BlockedRequests {
     pub fn wake(&mut self, turn: u64, id: usize, open: bool) {
         self.asleep.set((turn, id), None);
         _ = if open { &mut self.open } else { &mut self.look }.insert(turn, id);
@@ -335,20 +335,20 @@
     }
 }
 
-/// Keys whose commands run one after the other, and until when each rests.
+/// KeyLocks whose requests run one after the other, and until when each rests.
 #[derive(Default)]
-pub struct Keys {
+pub struct KeyLocks {
     lines: BTreeMap<usize, (VecDeque<usize>, Ms)>,
-    /// Keys without a line, each with when it has rested.
+    /// KeyLocks without a line, each with when it has rested.
     empty: VecDeque<(Ms, usize)>,
 }
 
-impl Keys {
+impl KeyLocks {
     pub fn join(&mut self, now: Ms, key: usize, id: usize) {
         self.lines.entry(key).or_insert_with(|| (VecDeque::new(), now)).0.push_back(id);
     }
 
-    /// The first command of a key, and until when the key rests.
+    /// The first request of a key, and until when the key rests.
     pub fn first(&self, key: usize) -> Option<(usize, Ms)> {
         let (line, rest) = self.lines.get(&key)?;
         Some((*line.front()?, *rest))
@@ -360,7 +360,7 @@
         }
     }
 
-    /// Takes a command out; the first one of the key then. Keys that have rested are forgotten.
+    /// Takes a request out; the first one of the key then. KeyLocks that have rested are forgotten.
     pub fn leave(&mut self, now: Ms, key: usize, id: usize) -> Option<usize> {
         let (line, rest) = self.lines.get_mut(&key)?;
         line.retain(|&other| other != id);
@@ -378,16 +378,16 @@
     }
 }
 
-/// What each other host told last, and its sums by node: hand-offs out, and hosts that have commands waiting.
+/// What each other host told last, and its sums by node: attempts out, and hosts that have requests waiting.
 #[derive(Default)]
-pub struct Peers {
-    told: BTreeMap<usize, (Ms, Vec<Told>)>,
+pub struct GossipState {
+    told: BTreeMap<usize, (Ms, Vec<GossipReport>)>,
     sums: BTreeMap<usize, (u32, u32)>,
 }
 
-impl Peers {
+impl GossipState {
     /// Puts what a host tells in the place of what it told before; the nodes of either.
-    pub fn tells(&mut self, now: Ms, from: usize, told: &[Told]) -> Vec<usize> {
+    pub fn tells(&mut self, now: Ms, from: usize, told: &[GossipReport]) -> Vec<usize> {
         let before = self.told.insert(from, (now, told.to_vec())).map_or(Vec::new(), |b| b.1);
         for t in told {
             let (out, waiting) = self.sums.entry(t.node).or_default();
@@ -418,22 +418,22 @@
     }
 }
 
-/// Chance from one seed.
-pub struct Chance(WyRand);
+/// RandomSource from one seed.
+pub struct RandomSource(WyRand);
 
-impl Default for Chance {
-    fn default() -> Chance {
-        Chance::new(0)
+impl Default for RandomSource {
+    fn default() -> RandomSource {
+        RandomSource::new(0)
     }
 }
 
-impl Chance {
-    pub fn new(seed: u64) -> Chance {
-        Chance(WyRand::new_seed(seed))
+impl RandomSource {
+    pub fn new(seed: u64) -> RandomSource {
+        RandomSource(WyRand::new_seed(seed))
     }
 
     /// A number from 0 to 1.
-    pub fn part(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         self.0.generate::<u32>() as f64 / u32::MAX as f64
     }
 
@@ -444,14 +444,14 @@
 }
 
 /// Units that fill at a rate.
-pub struct Store {
+pub struct TokenBucket {
     pub units: f64,
     pub filled: Ms,
-    /// Taken by commands that wait in line; the store does not fill in their place until they are sent.
+    /// Taken by requests that wait in line; the store does not fill in their place until they are sent.
     pub drawn: f64,
 }
 
-impl Store {
+impl TokenBucket {
     pub fn fill(&mut self, now: Ms, a_second: f64, most: f64) {
         self.units = (self.units + (now - self.filled) * a_second / 1000.0).min(most);
         self.filled = now;
--- a/src/queues/tests.rs
+++ b/src/queues/tests.rs
@@ -8,7 +8,7 @@
 
     /// A plain model: a map from things to times, sorted when asked.
     fn an_agenda_is_a_map_by_time(steps: Vec<(u8, Option<i16>)>, now: i16) -> bool {
-        let (mut agenda, mut plain) = (Agenda::default(), BTreeMap::new());
+        let (mut agenda, mut plain) = (TimerQueue::default(), BTreeMap::new());
         for (thing, at) in steps {
             agenda.set(thing, at.map(f64::from));
             match at {
@@ -24,10 +24,10 @@
 
     /// A plain model: each host's last word, added up when asked.
     fn peers_add_up_to_what_each_said_last(words: Vec<(u8, u8, u8, bool)>) -> bool {
-        let (mut peers, mut plain) = (Peers::default(), BTreeMap::new());
+        let (mut peers, mut plain) = (GossipState::default(), BTreeMap::new());
         words.into_iter().zip(0..).all(|((from, node, out, waits), now)| {
             let (from, node, out) = (usize::from(from % 5), usize::from(node % 3), u32::from(out));
-            let told = Told { node, out, waits, answers: 0, wait: 0.0 };
+            let told = GossipReport { node, out, waits, answers: 0, wait: 0.0 };
             peers.tells(f64::from(now), from, &[told]);
             plain.insert(from, (f64::from(now), told));
             peers.lapse(f64::from(now - 7));
@@ -40,9 +40,9 @@
         })
     }
 
-    /// A plain model: one list of commands in the order taken.
+    /// A plain model: one list of requests in the order taken.
     fn keys_have_the_order_taken(steps: Vec<(u8, u8)>) -> bool {
-        let (mut keys, mut plain): (Keys, Vec<(usize, usize)>) = (Keys::default(), Vec::new());
+        let (mut keys, mut plain): (KeyLocks, Vec<(usize, usize)>) = (KeyLocks::default(), Vec::new());
         let first = |plain: &[(usize, usize)], key| plain.iter().find(|p| p.0 == key).map(|p| p.1);
         for (now, (what, a)) in (0..).zip(steps) {
             let (now, key) = (f64::from(now), usize::from(a % 3));
--- a/tests/list_client.rs
+++ b/tests/endpoint_client.rs
@@ -14,7 +14,7 @@
         late: LATE,
         first_late: FIRST_LATE,
         most_calls: 3,
-        ask_within: 10_000.0,
+        max_poll_interval: 10_000.0,
     }
 }
 
@@ -22,17 +22,17 @@
     FreshnessRules { binds_after: 6000.0, binds_after_reload: 4000.0, stall: 150.0, silent_when_down: false }
 }
 
-fn client(remembered: Option<u64>) -> ListClient {
-    ListClient::new(pace(), rules(), 7, 0.0, 0.0, remembered)
+fn client(remembered: Option<u64>) -> EndpointClient {
+    EndpointClient::new(pace(), rules(), 7, 0.0, 0.0, remembered)
 }
 
 /// The steps that are due now.
-fn steps(client: &mut ListClient, now: Ms) -> Vec<Step> {
+fn steps(client: &mut EndpointClient, now: Ms) -> Vec<Step> {
     std::iter::from_fn(|| client.due(now)).collect()
 }
 
 /// The one call that is due now, and what it asks for.
-fn call(client: &mut ListClient, now: Ms) -> (u64, Target) {
+fn call(client: &mut EndpointClient, now: Ms) -> (u64, Target) {
     let steps = steps(client, now);
     let [Step::Call { call, target }] = steps[..] else { panic!("not one call: {steps:?}") };
     client.connected(call);
@@ -40,7 +40,7 @@
 }
 
 /// The next call, at its time.
-fn next_call(client: &mut ListClient) -> (u64, Target) {
+fn next_call(client: &mut EndpointClient) -> (u64, Target) {
     let at = client.next_call_at();
     call(client, at)
 }
@@ -58,11 +58,11 @@
 }
 
 /// A client whose list of generation 4 was just told, with a watch out.
-fn watching() -> (ListClient, u64) {
+fn watching() -> (EndpointClient, u64) {
     let mut client = client(None);
     let (first, target) = call(&mut client, 0.0);
     assert_eq!(target, Target::Whole);
-    assert_eq!(client.answered(10.0, first, whole(4)), Verdict::Take(News::Whole));
+    assert_eq!(client.answered(10.0, first, whole(4)), Verdict::Take(EndpointUpdate::Snapshot));
     let (watch, target) = call(&mut client, 10.0);
     assert_eq!(target, Target::Changes { after: 4, wait: WAIT });
     (client, watch)
@@ -71,7 +71,7 @@
 #[test]
 fn a_watch_follows_its_generations_and_begins_anew_where_it_cannot() {
     let (mut client, watch) = watching();
-    assert_eq!(client.answered(20.0, watch, changes(6)), Verdict::Take(News::Changes));
+    assert_eq!(client.answered(20.0, watch, changes(6)), Verdict::Take(EndpointUpdate::Delta));
     let (watch, _) = call(&mut client, 20.0);
     assert_eq!(client.answered(30.0, watch, changes(5)), Verdict::Gap, "changes that lead back");
     assert_eq!(steps(&mut client, 30.0), [], "it is asked again after a wait");
@@ -81,7 +81,7 @@
     let (again, _) = next_call(&mut client);
     assert_eq!(
         client.answered(900.0, again, whole(2)),
-        Verdict::Take(News::Whole),
+        Verdict::Take(EndpointUpdate::Snapshot),
         "a whole list may be of any age where it was asked for after the last one was told"
     );
 }
@@ -133,7 +133,7 @@
     client.failed(1000.0, first, Failure::Broken);
     let next = client.next_call_at();
     assert!(next <= 1075.0);
-    assert_eq!(client.answered(1010.0, watch, changes(5)), Verdict::Take(News::Changes));
+    assert_eq!(client.answered(1010.0, watch, changes(5)), Verdict::Take(EndpointUpdate::Delta));
     assert_eq!(client.next_call_at(), next);
     assert_eq!(call(&mut client, next).1, Target::Whole);
 }
@@ -143,7 +143,11 @@
     let (mut client, watch) = watching();
     client.reloaded(1000.0);
     let (first, _) = call(&mut client, 1000.0);
-    assert_eq!(client.answered(1010.0, first, whole(2)), Verdict::Take(News::Whole), "its own generations");
+    assert_eq!(
+        client.answered(1010.0, first, whole(2)),
+        Verdict::Take(EndpointUpdate::Snapshot),
+        "its own generations"
+    );
     assert!(steps(&mut client, 1010.0).contains(&Step::Drop { call: watch }));
     assert_eq!(client.answered(1020.0, watch, whole(9)), Verdict::Outdated);
 }
@@ -168,9 +172,9 @@
     let late_at = client.next_call_at();
     let (beside, target) = call(&mut client, late_at);
     assert_eq!(target, Target::Changes { after: 4, wait: FIRST_WAIT });
-    assert_eq!(client.answered(late_at + 100.0, watch, changes(5)), Verdict::Take(News::Changes));
+    assert_eq!(client.answered(late_at + 100.0, watch, changes(5)), Verdict::Take(EndpointUpdate::Delta));
     assert_eq!(steps(&mut client, late_at + 100.0), [], "the new one stands in line for what comes next");
-    assert_eq!(client.answered(late_at + 400.0, beside, changes(6)), Verdict::Take(News::Changes));
+    assert_eq!(client.answered(late_at + 400.0, beside, changes(6)), Verdict::Take(EndpointUpdate::Delta));
     assert_eq!(call(&mut client, late_at + 400.0).1, Target::Changes { after: 6, wait: WAIT });
 }
 
@@ -201,7 +205,7 @@
 #[test]
 fn where_one_call_may_be_out_a_late_one_is_given_up() {
     let pace = Pace { most_calls: 1, ..pace() };
-    let mut client = ListClient::new(pace, rules(), 7, 0.0, 0.0, Some(1));
+    let mut client = EndpointClient::new(pace, rules(), 7, 0.0, 0.0, Some(1));
     let (first, _) = call(&mut client, 0.0);
     let late_at = client.next_call_at();
     assert_eq!(steps(&mut client, late_at), [Step::Drop { call: first }]);
--- a/tests/list_client_search.rs
+++ b/tests/endpoint_client_search.rs
@@ -17,7 +17,7 @@
         late: 900.0,
         first_late: 2000.0,
         most_calls: 3,
-        ask_within: 10_000.0,
+        max_poll_interval: 10_000.0,
     }
 }
 
@@ -68,7 +68,7 @@
 /// A host with its client, and the service.
 struct World {
     now: Ms,
-    client: ListClient,
+    client: EndpointClient,
     calls: Vec<Call>,
     /// When each generation came to be.
     changes: Vec<Ms>,
@@ -85,7 +85,7 @@
     fn new(seed: u64) -> World {
         World {
             now: 0.0,
-            client: ListClient::new(pace(), rules(), seed, 0.0, 0.0, Some(0)),
+            client: EndpointClient::new(pace(), rules(), seed, 0.0, 0.0, Some(0)),
             calls: Vec::new(),
             changes: vec![0.0],
             has: BTreeSet::from([0]),
@@ -182,7 +182,7 @@
     fn take(&mut self, verdict: Verdict, lines: BTreeSet<u64>) {
         let before = self.has.clone();
         match verdict {
-            Verdict::Take(News::Whole) => self.has = lines,
+            Verdict::Take(EndpointUpdate::Snapshot) => self.has = lines,
             Verdict::Take(_) => self.has.extend(lines),
             Verdict::Gap | Verdict::Outdated => return,
         }
@@ -275,13 +275,13 @@
     assert_eq!(runs, 6561 * 9);
 }
 
-/// A world in which everything fails by chance: calls, reloads, the service, and the host's own turns.
+/// A world in which everything fails at random: calls, reloads, the service, and the host's own turns.
 fn by_chance(seed: u64) -> World {
-    let mut chance = Chance::new(seed);
+    let mut rng = RandomSource::new(seed);
     let mut world = World::new(seed);
-    let badness = chance.part();
+    let badness = rng.fraction();
     while world.now < 60_000.0 {
-        match chance.below(4000) {
+        match rng.below(4000) {
             0..=7 => world.changes(),
             8..=11 => world.reloads(),
             12..=13 => world.refuses_reload(),
@@ -291,18 +291,18 @@
             }
             16..=17 => {
                 // The process stands still; the service and the network go on.
-                let stall = 8000.0 * chance.part();
+                let stall = 8000.0 * rng.fraction();
                 world.note(format!("stands still for {stall:.0}"));
                 world.now += stall;
             }
             _ => {}
         }
-        let (up, fates) = (world.up_since.is_some(), &mut chance);
-        world.step(&mut |_| match fates.part() < badness {
+        let (up, fates) = (world.up_since.is_some(), &mut rng);
+        world.step(&mut |_| match fates.fraction() < badness {
             _ if !up => [Fate::Refused, Fate::Reset(5.0), Fate::TurnedAway(LINE)][fates.below(3)],
             true if fates.below(10) == 0 => Fate::Local,
             true => FATES[fates.below(FATES.len())],
-            false => Fate::Answered(1.0 + 100.0 * fates.part()),
+            false => Fate::Answered(1.0 + 100.0 * fates.fraction()),
         });
     }
     world.up_since = world.up_since.or(Some(world.now));
