--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,6 +1,6 @@
 //! Waits before something that failed is tried again.
 
-use crate::queues::RandomSource;
+use crate::random_source::RandomSource;
 use crate::types::Ms;
 
 /// Waits that double from the first to the longest, each spread at random over half to one and a half of its length,
--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -6,7 +6,7 @@
 
 use crate::backoff::Backoff;
 use crate::freshness::{Failure, Freshness, FreshnessRules, Validity};
-use crate::queues::RandomSource;
+use crate::random_source::RandomSource;
 use crate::types::{EndpointUpdate, Ms};
 
 /// Waits after a failed call: the first, and the longest as a part of the time that a host may go without asking.
--- /dev/null
+++ b/src/scheduler/fair_queueing.rs
@@ -0,0 +1,179 @@
+//! Frame-based fair queueing (Stiliadis and Varma, sections 4 and 5.1): the queue of one node, with the tags, the
+//! system potential and the frames by which requests leave it.
+
+use super::pending_request::PendingRequest;
+use crate::structures::total_order_key;
+use crate::types::{Ms, SchedulerConfig};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// How much more than its priority weight a volume's reserve counts.
+const RESERVE_FACTOR: f64 = 4.0;
+/// How long after its last request a flow counts into the weights at a node.
+const FLOW_EXPIRY: Ms = 2000.0;
+/// The least weight: none can be without service for ever.
+const MIN_WEIGHT: f64 = 1e-6;
+
+/// The virtual start and finish tag of a request.
+#[derive(Clone, Copy, Default)]
+pub(super) struct Tag {
+    pub start: f64,
+    pub finish: f64,
+    /// The reserve of its volume covers it.
+    pub reserved: bool,
+}
+
+impl Tag {
+    /// The frame in which it starts, if it finishes in a later one.
+    fn crossed_frame(&self) -> Option<i64> {
+        let frame = self.start.floor() as i64;
+        (frame < self.finish.floor() as i64).then_some(frame)
+    }
+}
+
+/// A request that enters a queue.
+pub(super) struct QueueEntry {
+    pub request: usize,
+    pub arrival: u64,
+    pub volume: usize,
+    pub reserved: bool,
+    pub units: f64,
+    pub weight: f64,
+}
+
+/// What decides on the length of a frame.
+pub(super) struct FrameBounds {
+    /// The most units that leave together.
+    pub max_batch_units: f64,
+    /// The least weight that any flow can have.
+    pub least_weight: f64,
+}
+
+/// The requests of a volume at a node that its reserve covers, or the others.
+struct Flow {
+    last_finish: f64,
+    weight: f64,
+    last_seen: Ms,
+    queued: u32,
+}
+
+/// The queue of one node.
+#[derive(Default)]
+pub(super) struct FairQueue {
+    /// By finish tag and arrival.
+    entries: BTreeSet<(i64, u64, usize)>,
+    flows: BTreeMap<(usize, bool), Flow>,
+    potential: f64,
+    frame: i64,
+    /// By frame, the queued requests that start in it and finish in a later one.
+    frame_counters: BTreeMap<i64, u32>,
+    frame_units: f64,
+}
+
+impl FairQueue {
+    /// Whether no request is queued.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// The queued requests in the order in which they leave.
+    pub fn requests(&self) -> impl Iterator<Item = usize> + '_ {
+        self.entries.iter().map(|(_, _, request)| *request)
+    }
+
+    /// Starts again from zero, without service that any flow had.
+    pub fn reset(&mut self) {
+        for flow in self.flows.values_mut() {
+            flow.last_finish = 0.0;
+        }
+        self.frame_counters.clear();
+        (self.potential, self.frame, self.frame_units) = (0.0, 0, 0.0);
+    }
+
+    /// Adds a request; the tag that it gets.
+    pub fn enqueue(&mut self, now: Ms, entry: &QueueEntry, bounds: &FrameBounds) -> Tag {
+        let key = (entry.volume, entry.reserved);
+        let new_flow = Flow { last_finish: 0.0, weight: entry.weight, last_seen: now, queued: 0 };
+        let flow = self.flows.entry(key).or_insert(new_flow);
+        flow.last_seen = now;
+        flow.queued += 1;
+        self.drop_idle_flows(now);
+        let weights: f64 = self.flows.values().map(|flow| flow.weight).sum();
+        self.frame_units = bounds.max_batch_units * weights / bounds.least_weight;
+        let length = entry.units * weights / (self.frame_units * entry.weight);
+        let Some(flow) = self.flows.get_mut(&key) else { return Tag::default() };
+        let start = flow.last_finish.max(self.potential);
+        let tag = Tag { start, finish: start + length, reserved: entry.reserved };
+        flow.last_finish = tag.finish;
+        if let Some(frame) = tag.crossed_frame() {
+            *self.frame_counters.entry(frame).or_insert(0) += 1;
+        }
+        self.entries.insert((total_order_key(tag.finish), entry.arrival, entry.request));
+        tag
+    }
+
+    /// A flow counts while it has requests, was seen lately, or has had more service than the potential says.
+    fn drop_idle_flows(&mut self, now: Ms) {
+        let potential = self.potential;
+        self.flows.retain(|_, flow| {
+            flow.queued > 0 || now - flow.last_seen < FLOW_EXPIRY || flow.last_finish > potential
+        });
+    }
+
+    /// Takes a request that leaves unsent out: its frame's counter falls, and its flow is not charged for it.
+    pub fn remove_unsent(&mut self, id: usize, pending: &PendingRequest) {
+        if let Some(flow) = self.remove(id, pending) {
+            flow.last_finish -= pending.tag.finish - pending.tag.start;
+        }
+    }
+
+    /// Takes a request that is sent out, and moves the potential and the frame on.
+    pub fn depart(&mut self, now: Ms, id: usize, pending: &PendingRequest) {
+        if let Some(flow) = self.remove(id, pending) {
+            flow.last_seen = now;
+        }
+        self.potential += pending.request.units / self.frame_units;
+        let reached = pending.tag.finish.floor() as i64;
+        if reached > self.frame && self.current_frame_is_served() {
+            self.frame = reached;
+            self.potential = self.potential.max(reached as f64);
+            self.frame_counters = self.frame_counters.split_off(&reached);
+        }
+    }
+
+    fn current_frame_is_served(&self) -> bool {
+        self.frame_counters.get(&self.frame).is_none_or(|&count| count == 0)
+    }
+
+    fn remove(&mut self, id: usize, pending: &PendingRequest) -> Option<&mut Flow> {
+        let tag = &pending.tag;
+        self.entries.remove(&(total_order_key(tag.finish), pending.arrival, id));
+        let crossed = tag.crossed_frame();
+        if let Some(count) = crossed.and_then(|frame| self.frame_counters.get_mut(&frame)) {
+            *count = count.saturating_sub(1);
+        }
+        let flow = self.flows.get_mut(&(pending.request.volume, tag.reserved))?;
+        flow.queued -= 1;
+        Some(flow)
+    }
+}
+
+/// The weight of a flow, which is what a unit of its service earns: the reserve counts in full, the share by weight at
+/// the part that it earns.
+pub(super) fn flow_weight(config: &SchedulerConfig, class: usize, policy: usize, reserved: bool) -> f64 {
+    let rates: f64 = config.plans.iter().map(|policy| policy.rate).sum();
+    let weights: f64 = config.plans.iter().map(|policy| policy.weight).sum();
+    let policy = &config.plans[policy];
+    let share = config.share_weight * policy.weight * rates / weights.max(1e-9);
+    let rate = if reserved && policy.reserve > 0.0 { RESERVE_FACTOR * policy.reserve } else { share };
+    (policy.price * config.classes[class].priority_weight * rate).max(MIN_WEIGHT)
+}
+
+/// The least weight that any flow can have.
+pub(super) fn least_flow_weight(config: &SchedulerConfig) -> f64 {
+    let (classes, policies) = (0..config.classes.len(), 0..config.plans.len());
+    let kinds = classes.flat_map(|class| policies.clone().map(move |policy| (class, policy)));
+    let weights = kinds.flat_map(|(class, policy)| {
+        [false, true].map(|reserved| flow_weight(config, class, policy, reserved))
+    });
+    weights.fold(f64::INFINITY, f64::min)
+}
--- /dev/null
+++ b/src/scheduler/rate_limit.rs
@@ -0,0 +1,71 @@
+//! Rate limits: this host's part of each volume's token bucket.
+
+use super::{Scheduler, TIMER_TOLERANCE};
+use crate::structures::TokenBucket;
+use crate::types::{Ms, QosPolicy, Request};
+use std::collections::BTreeMap;
+
+/// The token buckets of limited volumes. A bucket starts empty: a host that has just started may have spent it before.
+/// Queued requests keep their tokens reserved in it, as the true bucket does not refill while it is full.
+#[derive(Default)]
+pub(super) struct RateLimits {
+    buckets: BTreeMap<usize, TokenBucket>,
+    started_at: Ms,
+}
+
+impl RateLimits {
+    /// No volume has spent anything since the host started.
+    pub fn new(started_at: Ms) -> RateLimits {
+        RateLimits { buckets: BTreeMap::new(), started_at }
+    }
+
+    /// Reserves the tokens of a request, or says when the bucket holds them.
+    fn reserve(&mut self, now: Ms, request: &Request, policy: &QosPolicy) -> Result<(), Ms> {
+        let started_at = self.started_at;
+        let bucket = self.buckets.entry(request.volume).or_insert_with(|| TokenBucket::new(started_at, 0.0));
+        let rate = policy.limit_rate / request.hosts;
+        bucket.refill(now, rate, policy.limit_burst / request.hosts);
+        if bucket.available() >= request.units {
+            bucket.reserve(request.units);
+            return Ok(());
+        }
+        let missing = request.units - bucket.available();
+        Err(now + (missing / rate * 1000.0).max(TIMER_TOLERANCE))
+    }
+
+    /// Gives the tokens of a request back that leaves its queue unsent. Whether its volume is limited.
+    pub fn release(&mut self, request: &Request) -> bool {
+        let Some(bucket) = self.buckets.get_mut(&request.volume) else { return false };
+        bucket.release(request.units);
+        true
+    }
+
+    /// Spends the tokens of a request that is sent.
+    pub fn spend(&mut self, now: Ms, request: &Request, policy: &QosPolicy) {
+        let Some(bucket) = self.buckets.get_mut(&request.volume) else { return };
+        bucket.refill(now, policy.limit_rate / request.hosts, policy.limit_burst / request.hosts);
+        bucket.spend_reserved(request.units);
+    }
+}
+
+impl Scheduler {
+    /// Reserves the tokens of a request. From when on the rate limit allows it: now if they are reserved.
+    pub(super) fn reserve_tokens(&mut self, now: Ms, id: usize) -> Option<Ms> {
+        let pending = self.requests.get_mut(id)?;
+        let request = &pending.request;
+        let policy = &self.config.plans[request.plan];
+        if policy.limit_rate <= 0.0 || pending.has_tokens {
+            return Some(now);
+        }
+        match self.rate_limits.reserve(now, request, policy) {
+            Ok(()) => {
+                pending.has_tokens = true;
+                Some(now)
+            }
+            Err(at) => {
+                self.blocked.add_short_of_tokens(request.volume, id);
+                Some(at)
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/structures/expiry_queue.rs
@@ -0,0 +1,87 @@
+//! Requests that are not in flight, by the time at which they expire.
+
+use super::{total_order_key, TimerQueue};
+use crate::types::Ms;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Where an expiring request stands; those that expire together end in this order.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum QueuePosition {
+    /// In no queue, with its arrival number.
+    Blocked(u64),
+    /// In a node's queue, with the number of its entry.
+    Queued(usize, u64),
+}
+
+/// Waiting requests by shard and time of expiry, one timer a shard for the first of them, and the requests that were
+/// found to be expiring.
+#[derive(Default)]
+pub struct ExpiryQueue {
+    waiting: BTreeMap<Option<usize>, BTreeSet<(i64, usize)>>,
+    checks: TimerQueue<Option<usize>>,
+    expiring: BTreeSet<(QueuePosition, usize)>,
+    position_of: BTreeMap<usize, QueuePosition>,
+}
+
+impl ExpiryQueue {
+    /// Adds a waiting request, or removes it. It is not expiring from then on.
+    pub fn set_waiting(&mut self, shard: Option<usize>, expires_at: Ms, id: usize, waiting: bool) {
+        if let Some(position) = self.position_of.remove(&id) {
+            self.expiring.remove(&(position, id));
+        }
+        let of_shard = self.waiting.entry(shard).or_default();
+        let entry = (total_order_key(expires_at), id);
+        _ = if waiting { of_shard.insert(entry) } else { of_shard.remove(&entry) };
+        if of_shard.is_empty() {
+            self.waiting.remove(&shard);
+        }
+    }
+
+    /// The waiting request of a shard that expires first.
+    pub fn first_waiting(&self, shard: Option<usize>) -> Option<usize> {
+        Some(self.waiting.get(&shard)?.first()?.1)
+    }
+
+    /// All waiting requests of a shard, the first to expire first.
+    pub fn waiting_for(&self, shard: usize) -> Vec<usize> {
+        self.waiting.get(&Some(shard)).into_iter().flatten().map(|(_, id)| *id).collect()
+    }
+
+    /// The shards that requests wait for.
+    pub fn shards(&self) -> Vec<Option<usize>> {
+        self.waiting.keys().copied().collect()
+    }
+
+    /// Sets when the first request of a shard is to be checked.
+    pub fn set_check(&mut self, shard: Option<usize>, at: Option<Ms>) {
+        self.checks.set(shard, at);
+    }
+
+    /// The shards whose first request is to be checked by `now`.
+    pub fn due_checks(&self, now: Ms) -> Vec<Option<usize>> {
+        self.checks.due(now).collect()
+    }
+
+    /// Whether any shard has a check ahead.
+    pub fn has_checks(&self) -> bool {
+        !self.checks.is_empty()
+    }
+
+    /// Records that a request, which waits no longer, is expiring, or that it has moved to another position.
+    pub fn mark_expiring(&mut self, id: usize, position: QueuePosition) {
+        if let Some(former) = self.position_of.insert(id, position) {
+            self.expiring.remove(&(former, id));
+        }
+        self.expiring.insert((position, id));
+    }
+
+    /// Whether a request was marked as expiring.
+    pub fn is_expiring(&self, id: usize) -> bool {
+        self.position_of.contains_key(&id)
+    }
+
+    /// The expiring request with the first position.
+    pub fn first_expiring(&self) -> Option<usize> {
+        self.expiring.first().map(|(_, id)| *id)
+    }
+}
--- /dev/null
+++ b/src/structures/key_locks.rs
@@ -0,0 +1,56 @@
+//! Keys whose requests run one after the other.
+
+use crate::types::Ms;
+use std::collections::{BTreeMap, VecDeque};
+
+struct KeyQueue {
+    requests: VecDeque<usize>,
+    quiet_until: Ms,
+}
+
+/// The requests of each key in the order of arrival; the first one holds the lock of its key.
+#[derive(Default)]
+pub struct KeyLocks {
+    queues: BTreeMap<usize, KeyQueue>,
+    /// Keys without requests, each with the end of its quiet period.
+    idle: VecDeque<(Ms, usize)>,
+}
+
+impl KeyLocks {
+    /// Adds a request behind those of its key.
+    pub fn enqueue(&mut self, now: Ms, key: usize, id: usize) {
+        let empty = || KeyQueue { requests: VecDeque::new(), quiet_until: now };
+        self.queues.entry(key).or_insert_with(empty).requests.push_back(id);
+    }
+
+    /// The request that holds the lock of a key, and until when the key is to be quiet.
+    pub fn holder(&self, key: usize) -> Option<(usize, Ms)> {
+        let queue = self.queues.get(&key)?;
+        Some((*queue.requests.front()?, queue.quiet_until))
+    }
+
+    /// Sets until when no other request of a key may start.
+    pub fn set_quiet_until(&mut self, key: usize, until: Ms) {
+        if let Some(queue) = self.queues.get_mut(&key) {
+            queue.quiet_until = until;
+        }
+    }
+
+    /// Removes a request; the one that holds the lock then. Idle keys are dropped once their quiet period is over.
+    pub fn remove(&mut self, now: Ms, key: usize, id: usize) -> Option<usize> {
+        let queue = self.queues.get_mut(&key)?;
+        queue.requests.retain(|&other| other != id);
+        let next = queue.requests.front().copied();
+        if next.is_none() {
+            self.idle.push_back((queue.quiet_until, key));
+        }
+        while let Some(&(_, key)) = self.idle.front().filter(|(quiet_until, _)| now >= *quiet_until) {
+            self.idle.pop_front();
+            let is_over = |queue: &KeyQueue| queue.requests.is_empty() && now >= queue.quiet_until;
+            if self.queues.get(&key).is_some_and(is_over) {
+                self.queues.remove(&key);
+            }
+        }
+        next
+    }
+}
--- /dev/null
+++ b/src/structures/tests.rs
@@ -0,0 +1,70 @@
+use super::*;
+use crate::types::GossipReport;
+use quickcheck::quickcheck;
+use std::collections::BTreeMap;
+
+quickcheck! {
+    fn total_order_keys_have_the_order_of_their_numbers(a: f64, b: f64) -> bool {
+        total_order_key(a).cmp(&total_order_key(b)) == a.total_cmp(&b)
+    }
+
+    /// The model is a map from keys to times, sorted when asked.
+    fn a_timer_queue_agrees_with_a_map_sorted_by_time(steps: Vec<(u8, Option<i16>)>, now: i16) -> bool {
+        let (mut timers, mut model) = (TimerQueue::default(), BTreeMap::new());
+        for (key, at) in steps {
+            timers.set(key, at.map(f64::from));
+            match at {
+                Some(at) => _ = model.insert(key, at),
+                None => _ = model.remove(&key),
+            }
+        }
+        let mut due: Vec<(i16, u8)> =
+            model.iter().filter(|(_, at)| **at <= now).map(|(key, at)| (*at, *key)).collect();
+        due.sort_unstable();
+        let due: Vec<u8> = due.into_iter().map(|(_, key)| key).collect();
+        timers.due(f64::from(now)).collect::<Vec<_>>() == due && timers.is_empty() == model.is_empty()
+    }
+
+    /// The model is the latest report of each host, added up when asked.
+    fn remote_load_is_the_sum_of_the_latest_report_of_each_host(steps: Vec<(u8, u8, u8, bool)>) -> bool {
+        let (mut gossip, mut model) = (GossipState::default(), BTreeMap::new());
+        steps.into_iter().zip(0..).all(|((host, node, out, waits), now)| {
+            let (host, node, out) = (usize::from(host % 5), usize::from(node % 3), u32::from(out));
+            let report = GossipReport { node, out, waits, answers: 0, wait: 0.0 };
+            gossip.replace(f64::from(now), host, &[report]);
+            model.insert(host, (f64::from(now), report));
+            gossip.expire(f64::from(now - 7));
+            model.retain(|_, (received_at, _)| *received_at >= f64::from(now - 7));
+            let reports_of = |node| model.values().map(|(_, report)| report).filter(move |r| r.node == node);
+            (0..3).all(|node| {
+                let in_flight: u32 = reports_of(node).map(|report| report.out).sum();
+                let competing_hosts = reports_of(node).filter(|report| report.waits).count() as u32;
+                let load = gossip.remote_load(node);
+                load.in_flight == in_flight && load.competing_hosts == competing_hosts
+            })
+        })
+    }
+
+    /// The model is one list of requests in the order of arrival.
+    fn key_locks_go_to_requests_in_the_order_of_arrival(steps: Vec<(u8, u8)>) -> bool {
+        let (mut locks, mut model): (KeyLocks, Vec<(usize, usize)>) = (KeyLocks::default(), Vec::new());
+        let first = |model: &[(usize, usize)], key| model.iter().find(|(k, _)| *k == key).map(|(_, id)| *id);
+        for (now, (action, choice)) in (0..).zip(steps) {
+            let (now, key) = (f64::from(now), usize::from(choice % 3));
+            if action % 3 == 0 && !model.is_empty() {
+                let (key, id) = model.remove(usize::from(choice) % model.len());
+                if locks.remove(now, key, id) != first(&model, key) {
+                    return false;
+                }
+            } else {
+                let id = now as usize;
+                locks.enqueue(now, key, id);
+                model.push((key, id));
+            }
+            if (0..3).any(|key| locks.holder(key).map(|(id, _)| id) != first(&model, key)) {
+                return false;
+            }
+        }
+        true
+    }
+}
