--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,10 +1,10 @@
-//! Waits before something that failed is tried again.
+//! Exponential backoff with jitter.
 
 use crate::random_source::RandomSource;
 use crate::types::Ms;
 
-/// Waits that double from the first to the longest, each spread at random over half to one and a half of its length,
-/// so that hosts which failed together do not come back together.
+/// Delays before retries, which double from the first to the longest. Each is spread at random over half to one and a
+/// half of its length, so that hosts which failed together do not come back together.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
     first: Ms,
@@ -13,18 +13,19 @@
 }
 
 impl Backoff {
+    /// Delays from `first` to `longest`.
     pub fn new(first: Ms, longest: Ms) -> Backoff {
         Backoff { first, longest, next: first }
     }
 
-    /// The wait after one more failure.
+    /// The delay after one more failure.
     pub fn failed(&mut self, rng: &mut RandomSource) -> Ms {
-        let wait = self.next * (0.5 + rng.fraction());
+        let delay = self.next * (0.5 + rng.fraction());
         self.next = (self.next * 2.0).min(self.longest);
-        wait
+        delay
     }
 
-    /// Something succeeded, or what failed is not what is tried next.
+    /// Begins again with the first delay: something succeeded, or what is tried next is not what failed.
     pub fn reset(&mut self) {
         self.next = self.first;
     }
--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -1,39 +1,40 @@
-//! The client of the list's service, as a state machine without I/O: when it is called, which answers are taken in,
-//! how long a call may take, and until when the list may be relied on. Nothing else sets a time for any of these.
+//! The client of the discovery service, as a state machine without I/O: when the service is called, which answers are
+//! applied, how long a call may take, and until when the endpoint list may be relied on. Nothing else decides on these.
 //!
-//! A driver reports what happens and carries out the steps that [`EndpointClient::due`] names, until there is none.
-//! At every moment a call is out whose deadline is known, or the time of the next call is set.
+//! A driver reports events and carries out the steps that [`EndpointClient::due`] names, until there is none. At every
+//! moment a call with a known deadline is in flight, or the time of the next call is set.
 
 use crate::backoff::Backoff;
 use crate::freshness::{Failure, Freshness, FreshnessRules, Validity};
 use crate::random_source::RandomSource;
 use crate::types::{EndpointUpdate, Ms};
 
-/// Waits after a failed call: the first, and the longest as a part of the time that a host may go without asking.
-const FIRST_WAIT: Ms = 50.0;
-const LONGEST_WAIT: f64 = 0.1;
-/// The least part of the longest wait after a call that was turned away at once: the service spends time on that, too.
-const BUSY_WAIT: f64 = 0.6;
-/// A call that is turned away sooner than this never stood in line.
-const AT_ONCE: Ms = 20.0;
-/// How soon a call follows an answer that came at once and told nothing: soon enough to go on with the watch.
-const EMPTY_PAUSE: Ms = 50.0;
-/// Calls to former addresses that are still listened to.
-const MOST_FORMER: usize = 4;
+/// Backoff after a failed call: the first, and the longest as a part of the longest poll interval.
+const FIRST_BACKOFF: Ms = 50.0;
+const LONGEST_BACKOFF: f64 = 0.1;
+/// The least backoff from an overloaded service, as a part of the longest: a rejection costs it time, too.
+const BUSY_BACKOFF: f64 = 0.6;
+/// A call that is rejected sooner than this was never queued by the service.
+const IMMEDIATE_REJECTION: Ms = 20.0;
+/// How soon a call follows an answer that came at once and had no changes: soon enough to go on with the watch.
+const EMPTY_ANSWER_DELAY: Ms = 50.0;
+/// Calls to former addresses whose answers are still accepted.
+const MAX_FORMER_CALLS: usize = 4;
 
 /// How calls are paced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
-    /// How long a call waits for news, and how long the first one after a failure does.
+    /// How long the service may hold a call until there are changes.
     pub wait: Ms,
+    /// The same for the first call after a failure.
     pub first_wait: Ms,
-    /// How long over its wait a call may take before another is made beside it, and how long the first one after a
-    /// failure may: others may stand in line before it.
+    /// How much longer than that a call may take before another one is made beside it.
     pub late: Ms,
+    /// The same for the first call after a failure, which the service may have queued behind others.
     pub first_late: Ms,
-    /// How many calls may be out at once. RouteDecision it is one, a late call is given up for the next.
+    /// How many calls may be in flight at once. Where it is one, a late call is given up for the next.
     pub most_calls: usize,
-    /// How long the host may go without asking.
+    /// How long the host may go without a poll.
     pub max_poll_interval: Ms,
 }
 
@@ -42,35 +43,49 @@
 pub enum Target {
     /// All of the list, at once.
     Whole,
-    /// What has changed since a generation, as soon as there is anything, or nothing after `wait`.
-    Changes { after: u64, wait: Ms },
+    /// The changes since a generation, as soon as there are any.
+    Changes {
+        /// The generation.
+        after: u64,
+        /// How long the service holds the call until it answers without changes.
+        wait: Ms,
+    },
 }
 
 /// What the driver has to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
     /// Begin a call to the present address.
-    Call { call: u64, target: Target },
-    /// End a call: its answer is not wanted any more.
-    Drop { call: u64 },
+    Call {
+        /// The number that the call has from now on.
+        call: u64,
+        /// What it asks for.
+        target: Target,
+    },
+    /// Abort a call: its answer is of no use any more.
+    Drop {
+        /// The call.
+        call: u64,
+    },
 }
 
 /// The head of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Answered {
+    /// The generation of the list that it leads to.
     pub generation: u64,
     /// It is the whole list, not changes to it.
     pub whole: bool,
-    /// How many lines it has.
+    /// How many endpoints it names.
     pub lines: usize,
 }
 
 /// What an answer is good for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Its lines are to be taken in, as this kind of news.
+    /// It is to be applied, as this kind of update.
     Take(EndpointUpdate),
-    /// It does not follow what is known: the whole list is asked for.
+    /// It does not follow what is known: the whole list is requested next.
     Gap,
     /// What is known is newer, or the call is not known any more.
     Outdated,
@@ -89,25 +104,25 @@
 }
 
 impl Call {
-    /// As of when an answer that comes now told everything, at the least.
-    fn tells_as_of(&self, now: Ms, lines: usize) -> Ms {
+    /// As of when an answer that comes now has all changes, at the least.
+    fn complete_as_of(&self, now: Ms, lines: usize) -> Ms {
         match self.target {
-            // It told nothing, so the service waited all of that time for news.
+            // Without changes: the service held the call for all of that time.
             Target::Changes { wait, .. } if lines == 0 && now - self.began >= wait => self.began + wait,
             _ => self.began,
         }
     }
 }
 
-/// What the host has of the list: from which address, counted from 0, of which generation, and since when.
+/// The list that the host has: from which address, counted from 0, of which generation, and since when.
 #[derive(Clone, Copy, Debug)]
 struct Known {
     address: u32,
     generation: u64,
-    taken_at: Ms,
+    applied_at: Ms,
 }
 
-/// The client.
+/// The client of the discovery service.
 pub struct EndpointClient {
     pace: Pace,
     rng: RandomSource,
@@ -115,39 +130,40 @@
     freshness: Freshness,
     address: u32,
     known: Option<Known>,
-    /// The generation at the present address that changes are asked after; none asks for the whole list.
+    /// The generation at the present address whose successors are requested; without one the whole list is.
     after: Option<u64>,
-    /// The last call was answered, so that the next one may wait long.
-    answers: bool,
-    /// Calls that are out, oldest first, to the present address and to former ones.
+    /// The last call was answered, so that the service may hold the next one for long.
+    last_call_answered: bool,
+    /// Calls in flight to the present address, the oldest first.
     calls: Vec<Call>,
+    /// Calls in flight to former addresses, the oldest first.
     former: Vec<Call>,
+    /// Calls that the driver has to abort.
     dropped: Vec<u64>,
     next_at: Option<Ms>,
     last_id: u64,
 }
 
 impl EndpointClient {
-    /// `as_of`: when what the host starts with counts as complete; `remembered`: the generation of the list that it
-    /// starts with.
+    /// `as_of`: when the list that the host starts with counts as complete; `restored`: the generation of that list.
     pub fn new(
         pace: Pace,
         rules: FreshnessRules,
         seed: u64,
         now: Ms,
         as_of: Ms,
-        remembered: Option<u64>,
+        restored: Option<u64>,
     ) -> EndpointClient {
-        let known = remembered.map(|generation| Known { address: 0, generation, taken_at: now });
+        let known = restored.map(|generation| Known { address: 0, generation, applied_at: now });
         EndpointClient {
             pace,
             rng: RandomSource::new(seed),
-            backoff: Backoff::new(FIRST_WAIT, LONGEST_WAIT * pace.max_poll_interval),
+            backoff: Backoff::new(FIRST_BACKOFF, LONGEST_BACKOFF * pace.max_poll_interval),
             freshness: Freshness::new(rules, as_of),
             address: 0,
             known,
-            after: remembered,
-            answers: false,
+            after: restored,
+            last_call_answered: false,
             calls: Vec::new(),
             former: Vec::new(),
             dropped: Vec::new(),
@@ -156,6 +172,7 @@
         }
     }
 
+    /// Whether the list may be relied on now.
     pub fn validity(&self, now: Ms) -> Validity {
         self.freshness.validity(now)
     }
@@ -170,7 +187,7 @@
         self.after
     }
 
-    /// When the next call begins if nothing happens before.
+    /// When the next call begins unless something happens before.
     pub fn next_call_at(&self) -> Ms {
         let late_at = self.calls.last().filter(|call| !call.late).map(|call| call.late_at);
         let times = [self.next_at, late_at].into_iter().flatten();
@@ -182,15 +199,17 @@
         self.calls.iter().any(|c| c.id == call)
     }
 
+    /// How many calls are in flight to the present address.
     pub fn calls_out(&self) -> usize {
         self.calls.len()
     }
 
+    /// How many calls are in flight to former addresses.
     pub fn former_calls_out(&self) -> usize {
         self.former.len()
     }
 
-    /// When [`EndpointClient::due`] is to be called at the latest, and the validity looked at.
+    /// By when [`EndpointClient::due`] is to be called and the validity to be checked.
     pub fn wakes_at(&self, now: Ms) -> Ms {
         let expires_at = Some(self.freshness.expires_at()).filter(|at| *at > now);
         self.next_call_at().min(expires_at.unwrap_or(f64::INFINITY))
@@ -198,7 +217,7 @@
 
     /// The next step that is due, until there is none.
     pub fn due(&mut self, now: Ms) -> Option<Step> {
-        self.look_for_late_call(now);
+        self.replace_late_call(now);
         if let Some(call) = self.dropped.pop() {
             return Some(Step::Drop { call });
         }
@@ -213,39 +232,39 @@
     }
 
     fn begin(&mut self, now: Ms) -> Step {
-        let (target, patience) = self.target(now);
+        let (target, timeout) = self.target(now);
         self.last_id += 1;
         let (id, address) = (self.last_id, self.address);
-        let late_at = now + patience;
+        let late_at = now + timeout;
         self.calls.push(Call { id, address, began: now, target, late_at, connected: false, late: false });
         self.next_at = None;
         Step::Call { call: id, target }
     }
 
-    /// What the next call asks for, and how long it may take. A first call does not wait long for news: it shows soon
-    /// whether the host is heard.
+    /// What the next call asks for, and how long it may take. The service does not hold a first call for long, so that
+    /// it shows soon whether the service responds.
     fn target(&self, now: Ms) -> (Target, Ms) {
         let Pace { wait, first_wait, late, first_late, .. } = self.pace;
-        let first_patience = first_wait + first_late;
+        let first_timeout = first_wait + first_late;
         match self.after {
-            None => (Target::Whole, first_patience),
-            Some(after) if self.answers && self.validity(now) == Validity::Valid => {
+            None => (Target::Whole, first_timeout),
+            Some(after) if self.last_call_answered && self.validity(now) == Validity::Valid => {
                 (Target::Changes { after, wait }, wait + late)
             }
-            Some(after) => (Target::Changes { after, wait: first_wait }, first_patience),
+            Some(after) => (Target::Changes { after, wait: first_wait }, first_timeout),
         }
     }
 
-    /// Makes a call beside one that is late. The late one keeps its place in the service's line: guards against a
-    /// slow service, which would never answer anybody who gave up and stood in line anew, as well as against calls
-    /// that nobody will answer. It could harm a crowded service by twice the calls.
-    fn look_for_late_call(&mut self, now: Ms) {
+    /// Makes a call beside one that is late. The late one keeps its place in the service's queue: guards against a slow
+    /// service, which would never answer hosts that give up and queue again, as well as against calls that nobody will
+    /// answer. It may hurt an overloaded service by twice the calls.
+    fn replace_late_call(&mut self, now: Ms) {
         let Some(newest) = self.calls.last_mut().filter(|call| !call.late && now >= call.late_at) else {
             return;
         };
         newest.late = true;
         let failure = if newest.connected { Failure::Silent } else { Failure::NeverUp };
-        self.answers = false;
+        self.last_call_answered = false;
         self.freshness.failed(failure);
         if self.pace.most_calls > 1 {
             self.next_at = Some(now);
@@ -255,34 +274,34 @@
         }
     }
 
-    /// The connection of a call stands.
+    /// The connection of a call is established.
     pub fn connected(&mut self, call: u64) {
         if let Some(call) = self.calls.iter_mut().find(|c| c.id == call) {
             call.connected = true;
         }
     }
 
-    /// A call ended without an answer that can be used. One to a former address says nothing of the present one.
+    /// A call ended without an answer. One to a former address says nothing of the present one.
     pub fn failed(&mut self, now: Ms, call: u64, failure: Failure) {
         self.former.retain(|c| c.id != call);
         let Some(index) = self.calls.iter().position(|c| c.id == call) else { return };
         let ended = self.calls.remove(index);
-        let at_once = now - ended.began < AT_ONCE;
-        let failure = if failure == Failure::TurnedAway && at_once { Failure::Busy } else { failure };
+        let immediate = now - ended.began < IMMEDIATE_REJECTION;
+        let failure = if failure == Failure::TurnedAway && immediate { Failure::Busy } else { failure };
         self.freshness.failed(failure);
         self.retry(now, failure);
     }
 
-    /// Sets the next call after a failure, unless another call is out that is not late.
+    /// Schedules the next call after a failure, unless one is in flight that is not late.
     fn retry(&mut self, now: Ms, failure: Failure) {
-        self.answers = false;
-        let mut wait = self.backoff.failed(&mut self.rng);
+        self.last_call_answered = false;
+        let mut delay = self.backoff.failed(&mut self.rng);
         if failure == Failure::Busy {
-            let least = BUSY_WAIT * LONGEST_WAIT * self.pace.max_poll_interval;
-            wait = wait.max(least * (0.5 + self.rng.fraction()));
+            let least = BUSY_BACKOFF * LONGEST_BACKOFF * self.pace.max_poll_interval;
+            delay = delay.max(least * (0.5 + self.rng.fraction()));
         }
         if self.next_at.is_none() && self.calls.iter().all(|call| call.late) {
-            self.next_at = Some(now + wait);
+            self.next_at = Some(now + delay);
         }
     }
 
@@ -296,8 +315,8 @@
         let call = self.former.remove(index);
         let verdict = self.judge(&call, answer);
         if let Verdict::Take(_) = verdict {
-            // It is news as any other, and says nothing of the present address: the next call stays as it is.
-            self.take(now, &call, answer);
+            // It says nothing of the present address: the next call stays as it is.
+            self.apply(now, &call, answer);
         }
         verdict
     }
@@ -312,17 +331,18 @@
             self.retry(now, Failure::Unusable);
             return verdict;
         };
-        self.take(now, &call, answer);
+        self.apply(now, &call, answer);
         self.after = Some(answer.generation);
-        self.answers = true;
+        self.last_call_answered = true;
         self.backoff.reset();
-        // Whoever is called first is answered first: older calls, and those to former addresses, are broken or moot.
+        // Calls are answered in order: older ones are broken, and those to former addresses of no use any more.
         let (older, newer): (Vec<Call>, Vec<Call>) = self.calls.drain(..).partition(|c| c.id < call.id);
         self.calls = newer;
         self.dropped.extend(older.iter().chain(&self.former).map(|c| c.id));
         self.former.clear();
-        let told_at_once = answer.lines == 0 && now - call.began < EMPTY_PAUSE.min(call.late_at - call.began);
-        let pause = if told_at_once { EMPTY_PAUSE } else { 0.0 };
+        let empty_at_once =
+            answer.lines == 0 && now - call.began < EMPTY_ANSWER_DELAY.min(call.late_at - call.began);
+        let pause = if empty_at_once { EMPTY_ANSWER_DELAY } else { 0.0 };
         let another = self.calls.iter().any(|c| !c.late);
         self.next_at = (!another).then_some(now + pause);
         verdict
@@ -334,9 +354,9 @@
             return Verdict::Gap;
         }
         if let Some(known) = self.known {
-            // A service that started anew, or another one, counts from the beginning: only what was asked for since
-            // the last list can tell. Of two addresses of one service the slower may answer with an older list.
-            let older = answer.generation < known.generation && call.began < known.taken_at;
+            // A service that was restarted or replaced counts from the beginning, so that only an answer to a call
+            // since the last list is known to be newer. Of two addresses of one service the slower may be behind.
+            let older = answer.generation < known.generation && call.began < known.applied_at;
             if call.address < known.address || older {
                 return Verdict::Outdated;
             }
@@ -344,29 +364,29 @@
         Verdict::Take(if answer.whole { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta })
     }
 
-    fn take(&mut self, now: Ms, call: &Call, answer: Answered) {
-        self.known = Some(Known { address: call.address, generation: answer.generation, taken_at: now });
-        let as_of = call.tells_as_of(now, answer.lines);
+    fn apply(&mut self, now: Ms, call: &Call, answer: Answered) {
+        self.known = Some(Known { address: call.address, generation: answer.generation, applied_at: now });
+        let as_of = call.complete_as_of(now, answer.lines);
         match call.address == self.address {
             true => self.freshness.confirmed(as_of),
             false => self.freshness.confirmed_by_former(as_of),
         }
     }
 
-    /// The service is at another address from now on. It is called at once, whatever failed before; calls that are
-    /// out are listened to until it is heard.
+    /// The service is at another address from now on. It is called at once, whatever failed before; answers to calls in
+    /// flight are accepted until it responds.
     pub fn reloaded(&mut self, now: Ms) {
         self.freshness.reloaded(now);
         self.backoff.reset();
         self.former.append(&mut self.calls);
-        let surplus = self.former.len().saturating_sub(MOST_FORMER);
+        let surplus = self.former.len().saturating_sub(MAX_FORMER_CALLS);
         self.dropped.extend(self.former.drain(..surplus).map(|call| call.id));
         self.address += 1;
-        (self.after, self.answers) = (None, false);
+        (self.after, self.last_call_answered) = (None, false);
         self.next_at = Some(now);
     }
 
-    /// A new configuration is there and could not be read: the service may be at another address.
+    /// A new configuration could not be read: the service may be at another address.
     pub fn reload_refused(&mut self, now: Ms) {
         self.freshness.reloaded(now);
     }
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -1,42 +1,42 @@
-//! Until when the endpoint list that a host has may be relied on.
+//! Until when a host may rely on the endpoint list that it has.
 //!
-//! A change of the list binds every host some time after the service of the list had it, whether or not it reached
-//! the host. So a host relies on its list only as long as no change that it has not heard of can bind it, and no
-//! longer than that unless the service itself is down: what nobody can be told binds nobody.
+//! A change of the list binds every host some time after the discovery service had it, whether or not it reached the
+//! host. So a host relies on its list only as long as no change that it was not notified of can bind it, and no longer
+//! than that unless the service itself is down: a change that nobody can be notified of binds nobody.
 
 use crate::types::Ms;
 
-/// What the rules of the deployment say on when a change binds a host.
+/// The rules of the deployment on when a change binds a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FreshnessRules {
-    /// So long after the service had it.
+    /// How long after the service had it.
     pub binds_after: Ms,
-    /// So long after a reload, whatever the service had before it.
+    /// How long after a reload, whatever the service had before it.
     pub binds_after_reload: Ms,
-    /// How long the process may stand still between reading its clock and a send.
+    /// How long the process may stall between reading its clock and sending an attempt.
     pub stall: Ms,
-    /// The service is the host's own agent, which falls silent when it has nothing behind it.
+    /// The service is the host's own agent, which does not respond when it has nothing behind it.
     pub silent_when_down: bool,
 }
 
-/// How a call to the service failed.
+/// How a call to the discovery service failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The network or the service's machine said that there is no way to it.
+    /// The network or the service's machine reported that it cannot be reached.
     Unreachable,
-    /// A connection has not come up in time, and nobody said why.
+    /// The connection was not established in time.
     NeverUp,
     /// This host had no socket, port or memory to call with.
     Local,
     /// The connection ended before any of an answer came.
     Broken,
-    /// The service said that it cannot answer.
+    /// The service answered that it cannot serve the call.
     TurnedAway,
-    /// It said so at once: it is up, and too busy.
+    /// It did so at once: it is up, and overloaded.
     Busy,
-    /// The connection stands and nothing comes.
+    /// The connection is established and no answer comes.
     Silent,
-    /// An answer came that cannot be used.
+    /// The answer is malformed or does not follow what is known.
     Unusable,
 }
 
@@ -50,15 +50,15 @@
 /// Whether the list may be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Validity {
-    /// Nothing that the host has not heard of can bind it yet.
+    /// No change that the host was not notified of can bind it yet.
     Valid,
-    /// The list is old, and the service is down: nobody can be told of a change.
+    /// The list is old, and the service is down: nobody can be notified of a change.
     ServiceDown,
-    /// A change may bind the host that it has not heard of: nothing new may be sent by this list.
+    /// A change may bind the host that it was not notified of: nothing new may be sent by this list.
     Expired,
 }
 
-/// The age of the list and what is known of its service since it was last confirmed.
+/// The age of the endpoint list, and what is known of its service since it was last confirmed.
 #[derive(Clone, Debug)]
 pub struct Freshness {
     rules: FreshnessRules,
@@ -67,29 +67,29 @@
     /// When the configuration was replaced since then; the first is the one that binds.
     reloads: Vec<Ms>,
     last_failure: Option<Failure>,
-    seen_up: bool,
+    service_seen_up: bool,
 }
 
 impl Freshness {
     /// `confirmed_at`: as of when what the host starts with counts as complete.
     pub fn new(rules: FreshnessRules, confirmed_at: Ms) -> Freshness {
-        Freshness { rules, confirmed_at, reloads: Vec::new(), last_failure: None, seen_up: false }
+        Freshness { rules, confirmed_at, reloads: Vec::new(), last_failure: None, service_seen_up: false }
     }
 
-    /// An answer of a former address was taken in, complete as of that time. The service may have gone on elsewhere:
-    /// what is owed since the reload stays owed.
+    /// An answer of a former address was applied, complete as of that time. The service may have moved elsewhere: what
+    /// a reload binds stays bound.
     pub fn confirmed_by_former(&mut self, as_of: Ms) {
         self.confirmed_at = self.confirmed_at.max(as_of);
     }
 
-    /// An answer was taken in that told all that the service had at `as_of`, or later.
+    /// An answer was applied that has all changes that the service had at `as_of`.
     pub fn confirmed(&mut self, as_of: Ms) {
         if as_of < self.confirmed_at {
             return;
         }
         self.confirmed_at = as_of;
         self.reloads.retain(|at| *at > as_of);
-        (self.last_failure, self.seen_up) = (None, false);
+        (self.last_failure, self.service_seen_up) = (None, false);
     }
 
     /// The configuration was replaced: from then on the service may be another, or at another address.
@@ -98,22 +98,25 @@
         self.last_failure = None;
     }
 
+    /// A call failed.
     pub fn failed(&mut self, failure: Failure) {
         self.last_failure = Some(failure);
-        self.seen_up |= failure.shows_service_up();
+        self.service_seen_up |= failure.shows_service_up();
     }
 
+    /// How old the list may be.
     pub fn age(&self, now: Ms) -> Ms {
         now - self.confirmed_at
     }
 
-    /// From when on a change may bind the host that it has not heard of.
+    /// From when on a change may bind the host that it was not notified of.
     pub fn expires_at(&self) -> Ms {
         let by_age = self.confirmed_at + self.rules.binds_after;
         let by_reload = self.reloads.first().map_or(f64::INFINITY, |at| at + self.rules.binds_after_reload);
         by_age.min(by_reload) - self.rules.stall
     }
 
+    /// Whether the list may be relied on now.
     pub fn validity(&self, now: Ms) -> Validity {
         if now < self.expires_at() {
             return Validity::Valid;
@@ -124,16 +127,16 @@
         }
     }
 
-    /// Whether all that was seen since the list was confirmed says that the service is down. Guards against hosts
-    /// that serve nobody through an outage of the service, in which no change can bind them. It could harm where a
-    /// service that is up breaks every call for as long as a change takes to bind.
+    /// Whether all that was seen since the list was confirmed indicates that the service is down. Guards against hosts
+    /// that serve nobody through an outage of the service, in which no change can bind them. It may hurt where a service
+    /// that is up breaks every call for as long as a change takes to bind.
     fn service_down(&self) -> bool {
-        if self.seen_up {
+        if self.service_seen_up {
             return false;
         }
         match self.last_failure {
             Some(Failure::Unreachable) => true,
-            // Right after a reload it may as well be a service that others crowd, and the operator says it is there.
+            // After a reload the service may as well be overloaded, and the operator says that it is there.
             Some(Failure::NeverUp | Failure::Broken | Failure::TurnedAway) => {
                 self.reloads.is_empty() || self.rules.silent_when_down
             }
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,129 +1,175 @@
-//! The plain types in which the decision module is asked and answers. Nothing here decides.
+//! The plain types of the scheduler's interface. Nothing here decides.
 //!
-//! Times are milliseconds with fractions on one clock; requests, nodes, volumes, keys, classes, plans, shards
-//! and zones are small indices that the caller hands out. A request's index is free again once the request
-//! is over and none of its attempts is out.
+//! Times are milliseconds with fractions on one monotonic clock. Requests, nodes, volumes, keys, classes, QoS policies,
+//! shards and zones are small indices that the caller assigns. A request's index is free again once the request is over
+//! and none of its attempts is in flight.
 
-/// A point in time or a length of it, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Ms = f64;
 
-/// Whether a class's requests may run again.
+/// Whether the requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
+    /// Running again does no harm.
     Idempotent,
+    /// Running again does no harm where nodes recognise the request by its key, see [`DeduplicationScope`].
     IdempotentWithKey,
+    /// It may run once only.
     NonIdempotent,
 }
 
-/// The nodes that drop idempotency of a fingerprinted request among themselves.
+/// The nodes that recognise a repeated request with an idempotency key among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
+    /// All nodes.
     All,
+    /// The nodes of one zone.
     Zone,
+    /// The nodes of one shard.
     Shard,
 }
 
-/// What the module reads of a class.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
+    /// The latency within which an answer is of use.
     pub latency_objective: Ms,
-    /// How long a client waits over all its tries.
+    /// How long a client waits over all its retries.
     pub client_timeout: Ms,
+    /// What an answer in time is worth in relation to other classes.
     pub priority_weight: f64,
+    /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
+    /// Which nodes recognise a repeat.
     pub deduplication_scope: DeduplicationScope,
-    /// How long the group remembers a fingerprint, from the first send that may have run.
+    /// How long they do, from the first attempt that may have run.
     pub deduplication_window: Ms,
+    /// Requests of one key run one after the other, in the order of arrival.
     pub ordered: bool,
 }
 
-/// What the module reads of a plan; every figure counts for one volume over all hosts and nodes.
+/// A QoS policy. Every figure holds for one volume, over all hosts and nodes.
 #[derive(Clone, Debug)]
 pub struct QosPolicy {
+    /// What a unit earns, as a factor of the priority weight.
     pub price: f64,
+    /// The volume's weight in what is not reserved.
     pub weight: f64,
-    /// Units a second that such a volume is sized for, and those of them that are reserved.
+    /// Units a second that such a volume is sized for.
     pub rate: f64,
+    /// Units a second that are reserved for it.
     pub reserve: f64,
-    /// Units a second that fill the limit's store, and how many it holds; a rate of 0 is no limit.
+    /// Units a second at which its token bucket refills; 0 is no rate limit.
     pub limit_rate: f64,
+    /// How many units its token bucket holds.
     pub limit_burst: f64,
 }
 
-/// How far retries may go: `free` plus `share` of the requests taken, in any `window`.
+/// How many retries a host may send in any `window`: `free` plus `share` of the requests that it accepted.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
+    /// Retries that need no requests.
     pub free: f64,
+    /// Retries for each request.
     pub share: f64,
+    /// The window in which both are counted.
     pub window: Ms,
 }
 
-/// What a host is told when it starts.
+/// The settings that a host starts with.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerConfig {
+    /// The seed of its random decisions.
     pub seed: u64,
+    /// How many hosts there are.
     pub hosts: f64,
+    /// The classes, by index.
     pub classes: Vec<RequestClass>,
+    /// The QoS policies, by index.
     pub plans: Vec<QosPolicy>,
+    /// How long a decision may take to be carried out: the interval at which the caller acts.
     pub round: Ms,
+    /// How many attempts a request has at most.
     pub max_attempts: u32,
+    /// Whether attempts can be cancelled.
     pub can_cancel: bool,
-    /// The longest wait that a rejected client follows; 0 where it is not told one.
+    /// The longest retry-after that a rejected client follows; 0 where it gets none.
     pub max_retry_after: Ms,
-    /// Set where the endpoint list must be asked for: how long a host may go without asking.
+    /// Set where the endpoint list must be polled: how long a host may go without a poll.
     pub max_poll_interval: Option<Ms>,
+    /// The part of a warm node's work that one can do as it starts.
     pub slow_start_share: f64,
+    /// How long it takes a node until it is warm.
     pub slow_start_duration: Ms,
-    /// The units that a cold node bears from all hosts together within `overload_window` as it starts.
+    /// The units that a starting node can take from all hosts together within `overload_window`.
     pub slow_start_units: f64,
+    /// The window over which the overload of a warming node is measured.
     pub overload_window: Ms,
-    /// A cold node falls when sent more than this multiple of what it can do for `overload_window`.
+    /// A warming node fails when it is sent more than this multiple of what it can do for `overload_window`.
     pub overload_multiple: f64,
+    /// How long a key stays quiet after an attempt that may still run.
     pub ordering_quiet_period: Ms,
+    /// The retry budget, where there is one.
     pub budget: Option<RetryBudget>,
+    /// The units of the largest request.
     pub max_units: f64,
+    /// The units of a mean request.
     pub mean_units: f64,
-    /// The most units that leave together, as one request of a node; never less than `max_units`.
+    /// The most units that leave as one batch; never less than `max_units`.
     pub max_batch_units: f64,
     /// The part of the priority weight that units beyond the reserve earn within the volume's share.
     pub share_weight: f64,
-    /// Answers tell what shards served for a volume through other hosts.
+    /// Answers say what shards served for a volume through other hosts.
     pub counts_remote_service: bool,
-    /// Set where hosts may send each other messages: this host's number, counted from 0.
+    /// Set where hosts may gossip: this host's number, counted from 0.
     pub peer: Option<usize>,
 }
 
-/// A request as the host took it. `key` and `shard` are none where the request has none.
+/// A request as it arrived.
 #[derive(Clone, Debug)]
 pub struct Request {
+    /// Its class, an index.
     pub class: usize,
+    /// Its QoS policy, an index.
     pub plan: usize,
+    /// Its volume.
     pub volume: usize,
+    /// The key by which it is ordered, if any.
     pub key: Option<usize>,
+    /// Its size.
     pub units: f64,
+    /// The shard that holds its data; none for a new object, which may go anywhere.
     pub shard: Option<usize>,
     /// How many hosts the volume's requests come through.
     pub hosts: f64,
-    /// How long after it was taken the client gives up.
+    /// How long after its arrival the client gives up.
     pub client_timeout: Ms,
-    /// 1, or 0 for what is a further piece of a request that was cut: the budget counts the request once.
+    /// 1, or 0 for a further part of a request that was split: the retry budget counts the request once.
     pub counts: f64,
-    /// Asked with a request that has just been sent: it leaves with it, as one request of the node, or stays.
+    /// A request that was just sent and that this one may be coalesced with: it leaves in the same batch, or stays.
     pub with: Option<usize>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// It was answered.
     Succeeded,
+    /// The node answered that it failed.
     Error,
+    /// The node had no room for it.
     Overloaded,
+    /// No answer came in time.
     TimedOut,
+    /// No connection could be made.
     ConnectFailed,
+    /// The connection broke.
     Reset,
+    /// The host cancelled it.
     Cancelled,
+    /// Its deadline had passed when the node came to it.
     DeadlineExceeded,
-    /// The node does not hold the request's piece of data any more.
+    /// The node does not hold the request's data any more.
     ShardMoved,
 }
 
@@ -137,38 +183,46 @@
     }
 }
 
-/// RouteDecision a request goes.
+/// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouteDecision {
-    /// `latest`: by when it must have left, as a repeat that comes after that may run again.
+    /// To a node, as an attempt.
     Send {
+        /// The node.
         node: usize,
+        /// How long the attempt may take.
         timeout: Ms,
+        /// By when it must have left, as nodes may not recognise a repeat after that.
         send_by: Ms,
     },
+    /// Nowhere yet: it is queued or blocked.
     Queue,
+    /// Nowhere: it gets this final answer.
     Finish(FinalStatus),
 }
 
 /// A final answer that the host gives itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalStatus {
-    /// Trying again is harmless, best after `retry_after` (0: no advice).
+    /// A retry of the client is harmless.
     Rejected {
+        /// After how long it is best made; 0 is no advice.
         retry_after: Ms,
     },
+    /// It may have run.
     Failed,
 }
 
 /// What came with the outcome of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// From the send until now.
+    /// How long it took.
     pub latency: Ms,
     /// The request is over, by this outcome or before it.
     pub over: bool,
-    /// What the volume was served everywhere in a finished period, as a part of its plan's rate; late.
+    /// What the volume was served everywhere in a past period, as a part of its QoS policy's rate.
     pub used: Option<f64>,
     /// Units that the node's shard served for the volume through other hosts since its last answer here.
     pub others: f64,
@@ -179,68 +233,90 @@
 pub enum AfterOutcome {
     /// The request is over, or was before.
     Done,
-    /// It is held again; ask about it when the module names it.
+    /// It is pending again, until [`Action::Route`] names it.
     Retry,
+    /// It gets this final answer.
     Finish(FinalStatus),
 }
 
-/// What one host tells others of a node: how many answers it had from there since it last told, and by how much
-/// these were over what requests take where nothing waits, in the mean.
+/// What one host reports to others of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GossipReport {
+    /// The node.
     pub node: usize,
-    /// What it has out there.
+    /// The slots that its attempts in flight take there.
     pub out: u32,
-    /// Whether requests wait for it there.
+    /// Whether it has requests queued there.
     pub waits: bool,
+    /// The answers that it had from there since its last report.
     pub answers: u32,
+    /// Their mean queueing delay: by how much they were over the latency without load.
     pub wait: Ms,
 }
 
 /// What is due now, or until when nothing is.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Ask where this request goes.
     Route(usize),
+    /// Cancel an attempt in flight.
     CancelAttempt {
+        /// Its request.
         request: usize,
+        /// Its number, counted from 0.
         attempt: u32,
     },
+    /// Check the health of a node.
     CheckHealth(usize),
-    /// Ask for the endpoint list and its changes from now on.
+    /// Poll the endpoint list and its changes from now on.
     PollEndpoints,
-    /// Tell these hosts, by their numbers.
+    /// Report to other hosts.
     SendGossip {
+        /// The hosts, by their numbers.
         to: Vec<usize>,
+        /// The reports.
         told: Vec<GossipReport>,
     },
+    /// Nothing until this time or the next event.
     WaitUntil(Ms),
 }
 
-/// What the list says of a node's process.
+/// The state of a node's process by the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     #[default]
+    /// It takes requests.
     Ready,
+    /// It finishes what it has and takes nothing new.
     Draining,
+    /// It is gone.
     Removed,
 }
 
-/// A line of the endpoint list.
+/// A node by the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
+    /// The node.
     pub node: usize,
+    /// The zone that it is in.
     pub zone: usize,
+    /// The shard that it holds.
     pub shard: usize,
+    /// The state of its process.
     pub state: EndpointState,
-    /// When its process last started; none: long ago.
+    /// When its process started; none where that is long ago.
     pub started_at: Option<Ms>,
 }
 
-/// EndpointUpdate of the list: its changes, all of it, all of it as this host last had it, or that a call failed.
+/// What is known of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
+    /// Its changes.
     Delta,
+    /// All of it.
     Snapshot,
+    /// All of it, as this host had it before it started.
     Restored,
+    /// That it could not be polled.
     PollFailed,
 }
