--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,5 +1,5 @@
-//! What a decision costs, by how many nodes there are and how many requests are held: all windows are full, one
-//! request is succeeded, the next ones leave, and a new one is taken in its place.
+//! The cost of a decision by the number of nodes and of pending requests: all windows are full, one request succeeds,
+//! the next ones are sent, and a new one arrives in its place.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use magpiewick::{
@@ -8,16 +8,16 @@
 };
 use std::collections::VecDeque;
 
-/// Limits that nothing reaches within a measurement.
-const LONG: Ms = 1e9;
-/// The clock goes on by so much a request.
+/// A time that is not reached within a measurement.
+const UNREACHED: Ms = 1e9;
+/// By how much the clock advances for each request.
 const STEP: Ms = 0.001;
 const VOLUMES: usize = 40;
 
-fn start() -> SchedulerConfig {
+fn config() -> SchedulerConfig {
     let class = |ordered| RequestClass {
-        latency_objective: LONG,
-        client_timeout: 2.0 * LONG,
+        latency_objective: UNREACHED,
+        client_timeout: 2.0 * UNREACHED,
         priority_weight: 1.0,
         idempotency: Idempotency::Idempotent,
         deduplication_scope: DeduplicationScope::All,
@@ -25,12 +25,12 @@
         ordered,
     };
     let (price, rate, reserve, limit_rate, limit_burst) = (1.0, 100.0, 50.0, 0.0, 0.0);
-    let plan = |weight| QosPolicy { price, weight, rate, reserve, limit_rate, limit_burst };
+    let policy = |weight| QosPolicy { price, weight, rate, reserve, limit_rate, limit_burst };
     SchedulerConfig {
         seed: 1,
         hosts: 1.0,
         classes: vec![class(false), class(true)],
-        plans: vec![plan(1.0), plan(4.0)],
+        plans: vec![policy(1.0), policy(4.0)],
         round: 1.0,
         max_attempts: 3,
         can_cancel: true,
@@ -52,49 +52,49 @@
     }
 }
 
-/// A host with its windows full and `held` requests besides.
+/// A host with its windows full and further requests pending.
 struct Host {
     scheduler: Scheduler,
     now: Ms,
     nodes: usize,
-    taken: usize,
-    out: VecDeque<usize>,
-    free: Vec<usize>,
+    arrivals: usize,
+    in_flight: VecDeque<usize>,
+    free_indices: Vec<usize>,
     requests: Vec<Request>,
 }
 
 impl Host {
-    fn new(nodes: usize, held: usize) -> Host {
-        let mut scheduler = Scheduler::new(start(), 0.0);
-        let entry = |node| Endpoint { node, zone: node % 3, shard: node, ..Endpoint::default() };
+    fn new(nodes: usize, pending: usize) -> Host {
+        let mut scheduler = Scheduler::new(config(), 0.0);
+        let endpoint = |node| Endpoint { node, zone: node % 3, shard: node, ..Endpoint::default() };
         scheduler.on_endpoint_update(
             0.0,
             EndpointUpdate::Snapshot,
-            &(0..nodes).map(entry).collect::<Vec<_>>(),
+            &(0..nodes).map(endpoint).collect::<Vec<_>>(),
         );
-        let (out, free, requests) = (VecDeque::new(), Vec::new(), Vec::new());
-        let mut host = Host { scheduler, now: 0.0, nodes, taken: 0, out, free, requests };
-        while host.requests.len() < host.out.len() + held {
-            host.take();
+        let (in_flight, free_indices, requests) = (VecDeque::new(), Vec::new(), Vec::new());
+        let mut host = Host { scheduler, now: 0.0, nodes, arrivals: 0, in_flight, free_indices, requests };
+        while host.requests.len() < host.in_flight.len() + pending {
+            host.submit();
         }
         host
     }
 
-    fn ask(&mut self, id: usize) {
+    fn route(&mut self, id: usize) {
         if let RouteDecision::Send { .. } = self.scheduler.route(self.now, id, &self.requests[id]) {
-            self.out.push_back(id);
+            self.in_flight.push_back(id);
         }
     }
 
-    fn run(&mut self) {
+    fn run_actions(&mut self) {
         while let Action::Route(id) = self.scheduler.next_action(self.now) {
-            self.ask(id);
+            self.route(id);
         }
     }
 
-    fn take(&mut self) {
-        self.taken += 1;
-        let n = self.taken;
+    fn submit(&mut self) {
+        self.arrivals += 1;
+        let n = self.arrivals;
         // A tenth of the requests have a key whose order is kept.
         let (class, key) = if n.is_multiple_of(10) { (1, Some(n / 10)) } else { (0, None) };
         let request = Request {
@@ -105,43 +105,43 @@
             units: 1.0 + (n % 4) as f64,
             shard: Some(n.wrapping_mul(7919) % self.nodes),
             hosts: 1.0,
-            client_timeout: 2.0 * LONG,
+            client_timeout: 2.0 * UNREACHED,
             counts: 1.0,
             with: None,
         };
-        let id = self.free.pop().unwrap_or(self.requests.len());
+        let id = self.free_indices.pop().unwrap_or(self.requests.len());
         if id == self.requests.len() {
             self.requests.push(request);
         } else {
             self.requests[id] = request;
         }
-        self.ask(id);
-        self.run();
+        self.route(id);
+        self.run_actions();
     }
 
-    /// One request from being succeeded to the next one's leaving.
+    /// One request succeeds, the next ones are sent, and a new one arrives.
     fn step(&mut self) {
         self.now += STEP;
-        if let Some(id) = self.out.pop_front() {
+        if let Some(id) = self.in_flight.pop_front() {
             let outcome = Outcome::Succeeded;
             let answer = Answer { outcome, latency: 1.0, over: true, used: None, others: 0.0 };
-            assert!(self.scheduler.on_outcome(self.now, id, &answer) == AfterOutcome::Done, "it was settled");
-            self.free.push(id);
-            self.run();
+            assert!(self.scheduler.on_outcome(self.now, id, &answer) == AfterOutcome::Done, "it is over");
+            self.free_indices.push(id);
+            self.run_actions();
         }
-        self.take();
+        self.submit();
     }
 }
 
-fn decide(c: &mut Criterion) {
-    let mut deduplication_scope = c.benchmark_group("decide");
-    deduplication_scope.sample_size(10);
-    for (nodes, held) in [(60, 100), (60, 4_000), (60, 40_000), (600, 1_000), (6_000, 1_000)] {
-        let mut host = Host::new(nodes, held);
-        let name = BenchmarkId::from_parameter(format!("{nodes} nodes, {held} held"));
-        deduplication_scope.bench_function(name, |b| b.iter(|| host.step()));
+fn decide(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("decide");
+    group.sample_size(10);
+    for (nodes, pending) in [(60, 100), (60, 4_000), (60, 40_000), (600, 1_000), (6_000, 1_000)] {
+        let mut host = Host::new(nodes, pending);
+        let name = BenchmarkId::from_parameter(format!("{nodes} nodes, {pending} held"));
+        group.bench_function(name, |bencher| bencher.iter(|| host.step()));
     }
-    deduplication_scope.finish();
+    group.finish();
 }
 
 criterion_group!(benches, decide);
--- a/tests/endpoint_client_search.rs
+++ b/tests/endpoint_client_search.rs
@@ -1,5 +1,5 @@
-//! A search over what may befall the calls of the list client, against a plain model of the service and of the rule:
-//! the list is never older than what binds the host, or the client says that it has expired.
+//! A search over the outcomes of the endpoint client's calls, against a reference model of the service and of the rule:
+//! the list is never older than what binds the host, or the client reports that it has expired.
 
 use magpiewick::*;
 use std::collections::BTreeSet;
@@ -7,8 +7,8 @@
 const STEP: Ms = 10.0;
 const BINDS_AFTER: Ms = 6000.0;
 const BINDS_AFTER_RELOAD: Ms = 4000.0;
-/// How long a call stands in the service's line before that gives it up.
-const LINE: Ms = 1000.0;
+/// How long a call stays in the service's queue before the service rejects it.
+const QUEUE_TIMEOUT: Ms = 1000.0;
 
 fn pace() -> Pace {
     Pace {
@@ -30,98 +30,98 @@
     }
 }
 
-/// What befalls a call.
+/// How a call ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    /// Answered so long after there is something to tell.
+enum CallOutcome {
+    /// Answered so long after there is anything to answer.
     Answered(Ms),
-    Refused,
-    NeverUp,
+    Unreachable,
+    ConnectTimedOut,
     Reset(Ms),
-    TurnedAway(Ms),
-    Silent,
+    Rejected(Ms),
+    NoAnswer,
     Unusable(Ms),
     Local,
 }
 
-const FATES: [Fate; 9] = [
-    Fate::Answered(1.0),
-    Fate::Answered(1800.0),
-    Fate::Refused,
-    Fate::NeverUp,
-    Fate::Reset(300.0),
-    Fate::TurnedAway(2.0),
-    Fate::TurnedAway(LINE),
-    Fate::Silent,
-    Fate::Unusable(5.0),
+const CALL_OUTCOMES: [CallOutcome; 9] = [
+    CallOutcome::Answered(1.0),
+    CallOutcome::Answered(1800.0),
+    CallOutcome::Unreachable,
+    CallOutcome::ConnectTimedOut,
+    CallOutcome::Reset(300.0),
+    CallOutcome::Rejected(2.0),
+    CallOutcome::Rejected(QUEUE_TIMEOUT),
+    CallOutcome::NoAnswer,
+    CallOutcome::Unusable(5.0),
 ];
 
 struct Call {
     id: u64,
     target: Target,
-    began: Ms,
-    fate: Fate,
-    /// What the service has written, and when the host gets it.
-    written: Option<(Answered, BTreeSet<u64>, Ms)>,
+    started_at: Ms,
+    outcome: CallOutcome,
+    /// What the service has answered, and when the host receives it.
+    answer: Option<(Answered, BTreeSet<u64>, Ms)>,
 }
 
-/// A host with its client, and the service.
-struct World {
+/// A host with its client, and the discovery service.
+struct Simulation {
     now: Ms,
     client: EndpointClient,
     calls: Vec<Call>,
-    /// When each generation came to be.
+    /// When each generation was created.
     changes: Vec<Ms>,
-    /// The generations that the host has taken in.
-    has: BTreeSet<u64>,
+    /// The generations that the host has applied.
+    applied: BTreeSet<u64>,
     reloads: Vec<Ms>,
-    /// Since when the service can be reached, none while it is down.
+    /// Since when the service has been up; none while it is down.
     up_since: Option<Ms>,
-    begun: usize,
-    log: Vec<String>,
+    calls_started: usize,
+    events: Vec<String>,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        Simulation {
             now: 0.0,
             client: EndpointClient::new(pace(), rules(), seed, 0.0, 0.0, Some(0)),
             calls: Vec::new(),
             changes: vec![0.0],
-            has: BTreeSet::from([0]),
+            applied: BTreeSet::from([0]),
             reloads: Vec::new(),
             up_since: Some(0.0),
-            begun: 0,
-            log: Vec::new(),
+            calls_started: 0,
+            events: Vec::new(),
         }
     }
 
-    fn note(&mut self, what: String) {
-        self.log.push(format!("{:.0}: {what}", self.now));
+    fn log(&mut self, event: String) {
+        self.events.push(format!("{:.0}: {event}", self.now));
     }
 
     fn generation(&self) -> u64 {
         self.changes.len() as u64 - 1
     }
 
-    fn changes(&mut self) {
+    fn change(&mut self) {
         self.changes.push(self.now);
-        self.note(format!("generation {}", self.generation()));
+        self.log(format!("generation {}", self.generation()));
     }
 
-    fn reloads(&mut self) {
+    fn reload(&mut self) {
         self.reloads.push(self.now);
         self.client.reloaded(self.now);
-        self.note("reload".to_string());
+        self.log("reload".to_string());
     }
 
-    fn refuses_reload(&mut self) {
+    fn reload_unreadable(&mut self) {
         self.reloads.push(self.now);
         self.client.reload_refused(self.now);
-        self.note("reload refused".to_string());
+        self.log("reload unreadable".to_string());
     }
 
-    /// When a change binds the host, whether or not it has heard of it.
+    /// When a change binds the host, whether or not it was notified of it.
     fn binds_at(&self, generation: u64) -> Ms {
         let at = self.changes[generation as usize];
         let up_since = self.up_since.unwrap_or(f64::INFINITY);
@@ -130,16 +130,16 @@
         reload.map_or(by_age, |reload| by_age.min(reload + BINDS_AFTER_RELOAD))
     }
 
-    /// Lets the service and the network act until now.
+    /// Lets the service act until now.
     fn serve(&mut self) {
         let (now, generation) = (self.now, self.generation());
-        for call in self.calls.iter_mut().filter(|call| call.written.is_none()) {
-            let Fate::Answered(delay) = call.fate else { continue };
-            let tells = match call.target {
+        for call in self.calls.iter_mut().filter(|call| call.answer.is_none()) {
+            let CallOutcome::Answered(delay) = call.outcome else { continue };
+            let has_answer = match call.target {
                 Target::Whole => true,
-                Target::Changes { after, wait } => generation > after || now >= call.began + wait,
+                Target::Changes { after, wait } => generation > after || now >= call.started_at + wait,
             };
-            if !tells {
+            if !has_answer {
                 continue;
             }
             let (whole, first) = match call.target {
@@ -148,62 +148,65 @@
             };
             let lines: BTreeSet<u64> = (first..=generation).collect();
             let answer = Answered { generation, whole, lines: lines.len() };
-            call.written = Some((answer, lines, now + delay));
+            call.answer = Some((answer, lines, now + delay));
         }
     }
 
-    /// Brings the host what has come to it by now.
+    /// Delivers to the host what has reached it by now.
     fn deliver(&mut self) {
         let now = self.now;
         for call in std::mem::take(&mut self.calls) {
-            let over = |after: Ms| now >= call.began + after;
-            let failure = match call.fate {
-                Fate::Refused => Some(Failure::Unreachable),
-                Fate::Local => Some(Failure::Local),
-                Fate::Reset(after) if over(after) => Some(Failure::Broken),
-                Fate::TurnedAway(after) if over(after) => Some(Failure::TurnedAway),
-                Fate::Unusable(after) if over(after) => Some(Failure::Unusable),
+            let has_passed = |after: Ms| now >= call.started_at + after;
+            let failure = match call.outcome {
+                CallOutcome::Unreachable => Some(Failure::Unreachable),
+                CallOutcome::Local => Some(Failure::Local),
+                CallOutcome::Reset(after) if has_passed(after) => Some(Failure::Broken),
+                CallOutcome::Rejected(after) if has_passed(after) => Some(Failure::TurnedAway),
+                CallOutcome::Unusable(after) if has_passed(after) => Some(Failure::Unusable),
                 _ => None,
             };
             if let Some(failure) = failure {
                 self.client.failed(now, call.id, failure);
-                self.note(format!("call {} failed: {failure:?}", call.id));
-            } else if call.written.as_ref().is_some_and(|(.., at)| now >= *at) {
-                let Some((answer, lines, _)) = call.written else { continue };
+                self.log(format!("call {} failed: {failure:?}", call.id));
+            } else if call.answer.as_ref().is_some_and(|(.., at)| now >= *at) {
+                let Some((answer, lines, _)) = call.answer else { continue };
                 let verdict = self.client.answered(now, call.id, answer);
-                self.note(format!("call {} answered {answer:?}: {verdict:?}", call.id));
-                self.take(verdict, lines);
+                self.log(format!("call {} answered {answer:?}: {verdict:?}", call.id));
+                self.apply(verdict, lines);
             } else {
                 self.calls.push(call);
             }
         }
     }
 
-    fn take(&mut self, verdict: Verdict, lines: BTreeSet<u64>) {
-        let before = self.has.clone();
+    fn apply(&mut self, verdict: Verdict, lines: BTreeSet<u64>) {
+        let before = self.applied.clone();
         match verdict {
-            Verdict::Take(EndpointUpdate::Snapshot) => self.has = lines,
-            Verdict::Take(_) => self.has.extend(lines),
+            Verdict::Take(EndpointUpdate::Snapshot) => self.applied = lines,
+            Verdict::Take(_) => self.applied.extend(lines),
             Verdict::Gap | Verdict::Outdated => return,
         }
-        assert!(before.is_subset(&self.has), "an older list took the place of a newer one: {:#?}", self.log);
+        assert!(before.is_subset(&self.applied), "an older list replaced a newer one: {:#?}", self.events);
     }
 
-    /// Does what the client wants; `fate` says what befalls each call.
-    fn run_client(&mut self, fate: &mut dyn FnMut(usize) -> Fate) {
+    /// Carries out the client's steps; `outcome` says how each call ends.
+    fn run_client(&mut self, outcome: &mut dyn FnMut(usize) -> CallOutcome) {
         while let Some(step) = self.client.due(self.now) {
             match step {
                 Step::Call { call, target } => {
-                    let fate = fate(self.begun);
-                    self.begun += 1;
-                    if !matches!(fate, Fate::NeverUp | Fate::Refused | Fate::Local) {
+                    let outcome = outcome(self.calls_started);
+                    self.calls_started += 1;
+                    if !matches!(
+                        outcome,
+                        CallOutcome::ConnectTimedOut | CallOutcome::Unreachable | CallOutcome::Local
+                    ) {
                         self.client.connected(call);
                     }
-                    self.note(format!("call {call}: {target:?}, {fate:?}"));
-                    self.calls.push(Call { id: call, target, began: self.now, fate, written: None });
+                    self.log(format!("call {call}: {target:?}, {outcome:?}"));
+                    self.calls.push(Call { id: call, target, started_at: self.now, outcome, answer: None });
                 }
                 Step::Drop { call } => {
-                    self.note(format!("call {call} dropped"));
+                    self.log(format!("call {call} dropped"));
                     self.calls.retain(|c| c.id != call);
                 }
             }
@@ -212,106 +215,113 @@
 
     fn check(&self) {
         let next = self.client.next_call_at();
-        assert!(next <= self.now + 2900.0, "no call is out and none is due: {:#?}", self.log);
+        assert!(next <= self.now + 2900.0, "no call is in flight and none is due: {:#?}", self.events);
         if self.client.validity(self.now) != Validity::Valid {
             return;
         }
-        for generation in (0..=self.generation()).filter(|g| !self.has.contains(g)) {
+        for generation in (0..=self.generation()).filter(|g| !self.applied.contains(g)) {
             let binds_at = self.binds_at(generation);
             assert!(
                 self.now < binds_at,
-                "{}: the list is held to be valid without generation {generation}, which binds since {binds_at}: {:#?}",
+                "{}: the list counts as valid without generation {generation}, which binds since {binds_at}: {:#?}",
                 self.now,
-                self.log
+                self.events
             );
         }
     }
 
-    fn step(&mut self, fate: &mut dyn FnMut(usize) -> Fate) {
+    fn step(&mut self, outcome: &mut dyn FnMut(usize) -> CallOutcome) {
         self.now += STEP;
         self.serve();
-        // What the host sends now it sends by the list that it has before it reads anything.
+        // The host decides by the list that it has before it reads anything.
         self.check();
         self.deliver();
-        self.run_client(fate);
+        self.run_client(outcome);
         self.check();
     }
 
-    /// The service is well from now on: the host has all of it and relies on it before another change could bind.
-    fn ends_well(&mut self) {
+    /// The service is up from now on: the host gets the whole list and relies on it before another change could bind.
+    fn assert_recovers(&mut self) {
         let until = self.now + BINDS_AFTER;
         while self.now < until {
-            self.step(&mut |_| Fate::Answered(1.0));
+            self.step(&mut |_| CallOutcome::Answered(1.0));
         }
-        assert!(self.has.contains(&self.generation()), "not heard of: {:#?}", self.log);
-        assert_eq!(self.client.validity(self.now), Validity::Valid, "{:#?}", self.log);
+        assert!(
+            self.applied.contains(&self.generation()),
+            "not notified of the latest generation: {:#?}",
+            self.events
+        );
+        assert_eq!(self.client.validity(self.now), Validity::Valid, "{:#?}", self.events);
     }
 }
 
 #[test]
-fn whatever_befalls_the_first_calls_around_a_reload_and_a_change() {
+fn the_list_is_never_used_stale_under_any_outcomes_of_the_first_calls() {
     let (reloads, changes) = ([f64::INFINITY, 700.0, 2400.0], [300.0, 1500.0, 3000.0]);
     let mut runs = 0;
-    for fates in 0..FATES.len().pow(4) {
-        let fate_of = |call: usize| match call {
-            0..=3 => FATES[fates / FATES.len().pow(call as u32) % FATES.len()],
-            _ => Fate::Silent,
+    for choices in 0..CALL_OUTCOMES.len().pow(4) {
+        let outcome_of = |call: usize| match call {
+            0..=3 => CALL_OUTCOMES[choices / CALL_OUTCOMES.len().pow(call as u32) % CALL_OUTCOMES.len()],
+            _ => CallOutcome::NoAnswer,
         };
         for (reload, change) in reloads.iter().flat_map(|r| changes.map(|c| (*r, c))) {
-            let mut world = World::new(7);
-            while world.now < 8000.0 {
-                if world.now == reload {
-                    world.reloads();
+            let mut simulation = Simulation::new(7);
+            while simulation.now < 8000.0 {
+                if simulation.now == reload {
+                    simulation.reload();
                 }
-                if world.now == change {
-                    world.changes();
+                if simulation.now == change {
+                    simulation.change();
                 }
-                world.step(&mut |call| fate_of(call));
+                simulation.step(&mut |call| outcome_of(call));
             }
             runs += 1;
-            world.ends_well();
+            simulation.assert_recovers();
         }
     }
     assert_eq!(runs, 6561 * 9);
 }
 
-/// A world in which everything fails at random: calls, reloads, the service, and the host's own turns.
-fn by_chance(seed: u64) -> World {
+/// A simulation in which everything fails at random: calls, reloads, the service, and the host itself.
+fn random_failures(seed: u64) -> Simulation {
     let mut rng = RandomSource::new(seed);
-    let mut world = World::new(seed);
-    let badness = rng.fraction();
-    while world.now < 60_000.0 {
+    let mut simulation = Simulation::new(seed);
+    let failure_rate = rng.fraction();
+    while simulation.now < 60_000.0 {
         match rng.below(4000) {
-            0..=7 => world.changes(),
-            8..=11 => world.reloads(),
-            12..=13 => world.refuses_reload(),
+            0..=7 => simulation.change(),
+            8..=11 => simulation.reload(),
+            12..=13 => simulation.reload_unreadable(),
             14..=15 => {
-                world.up_since = world.up_since.xor(Some(world.now));
-                world.note(format!("up since {:?}", world.up_since));
+                simulation.up_since = simulation.up_since.xor(Some(simulation.now));
+                simulation.log(format!("up since {:?}", simulation.up_since));
             }
             16..=17 => {
-                // The process stands still; the service and the network go on.
+                // The process stalls; the service and the network go on.
                 let stall = 8000.0 * rng.fraction();
-                world.note(format!("stands still for {stall:.0}"));
-                world.now += stall;
+                simulation.log(format!("stalls for {stall:.0}"));
+                simulation.now += stall;
             }
             _ => {}
         }
-        let (up, fates) = (world.up_since.is_some(), &mut rng);
-        world.step(&mut |_| match fates.fraction() < badness {
-            _ if !up => [Fate::Refused, Fate::Reset(5.0), Fate::TurnedAway(LINE)][fates.below(3)],
-            true if fates.below(10) == 0 => Fate::Local,
-            true => FATES[fates.below(FATES.len())],
-            false => Fate::Answered(1.0 + 100.0 * fates.fraction()),
+        let (is_up, rng) = (simulation.up_since.is_some(), &mut rng);
+        simulation.step(&mut |_| match rng.fraction() < failure_rate {
+            _ if !is_up => {
+                [CallOutcome::Unreachable, CallOutcome::Reset(5.0), CallOutcome::Rejected(QUEUE_TIMEOUT)]
+                    [rng.below(3)]
+            }
+            true if rng.below(10) == 0 => CallOutcome::Local,
+            true => CALL_OUTCOMES[rng.below(CALL_OUTCOMES.len())],
+            false => CallOutcome::Answered(1.0 + 100.0 * rng.fraction()),
         });
     }
-    world.up_since = world.up_since.or(Some(world.now));
-    world
+    simulation.up_since = simulation.up_since.or(Some(simulation.now));
+    simulation
 }
 
 #[test]
-fn whatever_fails_by_chance_and_however_often() {
+fn the_list_is_never_used_stale_under_random_failures() {
     for seed in 0..1000 {
-        by_chance(seed).ends_well();
+        random_failures(seed).assert_recovers();
     }
 }
--- /dev/null
+++ b/tests/scheduler/admission.rs
@@ -0,0 +1,60 @@
+//! Which requests are rejected, when, and with which retry-after.
+
+use crate::simulation::*;
+use magpiewick::*;
+
+#[test]
+fn a_request_is_rejected_once_its_latency_objective_is_unreachable() {
+    let mut simulation = Simulation::with_full_window(config());
+    let id = simulation.submit(request_of(1));
+    simulation.advance(150.0);
+    assert_eq!(simulation.requests[id].completion, None);
+    simulation.advance(60.0);
+    let status = simulation.requests[id].final_status();
+    assert!(matches!(status, Some(FinalStatus::Rejected { retry_after }) if retry_after > 0.0));
+    let retry_of_client = simulation.submit(Request { client_timeout: 2700.0, ..request_of(1) });
+    assert!(simulation.requests[retry_of_client].completion.is_some());
+}
+
+#[test]
+fn clients_rejected_together_get_retry_after_times_that_are_spread() {
+    let mut simulation = Simulation::with_full_window(config());
+    let all = simulation.submit_all(200, &request_of(1));
+    simulation.advance(210.0);
+    let longest = config().max_retry_after;
+    let mut tenths = [0; 10];
+    for id in all {
+        let Some(FinalStatus::Rejected { retry_after }) = simulation.requests[id].final_status() else {
+            panic!("{id} is not rejected")
+        };
+        assert!(retry_after >= 0.75 * longest && retry_after <= longest, "{retry_after} of {longest}");
+        tenths[((retry_after / longest - 0.75) * 39.99) as usize] += 1;
+    }
+    assert!(tenths.iter().all(|count| (5..40).contains(count)), "{tenths:?}");
+}
+
+#[test]
+fn client_timeouts_of_many_lengths_are_not_mistaken_for_client_retries() {
+    let mut simulation = Simulation::new(config());
+    for n in 0..40 {
+        let client_timeout = 3000.0 - 60.0 * f64::from(n);
+        let id = simulation.submit(Request { client_timeout, ..request_of(1) });
+        simulation.disconnect(id);
+        simulation.outcome(id, Outcome::Cancelled);
+    }
+    for n in 0..40 {
+        simulation.submit(Request { client_timeout: 2900.0 - f64::from(n), ..request_of(1) });
+    }
+    let id = simulation.submit(Request { client_timeout: 2000.0, ..request_of(1) });
+    assert_eq!(simulation.requests[id].completion, None);
+}
+
+#[test]
+fn a_surging_volume_keeps_its_reserve() {
+    let mut simulation = Simulation::with_full_window(config());
+    let surging = simulation.submit_all(40, &request_of(1));
+    let other = simulation.submit_all(10, &request_of(2));
+    let all: Vec<usize> = surging.iter().chain(&other).copied().collect();
+    let first: Vec<usize> = simulation.dispatch_order(&all).into_iter().take(10).collect();
+    assert_eq!(first.iter().filter(|id| surging.contains(id)).count(), 5, "{first:?}");
+}
--- /dev/null
+++ b/tests/scheduler/simulation.rs
@@ -0,0 +1,403 @@
+//! A simulated host: the scheduler under test, a clock, and a reference model of the rules that checks every decision.
+
+use magpiewick::*;
+use std::collections::BTreeMap;
+
+const ROUND: Ms = 2.0;
+const HOSTS: f64 = 2.0;
+
+pub fn config() -> SchedulerConfig {
+    let class = |idempotency, deduplication_scope, ordered| RequestClass {
+        latency_objective: 200.0,
+        client_timeout: 3000.0,
+        priority_weight: 1.0,
+        idempotency,
+        deduplication_scope,
+        deduplication_window: 100.0,
+        ordered,
+    };
+    let policy = |limit_rate| QosPolicy {
+        price: 1.0,
+        weight: 1.0,
+        rate: 20.0,
+        reserve: 10.0,
+        limit_rate,
+        limit_burst: 8.0 * limit_rate / 10.0,
+    };
+    SchedulerConfig {
+        seed: 7,
+        hosts: HOSTS,
+        classes: vec![
+            class(Idempotency::Idempotent, DeduplicationScope::All, false),
+            class(Idempotency::IdempotentWithKey, DeduplicationScope::Shard, true),
+            class(Idempotency::NonIdempotent, DeduplicationScope::Shard, false),
+        ],
+        plans: vec![policy(0.0), policy(40.0)],
+        round: ROUND,
+        max_attempts: 3,
+        can_cancel: true,
+        max_retry_after: 500.0,
+        max_poll_interval: Some(10_000.0),
+        slow_start_share: 0.2,
+        slow_start_duration: 4000.0,
+        slow_start_units: 24.0,
+        overload_window: 1000.0,
+        overload_multiple: 2.0,
+        ordering_quiet_period: 50.0,
+        budget: Some(RetryBudget { free: 2.0, share: 0.25, window: 1000.0 }),
+        max_units: 4.0,
+        mean_units: 2.0,
+        max_batch_units: 8.0,
+        share_weight: 0.3,
+        counts_remote_service: true,
+        peer: None,
+    }
+}
+
+pub fn endpoint(node: usize, state: EndpointState, started_at: Option<Ms>) -> Endpoint {
+    Endpoint { node, zone: 0, shard: node % 2, state, started_at }
+}
+
+/// An idempotent request of one unit for the first shard; tests change what they are about.
+pub fn request() -> Request {
+    Request {
+        class: 0,
+        plan: 0,
+        volume: 0,
+        key: None,
+        units: 1.0,
+        shard: Some(0),
+        hosts: 1.0,
+        client_timeout: 400.0,
+        counts: 1.0,
+        with: None,
+    }
+}
+
+/// A request of a volume whose client waits for long.
+pub fn request_of(volume: usize) -> Request {
+    Request { volume, client_timeout: 3000.0, ..request() }
+}
+
+/// A report without answers.
+pub fn report(node: usize, out: u32, waits: bool) -> GossipReport {
+    GossipReport { node, out, waits, answers: 0, wait: 0.0 }
+}
+
+/// An attempt that the scheduler decided on.
+pub struct Attempt {
+    pub node: usize,
+    pub sent_at: Ms,
+    pub timeout: Ms,
+    /// How it ended, and when.
+    pub ended: Option<(Outcome, Ms)>,
+    /// The request that it was coalesced with; its own where it left first.
+    pub first: usize,
+}
+
+impl Attempt {
+    pub fn is_in_flight(&self) -> bool {
+        self.ended.is_none()
+    }
+
+    pub fn never_ran(&self) -> bool {
+        self.ended.is_some_and(|(outcome, _)| outcome.never_ran())
+    }
+}
+
+/// What became of a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Completion {
+    /// A node answered it, or its client disconnected.
+    WithoutFinalStatus,
+    /// The host gave it this final answer.
+    WithFinalStatus(FinalStatus),
+}
+
+/// A request and all that happened to it.
+pub struct RequestRecord {
+    pub request: Request,
+    pub arrived_at: Ms,
+    pub attempts: Vec<Attempt>,
+    pub completion: Option<Completion>,
+}
+
+impl RequestRecord {
+    pub fn is_in_flight(&self) -> bool {
+        self.attempts.last().is_some_and(Attempt::is_in_flight)
+    }
+
+    pub fn is_over(&self) -> bool {
+        self.completion.is_some() && !self.is_in_flight()
+    }
+
+    pub fn provably_never_ran(&self) -> bool {
+        self.attempts.iter().all(Attempt::never_ran)
+    }
+
+    pub fn final_status(&self) -> Option<FinalStatus> {
+        match self.completion {
+            Some(Completion::WithFinalStatus(status)) => Some(status),
+            Some(Completion::WithoutFinalStatus) | None => None,
+        }
+    }
+
+    /// The nodes that its attempts went to.
+    pub fn nodes(&self) -> Vec<usize> {
+        self.attempts.iter().map(|attempt| attempt.node).collect()
+    }
+}
+
+/// Units that were sent to a node or served by it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Transfer {
+    pub at: Ms,
+    pub node: usize,
+    pub units: f64,
+}
+
+pub struct Simulation {
+    pub now: Ms,
+    pub config: SchedulerConfig,
+    pub scheduler: Scheduler,
+    pub endpoints: BTreeMap<usize, Endpoint>,
+    /// Every request since the host started, by index.
+    pub requests: Vec<RequestRecord>,
+    /// What was sent and served, over restarts of the host too.
+    pub sent: Vec<Transfer>,
+    pub served: Vec<Transfer>,
+    /// When retries were sent.
+    pub retries: Vec<Ms>,
+    /// Tokens and time of each limited volume's true bucket, over restarts of the host too.
+    pub token_buckets: BTreeMap<usize, (f64, Ms)>,
+    /// When the host was notified of each node's present process.
+    pub notified_at: BTreeMap<usize, Ms>,
+    pub polls: u32,
+    pub gossip_sent: Vec<Vec<GossipReport>>,
+    /// Requests whose attempt was cancelled; the outcome comes as time advances.
+    pub cancelled: Vec<usize>,
+    /// Time advances by a round at a time.
+    pub fixed_step: bool,
+    /// Gossip of other hosts is lost on its way.
+    pub drops_gossip: bool,
+    /// All pending requests are offered for coalescing with each request that is sent.
+    pub coalesces: bool,
+}
+
+impl Simulation {
+    pub fn new(config: SchedulerConfig) -> Simulation {
+        let now = 1_000_000.0;
+        let ready = |node| (node, endpoint(node, EndpointState::Ready, None));
+        let mut simulation = Simulation {
+            now,
+            scheduler: Scheduler::new(config.clone(), now),
+            config,
+            endpoints: [0, 1].into_iter().map(ready).collect(),
+            requests: Vec::new(),
+            sent: Vec::new(),
+            served: Vec::new(),
+            retries: Vec::new(),
+            token_buckets: BTreeMap::new(),
+            notified_at: BTreeMap::new(),
+            polls: 0,
+            gossip_sent: Vec::new(),
+            cancelled: Vec::new(),
+            fixed_step: false,
+            drops_gossip: false,
+            coalesces: false,
+        };
+        simulation.update_endpoints(EndpointUpdate::Restored);
+        simulation
+    }
+
+    /// A host whose window at the first node is full, so that further requests are queued.
+    pub fn with_full_window(config: SchedulerConfig) -> Simulation {
+        let mut simulation = Simulation::new(config);
+        simulation.fill_window();
+        simulation.disconnect(simulation.requests.len() - 1);
+        simulation
+    }
+
+    /// Submits requests to the first node until one is not sent.
+    pub fn fill_window(&mut self) {
+        while self.in_flight_at(0) == self.requests.len() {
+            self.submit(request_of(9));
+        }
+    }
+
+    /// Submits several requests of a kind; their indices.
+    pub fn submit_all(&mut self, count: usize, request: &Request) -> Vec<usize> {
+        (0..count).map(|_| self.submit(request.clone())).collect()
+    }
+
+    /// How many requests are in flight that had an attempt at a node.
+    pub fn in_flight_at(&self, node: usize) -> usize {
+        let in_flight = self.requests.iter().filter(|record| record.is_in_flight());
+        in_flight.filter(|record| record.nodes().contains(&node)).count()
+    }
+
+    /// How many attempts a request had.
+    pub fn attempts(&self, id: usize) -> usize {
+        self.requests[id].attempts.len()
+    }
+
+    /// The nodes that the attempts of a request went to.
+    pub fn nodes(&self, id: usize) -> Vec<usize> {
+        self.requests[id].nodes()
+    }
+
+    /// The order in which queued requests leave as all that is in flight is answered.
+    pub fn dispatch_order(&mut self, queued: &[usize]) -> Vec<usize> {
+        let mut order = Vec::new();
+        for id in 0..self.requests.len() {
+            self.outcome(id, Outcome::Succeeded);
+            let has_left = |id: &&usize| self.attempts(**id) > 0 && !order.contains(*id);
+            let left: Vec<usize> = queued.iter().filter(has_left).copied().collect();
+            order.extend(left);
+        }
+        order
+    }
+
+    pub fn update_endpoints(&mut self, update: EndpointUpdate) {
+        let endpoints: Vec<Endpoint> = self.endpoints.values().cloned().collect();
+        self.scheduler.on_endpoint_update(self.now, update, &endpoints);
+        self.run_actions();
+    }
+
+    pub fn set_endpoint(&mut self, node: usize, state: EndpointState, started_at: Option<Ms>) {
+        let former = self.endpoints.insert(node, endpoint(node, state, started_at));
+        if former.is_none_or(|former| former.started_at != started_at) {
+            self.notified_at.insert(node, self.now);
+        }
+        self.update_endpoints(EndpointUpdate::Delta);
+    }
+
+    /// The host is killed and starts again with nothing but its last endpoint list.
+    pub fn restart(&mut self) {
+        self.requests.clear();
+        self.retries.clear();
+        self.cancelled.clear();
+        self.scheduler = Scheduler::new(self.config.clone(), self.now);
+        self.update_endpoints(EndpointUpdate::Restored);
+    }
+
+    /// A request arrives; its index.
+    pub fn submit(&mut self, request: Request) -> usize {
+        let id = self.requests.len();
+        let arrived_at = self.now;
+        self.requests.push(RequestRecord { request, arrived_at, attempts: Vec::new(), completion: None });
+        self.route(id);
+        self.run_actions();
+        id
+    }
+
+    fn route(&mut self, id: usize) {
+        match self.scheduler.route(self.now, id, &self.requests[id].request.clone()) {
+            RouteDecision::Send { node, timeout, send_by } => {
+                self.start_attempt(id, node, timeout, send_by, id);
+                self.offer_for_coalescing(id, node);
+            }
+            RouteDecision::Queue => {}
+            RouteDecision::Finish(status) => self.complete(id, status),
+        }
+    }
+
+    /// Offers all pending requests for coalescing with one that was just sent.
+    fn offer_for_coalescing(&mut self, first: usize, first_node: usize) {
+        let offered = if self.coalesces { self.requests.len() } else { 0 };
+        for id in 0..offered {
+            let record = &self.requests[id];
+            if record.completion.is_some() || record.is_in_flight() {
+                continue;
+            }
+            let request = Request { with: Some(first), ..record.request.clone() };
+            let decision = self.scheduler.route(self.now, id, &request);
+            if let RouteDecision::Send { node, timeout, send_by } = decision {
+                assert_eq!(node, first_node, "coalesced with a request that went to another node");
+                self.start_attempt(id, node, timeout, send_by, first);
+            }
+        }
+    }
+
+    /// The attempt in flight of a request ends, if there is one.
+    pub fn outcome(&mut self, id: usize, outcome: Outcome) {
+        let (now, record) = (self.now, &mut self.requests[id]);
+        let over = record.completion.is_some() || outcome == Outcome::Succeeded;
+        let Some(attempt) = record.attempts.last_mut().filter(|attempt| attempt.is_in_flight()) else {
+            return;
+        };
+        attempt.ended = Some((outcome, now));
+        let (latency, node) = (now - attempt.sent_at, attempt.node);
+        if outcome == Outcome::Succeeded {
+            record.completion.get_or_insert(Completion::WithoutFinalStatus);
+            self.served.push(Transfer { at: now, node, units: record.request.units });
+        }
+        let answer = Answer { outcome, latency, over, used: None, others: 0.0 };
+        if let AfterOutcome::Finish(status) = self.scheduler.on_outcome(now, id, &answer) {
+            self.complete(id, status);
+        }
+        self.run_actions();
+    }
+
+    /// The client of a request disconnects.
+    pub fn disconnect(&mut self, id: usize) {
+        if self.requests[id].completion.is_none() {
+            self.requests[id].completion = Some(Completion::WithoutFinalStatus);
+            self.scheduler.on_client_disconnect(self.now, id);
+            self.run_actions();
+        }
+    }
+
+    /// Another host reports.
+    pub fn receive_gossip(&mut self, from: usize, reports: &[GossipReport]) {
+        if !self.drops_gossip {
+            self.scheduler.on_gossip(self.now, from, reports);
+            self.run_actions();
+        }
+    }
+
+    /// The data of a request lies on another shard now.
+    pub fn move_to_shard(&mut self, id: usize, shard: usize) {
+        self.requests[id].request.shard = Some(shard);
+        self.scheduler.on_shard_moved(self.now, id, shard);
+        self.run_actions();
+    }
+
+    /// Carries out all actions that are due; when the next one is.
+    fn run_actions(&mut self) -> Ms {
+        for _ in 0..10_000 {
+            match self.scheduler.next_action(self.now) {
+                Action::Route(id) => self.route(id),
+                Action::CancelAttempt { request, .. } => self.cancelled.push(request),
+                Action::CheckHealth(_) => {}
+                Action::PollEndpoints => self.polls += 1,
+                Action::SendGossip { told, .. } => self.gossip_sent.push(told),
+                Action::WaitUntil(at) => return at.max(self.now + ROUND),
+            }
+        }
+        panic!("the scheduler names no time to wait until");
+    }
+
+    /// Lets time advance, with cancellations and time-outs, and checks that no answer is overdue.
+    pub fn advance(&mut self, time: Ms) {
+        let end = self.now + time;
+        while self.now < end {
+            let until = self.run_actions();
+            self.now = if self.fixed_step { self.now + ROUND } else { until.min(self.now + 10.0).min(end) };
+            for id in std::mem::take(&mut self.cancelled) {
+                self.outcome(id, Outcome::Cancelled);
+            }
+            for id in 0..self.requests.len() {
+                let last = self.requests[id].attempts.last();
+                let has_timed_out = |attempt: &Attempt| {
+                    attempt.is_in_flight() && self.now >= attempt.sent_at + attempt.timeout
+                };
+                if last.is_some_and(has_timed_out) {
+                    self.outcome(id, Outcome::TimedOut);
+                }
+            }
+            self.run_actions();
+            self.check_no_answer_is_overdue();
+        }
+    }
+}
