--- a/src/scheduler/fair_queueing.rs
+++ b/src/scheduler/fair_queueing.rs
@@ -10,7 +10,7 @@
 const RESERVE_FACTOR: f64 = 4.0;
 /// How long after its last request a flow counts into the weights at a node.
 const FLOW_EXPIRY: Ms = 2000.0;
-/// The least weight: none can be without service for ever.
+/// Keeps every weight above zero, as tags are divided by it.
 const MIN_WEIGHT: f64 = 1e-6;
 
 /// The virtual start and finish tag of a request.
--- a/src/scheduler/gossip.rs
+++ b/src/scheduler/gossip.rs
@@ -27,7 +27,7 @@
 pub(super) struct Gossip {
     received: GossipState,
     /// Other hosts have reported lately.
-    is_heard: bool,
+    is_active: bool,
     unreported: BTreeMap<usize, UnreportedAnswers>,
     next_at: Ms,
     /// The last report named nodes, so that one more has to say when nothing is there any more.
@@ -39,7 +39,7 @@
     pub fn new(now: Ms) -> Gossip {
         Gossip {
             received: GossipState::default(),
-            is_heard: false,
+            is_active: false,
             unreported: BTreeMap::new(),
             next_at: now,
             owes_update: false,
@@ -47,8 +47,8 @@
     }
 
     /// Whether other hosts have reported lately.
-    pub fn is_heard(&self) -> bool {
-        self.is_heard
+    pub fn is_active(&self) -> bool {
+        self.is_active
     }
 
     /// When the next report is due, if there is anything to report.
@@ -57,7 +57,7 @@
     }
 
     /// Whether there are answers or ended attempts to report.
-    pub fn has_news(&self) -> bool {
+    pub fn has_unreported(&self) -> bool {
         self.owes_update || !self.unreported.is_empty()
     }
 
@@ -147,11 +147,11 @@
 
     /// Brings what is known of other hosts' attempts at nodes up to date.
     fn apply_remote_load(&mut self, nodes: &[usize]) {
-        let is_heard = !self.gossip.received.is_empty();
-        if self.gossip.is_heard != is_heard {
-            self.gossip.is_heard = is_heard;
+        let is_active = !self.gossip.received.is_empty();
+        if self.gossip.is_active != is_active {
+            self.gossip.is_active = is_active;
             for node in self.nodes.iter_mut() {
-                node.window.set_gossip(is_heard);
+                node.window.set_gossip(is_active);
             }
         }
         for &index in nodes {
--- a/src/scheduler/in_flight.rs
+++ b/src/scheduler/in_flight.rs
@@ -115,7 +115,7 @@
     }
 
     /// Nobody waits for the answer of a request any more: its attempt is overdue and takes no slot.
-    pub fn give_up(&mut self, request: usize, overtaken_by: u32) {
+    pub fn abandon(&mut self, request: usize, overtaken_by: u32) {
         for attempt in self.attempts.iter_mut().filter(|attempt| attempt.request == request) {
             (attempt.sent_at, attempt.overtaken_by) = (f64::NEG_INFINITY, overtaken_by);
         }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -189,7 +189,7 @@
     }
 
     fn has_gossip_to_send(&self) -> bool {
-        self.gossip.has_news() || self.in_flight > 0 || self.expiry.has_checks()
+        self.gossip.has_unreported() || self.in_flight > 0 || self.expiry.has_checks()
     }
 
     fn next_wakeup(&self, now: Ms) -> Ms {
@@ -231,7 +231,7 @@
             RequestState::InFlight(index) => {
                 pending.state = RequestState::Finished(index);
                 if let Some(node) = self.nodes.get_mut(index) {
-                    node.in_flight.give_up(id, DOUBTFUL_AFTER);
+                    node.in_flight.abandon(id, DOUBTFUL_AFTER);
                 }
                 self.nodes.refresh(index);
             }
