--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -30,7 +30,7 @@
         seed: 1,
         hosts: 1.0,
         classes: vec![class(false), class(true)],
-        plans: vec![policy(1.0), policy(4.0)],
+        policies: vec![policy(1.0), policy(4.0)],
         round: 1.0,
         max_attempts: 3,
         can_cancel: true,
@@ -99,15 +99,15 @@
         let (class, key) = if n.is_multiple_of(10) { (1, Some(n / 10)) } else { (0, None) };
         let request = Request {
             class,
-            plan: n % 2,
+            policy: n % 2,
             volume: n % VOLUMES,
             key,
             units: 1.0 + (n % 4) as f64,
             shard: Some(n.wrapping_mul(7919) % self.nodes),
             hosts: 1.0,
             client_timeout: 2.0 * UNREACHED,
-            counts: 1.0,
-            with: None,
+            budget_weight: 1.0,
+            coalesce_with: None,
         };
         let id = self.free_indices.pop().unwrap_or(self.requests.len());
         if id == self.requests.len() {
@@ -124,7 +124,8 @@
         self.now += STEP;
         if let Some(id) = self.in_flight.pop_front() {
             let outcome = Outcome::Succeeded;
-            let answer = Answer { outcome, latency: 1.0, over: true, used: None, others: 0.0 };
+            let answer =
+                Answer { outcome, latency: 1.0, request_over: true, volume_usage: None, remote_units: 0.0 };
             assert!(self.scheduler.on_outcome(self.now, id, &answer) == AfterOutcome::Done, "it is over");
             self.free_indices.push(id);
             self.run_actions();
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -197,7 +197,7 @@
     match task {
         Task::Check { .. } => {
             let host = &config.host;
-            let (classes, plans) = (host.start.classes.len(), host.start.plans.len());
+            let (classes, plans) = (host.start.classes.len(), host.start.policies.len());
             println!(
                 "{}: good; {classes} bands, {plans} plans, {} volumes",
                 file.display(),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -203,11 +203,11 @@
     fn ask_with(&mut self, now: Ms, first: usize, other: u64) {
         let Some(&slot) = self.by_id.get(&other) else { return };
         let Some(c) = &mut self.requests[slot] else { return };
-        c.request.with = Some(first);
+        c.request.coalesce_with = Some(first);
         if let RouteDecision::Send { timeout, send_by, .. } = self.scheduler.route(now, slot, &c.request) {
             self.attempts.push(c.begin_attempt(timeout, send_by));
         }
-        c.request.with = None;
+        c.request.coalesce_with = None;
     }
 
     fn end(&mut self, slot: usize, ending: FinalStatus, environment: &mut impl Environment) {
@@ -225,16 +225,16 @@
         }
     }
 
-    /// The outcome of an attempt; `answer.over` says that the request is over with it. Exactly one is owed
+    /// The outcome of an attempt; `answer.request_over` says that the request is over with it. Exactly one is owed
     /// for each [`Environment::send`].
     pub fn on_outcome(&mut self, now: Ms, id: u64, mut answer: Answer, environment: &mut impl Environment) {
         let Some(&slot) = self.by_id.get(&id) else { return };
         let Some(c) = &mut self.requests[slot] else { return };
         assert!(c.out > 0, "an outcome for command {id}, which has no hand-off out");
         c.out -= 1;
-        c.over |= answer.over;
+        c.over |= answer.request_over;
         c.last = Some(answer.outcome);
-        answer.over = c.over;
+        answer.request_over = c.over;
         match self.scheduler.on_outcome(now, slot, &answer) {
             AfterOutcome::Finish(ending) => self.end(slot, ending, environment),
             AfterOutcome::Done | AfterOutcome::Retry => self.release(slot),
@@ -289,7 +289,7 @@
                 }
                 Action::CheckHealth(node) => environment.check_health(self.node_ids[node]),
                 Action::PollEndpoints => environment.poll_endpoints(),
-                Action::SendGossip { to, told } => {
+                Action::SendGossip { to, reports: told } => {
                     let told: Vec<(u16, GossipReport)> =
                         told.iter().map(|t| (tag(self.node_ids[t.node]), *t)).collect();
                     environment.send_gossip(&to, &told);
--- a/crates/engine/tests/answers.rs
+++ b/crates/engine/tests/answers.rs
@@ -77,7 +77,7 @@
         seed: 3,
         hosts: 1.0,
         classes: vec![class(Idempotency::Idempotent, false), class(Idempotency::NonIdempotent, true)],
-        plans: vec![QosPolicy { price, weight, rate, reserve, limit_rate, limit_burst }],
+        policies: vec![QosPolicy { price, weight, rate, reserve, limit_rate, limit_burst }],
         round: 2.0,
         max_attempts: 3,
         can_cancel: true,
@@ -116,7 +116,7 @@
         let ended = environment.ended.entry(request).or_default();
         *ended = (*ended).max(1);
     }
-    let answer = Answer { outcome, latency: 5.0, over, used: None, others: 0.0 };
+    let answer = Answer { outcome, latency: 5.0, request_over: over, volume_usage: None, remote_units: 0.0 };
     engine.on_outcome(now, request, answer, environment);
 }
 
@@ -124,7 +124,18 @@
     let (class, shard) = (usize::from(a % 2), Some(usize::from(b % 2)));
     let (units, hosts, client_timeout) = (1.0, 1.0, 400.0);
     let (plan, volume, key, counts, with) = (0, 0, None, 1.0, None);
-    let request = Request { class, plan, volume, key, units, shard, hosts, client_timeout, counts, with };
+    let request = Request {
+        class,
+        policy: plan,
+        volume,
+        key,
+        units,
+        shard,
+        hosts,
+        client_timeout,
+        budget_weight: counts,
+        coalesce_with: with,
+    };
     engine.submit(now, IncomingRequest { id, key: u64::from(a % 5), volume: 9, request }, environment);
 }
 
@@ -195,8 +206,18 @@
             let (client_timeout, units) = (400.0, 1.0);
             let (class, plan, volume, key, shard) = ((id % 2) as usize, 0, 0, None, Some(0));
             let (hosts, counts, with) = (1.0, 1.0, None);
-            let request =
-                Request { class, plan, volume, key, units, shard, hosts, client_timeout, counts, with };
+            let request = Request {
+                class,
+                policy: plan,
+                volume,
+                key,
+                units,
+                shard,
+                hosts,
+                client_timeout,
+                budget_weight: counts,
+                coalesce_with: with,
+            };
             engine.submit(now, IncomingRequest { id, key: id, volume: id, request }, &mut environment);
             engine.run(now, &mut environment);
             while !environment.out.is_empty() {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -136,7 +136,7 @@
         seed: part.field("seed").whole_or(0..=u64::MAX, seed),
         hosts,
         classes,
-        plans,
+        policies: plans,
         round,
         max_attempts: part.field("hand_offs").whole_or(1..=100, 3) as u32,
         can_cancel: part.field("cancels").flag_or(true),
@@ -382,7 +382,7 @@
     let mut reserved: BTreeMap<usize, f64> = BTreeMap::new();
     for volume in volumes.values() {
         for shard in &volume.shards {
-            let reserve = start.plans.get(volume.plan).map_or(0.0, |plan| plan.reserve);
+            let reserve = start.policies.get(volume.plan).map_or(0.0, |plan| plan.reserve);
             *reserved.entry(*shard).or_default() += reserve / volume.shards.len() as f64;
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -260,7 +260,13 @@
         if over {
             self.floor.settled(request_id, payload);
         }
-        let answer = Answer { outcome, latency: self.floor.now - sent, over, used, others };
+        let answer = Answer {
+            outcome,
+            latency: self.floor.now - sent,
+            request_over: over,
+            volume_usage: used,
+            remote_units: others,
+        };
         self.engine.on_outcome(self.floor.now, request_id, answer, &mut self.floor);
         if let Some((volume, key)) = self.floor.piece(request_id).filter(|_| outcome == Outcome::ShardMoved) {
             let (to, version) = self.place(volume, key);
@@ -668,15 +674,15 @@
         let id = self.floor.take(Admitted { client, piece_of, take, placed, client_timeout, span })?;
         let request = Request {
             class,
-            plan,
+            policy: plan,
             volume: 0,
             key: None,
             units: f64::from(take.units),
             shard,
             hosts,
             client_timeout,
-            counts: f64::from(piece_of.is_none_or(|(_, piece)| piece == 0)),
-            with: None,
+            budget_weight: f64::from(piece_of.is_none_or(|(_, piece)| piece == 0)),
+            coalesce_with: None,
         };
         // A key is a piece of its volume; the module knows keys by one number.
         let key = xxh3_64(&[take.volume.to_le_bytes(), take.key.to_le_bytes()].concat()).max(1);
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -447,8 +447,8 @@
         let length = other.recv(&mut bytes).unwrap();
         let told = magpiewick_gossip::read(&bytes[..length]).unwrap();
         if let Some((tag, said)) = told.first() {
-            assert_eq!((told.len(), said.out), (1, 1));
-            break (*tag, magpiewick::GossipReport { out: 7, waits: true, ..*said });
+            assert_eq!((told.len(), said.in_flight), (1, 1));
+            break (*tag, magpiewick::GossipReport { in_flight: 7, has_queued: true, ..*said });
         }
     };
     // Of no length, of an odd one, too long, from a build to come; and what would count, from nobody it knows.
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -41,9 +41,10 @@
         for (tag, t) in part {
             bytes.extend_from_slice(&tag.to_le_bytes());
             bytes.push(
-                (t.out.min(MOST_OUT) << 5 | u32::from(t.waits) << 4 | t.answers.min(MOST_ANSWERS)) as u8,
+                (t.in_flight.min(MOST_OUT) << 5 | u32::from(t.has_queued) << 4 | t.answers.min(MOST_ANSWERS))
+                    as u8,
             );
-            bytes.push((STEPS * (t.wait / FINEST).max(1.0).log2()).round().min(255.0) as u8);
+            bytes.push((STEPS * (t.queueing_delay / FINEST).max(1.0).log2()).round().min(255.0) as u8);
         }
         bytes
     })
@@ -64,10 +65,10 @@
     let (counts, wait) = (u32::from(e[2]), FINEST * (f64::from(e[3]) / STEPS).exp2());
     let told = GossipReport {
         node: 0,
-        out: counts >> 5,
-        waits: counts >> 4 & 1 > 0,
+        in_flight: counts >> 5,
+        has_queued: counts >> 4 & 1 > 0,
         answers: counts & MOST_ANSWERS,
-        wait,
+        queueing_delay: wait,
     };
     (u16::from_le_bytes([e[0], e[1]]), told)
 }
--- a/crates/gossip/tests/bytes.rs
+++ b/crates/gossip/tests/bytes.rs
@@ -10,7 +10,7 @@
             .into_iter()
             .map(|(id, n, ms)| {
                 let (out, waits, answers) = (u32::from(n >> 5), n & 16 > 0, u32::from(n % 16));
-                (id, GossipReport { node: 0, out, waits, answers, wait: f64::from(ms % 6000) })
+                (id, GossipReport { node: 0, in_flight: out, has_queued: waits, answers, queueing_delay: f64::from(ms % 6000) })
             })
             .collect();
         let mut again = Vec::new();
@@ -22,7 +22,7 @@
         }
         let near = |a: f64, b: f64| a.max(0.1) / b < 1.03 && b / a.max(0.1) < 1.03;
         let same = |(a, b): (&(u16, GossipReport), &(u16, GossipReport))| {
-            a.0 == b.0 && (a.1.out, a.1.waits, a.1.answers) == (b.1.out, b.1.waits, b.1.answers) && near(a.1.wait, b.1.wait)
+            a.0 == b.0 && (a.1.in_flight, a.1.has_queued, a.1.answers) == (b.1.in_flight, b.1.has_queued, b.1.answers) && near(a.1.queueing_delay, b.1.queueing_delay)
         };
         again.len() == told.len() && told.iter().zip(&again).all(same)
     }
@@ -37,10 +37,12 @@
 
 #[test]
 fn another_version_and_a_cut_or_grown_message_are_named() {
-    let whole: Vec<u8> =
-        written(&[(7, GossipReport { node: 0, out: 1, waits: true, answers: 3, wait: 40.0 })])
-            .next()
-            .unwrap();
+    let whole: Vec<u8> = written(&[(
+        7,
+        GossipReport { node: 0, in_flight: 1, has_queued: true, answers: 3, queueing_delay: 40.0 },
+    )])
+    .next()
+    .unwrap();
     assert!(read(&whole).is_ok());
     assert_eq!(read(&whole[..whole.len() - 1]), Err(Fault::Length));
     assert_eq!(read(&[&whole[..], &[0]].concat()), Err(Fault::Length));
--- a/crates/instance-settings/src/lib.rs
+++ b/crates/instance-settings/src/lib.rs
@@ -174,7 +174,7 @@
             seed,
             hosts: self.number_or("balancers", 1.0)?.max(1.0),
             classes: (0..self.count("profiles")?).map(|i| self.class(i)).collect::<Result<_, _>>()?,
-            plans: (0..self.count("service_levels")?).map(|i| self.plan(i)).collect::<Result<_, _>>()?,
+            policies: (0..self.count("service_levels")?).map(|i| self.plan(i)).collect::<Result<_, _>>()?,
             round: self.needed("round_ns", self.time("round_ns")?)?,
             max_attempts: self.parsed("limits.max_attempts")?.unwrap_or(1),
             can_cancel: self.flag("limits.cancelling")?,
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -125,7 +125,7 @@
     };
     let request = magpiewick::Request {
         class,
-        plan,
+        policy: plan,
         volume: 0,
         key: None,
         units,
@@ -134,8 +134,8 @@
         // Some clients name a little more than their class's time. One such would make the module, which knows
         // later tries by their shorter time, take every first try after it for a later one.
         client_timeout: limit.min(door.classes[class].client_timeout) - used,
-        counts: 1.0,
-        with: None,
+        budget_weight: 1.0,
+        coalesce_with: None,
     };
     Ok(IncomingRequest { id: number, key, volume, request })
 }
--- a/crates/platform/src/ask/tests.rs
+++ b/crates/platform/src/ask/tests.rs
@@ -43,7 +43,7 @@
     let taken = request(&read, bytes(&read), &door(), 30.0, 9).unwrap();
     assert_eq!((taken.id, taken.volume, taken.key), (9, 0x3b4d60021, 0x7f3a9c21e0b4d655));
     let c = taken.request;
-    assert_eq!((c.class, c.plan, c.units, c.shard, c.hosts), (1, 1, 2.0, Some(5), 3.0));
+    assert_eq!((c.class, c.policy, c.units, c.shard, c.hosts), (1, 1, 2.0, Some(5), 3.0));
     assert_eq!(c.client_timeout, 450.0, "what the client has waited is gone");
     let new = GOOD.replace("shard=5", "shard=-1").replace("480m", "480000u");
     let read = magpiewick_http1::request(new.as_bytes()).unwrap();
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -115,7 +115,7 @@
     let door = settings.platform_settings().map_err(|e| format!("settings: {e}"))?;
     // The list client alone decides when the list is asked for.
     let max_poll_interval = start.max_poll_interval.take();
-    if start.classes.is_empty() || start.plans.is_empty() {
+    if start.classes.is_empty() || start.policies.is_empty() {
         return Err("settings: there must be a band and a plan".to_string());
     }
     let known = file.known.filter(|known| !known.is_null());
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -45,20 +45,20 @@
     let Some(max_poll_interval) = max_poll_interval else {
         let grace = pushed.unwrap_or(0.0).max(LEAST_GRACE);
         return Pace {
-            wait: (PUSHED_WAIT * grace).min(WAIT).floor(),
-            first_wait: 0.0,
-            late: (PUSHED_LATE * grace).min(LATE),
-            first_late: (PUSHED_LATE * grace).min(LATE),
-            most_calls: 1,
+            hold: (PUSHED_WAIT * grace).min(WAIT).floor(),
+            first_hold: 0.0,
+            grace: (PUSHED_LATE * grace).min(LATE),
+            first_grace: (PUSHED_LATE * grace).min(LATE),
+            max_calls: 1,
             max_poll_interval: grace,
         };
     };
     Pace {
-        wait: WAIT,
-        first_wait: AGAIN,
-        late: LATE,
-        first_late: FIRST_LATE,
-        most_calls: MOST_CALLS,
+        hold: WAIT,
+        first_hold: AGAIN,
+        grace: LATE,
+        first_grace: FIRST_LATE,
+        max_calls: MOST_CALLS,
         max_poll_interval,
     }
 }
@@ -81,13 +81,13 @@
             binds_after: grace.max(LEAST_GRACE),
             binds_after_reload: TOLD_AFTER_RELOAD,
             stall: 0.0,
-            silent_when_down: true,
+            unresponsive_when_down: true,
         },
         None => FreshnessRules {
             binds_after: TOLD_AFTER,
             binds_after_reload: TOLD_AFTER_RELOAD,
             stall: STALL,
-            silent_when_down: false,
+            unresponsive_when_down: false,
         },
     }
 }
--- a/crates/platform/src/discovery/tests.rs
+++ b/crates/platform/src/discovery/tests.rs
@@ -44,15 +44,15 @@
     for grace in [0.0, 100.0, 250.0, 500.0, 1000.0, 60_000.0] {
         let (pace, rules) = (pace(None, Some(grace)), freshness_rules(Some(grace)));
         // It falls silent at once, is found out, and the call after it is answered.
-        let found = pace.wait + pace.late;
-        assert!(found + pace.first_wait + pace.late <= 0.9 * rules.binds_after, "{grace}: {pace:?}");
-        assert!(rules.binds_after >= 100.0 && pace.wait >= 1.0);
+        let found = pace.hold + pace.grace;
+        assert!(found + pace.first_hold + pace.grace <= 0.9 * rules.binds_after, "{grace}: {pace:?}");
+        assert!(rules.binds_after >= 100.0 && pace.hold >= 1.0);
     }
 }
 
 #[test]
 fn a_silent_watch_of_asked_lists_is_found_out_and_made_good_before_a_change_binds() {
     let (pace, rules) = (pace(Some(10_000.0), None), freshness_rules(None));
-    let made_good = pace.wait + pace.late + pace.first_wait + pace.first_late;
+    let made_good = pace.hold + pace.grace + pace.first_hold + pace.first_grace;
     assert!(made_good <= rules.binds_after - rules.stall, "{made_good} ms");
 }
--- a/crates/platform/src/discovery_calls.rs
+++ b/crates/platform/src/discovery_calls.rs
@@ -21,7 +21,7 @@
 fn path(target: Target) -> String {
     match target {
         Target::Whole => TARGET.to_string(),
-        Target::Changes { after, wait } => format!("{TARGET}?after={after}&wait_ms={wait}"),
+        Target::Changes { after, hold } => format!("{TARGET}?after={after}&wait_ms={hold}"),
     }
 }
 
@@ -29,9 +29,9 @@
 fn failure(error: &io::Error) -> Failure {
     match (reach(error), error.kind()) {
         (Reach::Local, _) => Failure::Local,
-        (_, ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted) => Failure::Broken,
-        (_, ErrorKind::BrokenPipe | ErrorKind::NotConnected) => Failure::Broken,
-        (_, ErrorKind::TimedOut) => Failure::NeverUp,
+        (_, ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted) => Failure::ConnectionLost,
+        (_, ErrorKind::BrokenPipe | ErrorKind::NotConnected) => Failure::ConnectionLost,
+        (_, ErrorKind::TimedOut) => Failure::ConnectTimedOut,
         (Reach::Remote, _) => Failure::Unreachable,
     }
 }
@@ -40,7 +40,7 @@
 fn wait_of(target: Target) -> Ms {
     match target {
         Target::Whole => 0.0,
-        Target::Changes { wait, .. } => wait,
+        Target::Changes { hold, .. } => hold,
     }
 }
 
@@ -54,7 +54,7 @@
 
 fn broken(ended: Ended) -> (CallFailure, Failure) {
     match ended {
-        Ended::Closed => (CallFailure::Broke("closed".to_string()), Failure::Broken),
+        Ended::Closed => (CallFailure::Broke("closed".to_string()), Failure::ConnectionLost),
         Ended::Failed(error) => (CallFailure::Broke(error.to_string()), failure(&error)),
     }
 }
@@ -213,7 +213,7 @@
             Ok(None) => return,
             Err(Sign::Spoilt) => return self.call_ended(key, CallFailure::Spoilt, Failure::Unusable),
             Err(_) => {
-                let failure = if begun { Failure::Unusable } else { Failure::Broken };
+                let failure = if begun { Failure::Unusable } else { Failure::ConnectionLost };
                 return self.call_ended(key, CallFailure::Broke("closed".to_string()), failure);
             }
         };
@@ -317,7 +317,7 @@
         200 => {
             discovery::parsed(&answer.body).map_err(|why| (CallFailure::Malformed(why), Failure::Unusable))
         }
-        status @ 500..=599 => Err((CallFailure::Status(status), Failure::TurnedAway)),
+        status @ 500..=599 => Err((CallFailure::Status(status), Failure::Rejected)),
         status => Err((CallFailure::Status(status), Failure::Unusable)),
     }
 }
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -171,7 +171,10 @@
             self.request_log.attempt_ended(&named(&self.nodes, open, now), outcome, latency);
         }
         *self.counts.outcomes.entry(Reason::After(outcome).word()).or_default() += 1;
-        self.owed.push((request_id, Answer { outcome, latency, over, used, others }));
+        self.owed.push((
+            request_id,
+            Answer { outcome, latency, request_over: over, volume_usage: used, remote_units: others },
+        ));
     }
 
     /// Begins an attempt on a resting connection that is good, or on a new one.
--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -586,7 +586,7 @@
         let mut found = Vec::new();
         let mut checked = 0;
         for (i, s) in self.sent.iter().enumerate().filter(|(_, s)| known.insert((s.host, s.request_id))) {
-            let Some(plan) = self.e.host.volumes.get(&s.volume).map(|v| &start.plans[v.plan]) else {
+            let Some(plan) = self.e.host.volumes.get(&s.volume).map(|v| &start.policies[v.plan]) else {
                 continue;
             };
             if plan.limit_rate <= 0.0 {
--- a/crates/scenario/src/plant.rs
+++ b/crates/scenario/src/plant.rs
@@ -78,7 +78,7 @@
 /// A rig that breaks what is named and nothing else; none where it is broken elsewhere.
 pub fn plant(planted: Planted, host: &HostConfig) -> Option<Box<dyn Tamper>> {
     let classes = || host.start.classes.iter().zip(0..);
-    let plans = &host.start.plans;
+    let plans = &host.start.policies;
     let limited = host.volumes.iter().filter(|(_, v)| plans[v.plan].limit_rate > 0.0).map(|(id, _)| *id);
     let of = |repeats| classes().filter(move |(b, _)| b.idempotency == repeats && !b.ordered).map(|(_, i)| i);
     let waits = |class: &u16| host.start.classes[usize::from(*class)].latency_objective;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -102,7 +102,7 @@
             let text = f.take(length, "the settings")?;
             let text = std::str::from_utf8(text).map_err(|_| f.fault("the settings are not text"))?;
             let start = InstanceSettings::pairs(text)?.scheduler_config(seed)?;
-            let (classes, plans) = (start.classes.len(), start.plans.len());
+            let (classes, plans) = (start.classes.len(), start.policies.len());
             self.hosts.insert(number, Instance { host: Host::new(number, start, now), classes, plans });
             return Ok(());
         }
@@ -127,7 +127,18 @@
                 let used = (used > 0).then(|| (f64::from(used) - 1.0) / 100.0);
                 let others = f64::from(f.u16("a count of others")?);
                 report(f)?;
-                i.host.outcome(now, id, Answer { outcome, latency: ms(took), over, used, others }, reply);
+                i.host.outcome(
+                    now,
+                    id,
+                    Answer {
+                        outcome,
+                        latency: ms(took),
+                        request_over: over,
+                        volume_usage: used,
+                        remote_units: others,
+                    },
+                    reply,
+                );
             }
             5 => {
                 let from = f.u16("a sender")?;
@@ -191,15 +202,15 @@
     let shard = (shard >= 0.0).then_some(shard as usize);
     let request = Request {
         class,
-        plan,
+        policy: plan,
         volume: 0,
         key: None,
         units,
         shard,
         hosts: hosts.max(1.0),
         client_timeout,
-        counts: 1.0,
-        with: None,
+        budget_weight: 1.0,
+        coalesce_with: None,
     };
     Ok(IncomingRequest { id, key, volume, request })
 }
--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -25,15 +25,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
     /// How long the service may hold a call until there are changes.
-    pub wait: Ms,
+    pub hold: Ms,
     /// The same for the first call after a failure.
-    pub first_wait: Ms,
+    pub first_hold: Ms,
     /// How much longer than that a call may take before another one is made beside it.
-    pub late: Ms,
+    pub grace: Ms,
     /// The same for the first call after a failure, which the service may have queued behind others.
-    pub first_late: Ms,
+    pub first_grace: Ms,
     /// How many calls may be in flight at once. Where it is one, a late call is given up for the next.
-    pub most_calls: usize,
+    pub max_calls: usize,
     /// How long the host may go without a poll.
     pub max_poll_interval: Ms,
 }
@@ -48,7 +48,7 @@
         /// The generation.
         after: u64,
         /// How long the service holds the call until it answers without changes.
-        wait: Ms,
+        hold: Ms,
     },
 }
 
@@ -96,7 +96,7 @@
     id: u64,
     /// The number of the address that it went to.
     address: u32,
-    began: Ms,
+    started_at: Ms,
     target: Target,
     late_at: Ms,
     connected: bool,
@@ -108,8 +108,10 @@
     fn complete_as_of(&self, now: Ms, lines: usize) -> Ms {
         match self.target {
             // Without changes: the service held the call for all of that time.
-            Target::Changes { wait, .. } if lines == 0 && now - self.began >= wait => self.began + wait,
-            _ => self.began,
+            Target::Changes { hold, .. } if lines == 0 && now - self.started_at >= hold => {
+                self.started_at + hold
+            }
+            _ => self.started_at,
         }
     }
 }
@@ -224,7 +226,7 @@
         if self.next_at.is_none_or(|at| now < at) {
             return None;
         }
-        if self.calls.len() >= self.pace.most_calls {
+        if self.calls.len() >= self.pace.max_calls {
             let oldest = self.calls.remove(0);
             return Some(Step::Drop { call: oldest.id });
         }
@@ -236,7 +238,15 @@
         self.last_id += 1;
         let (id, address) = (self.last_id, self.address);
         let late_at = now + timeout;
-        self.calls.push(Call { id, address, began: now, target, late_at, connected: false, late: false });
+        self.calls.push(Call {
+            id,
+            address,
+            started_at: now,
+            target,
+            late_at,
+            connected: false,
+            late: false,
+        });
         self.next_at = None;
         Step::Call { call: id, target }
     }
@@ -244,14 +254,14 @@
     /// What the next call asks for, and how long it may take. The service does not hold a first call for long, so that
     /// it shows soon whether the service responds.
     fn target(&self, now: Ms) -> (Target, Ms) {
-        let Pace { wait, first_wait, late, first_late, .. } = self.pace;
-        let first_timeout = first_wait + first_late;
+        let Pace { hold, first_hold, grace, first_grace, .. } = self.pace;
+        let first_timeout = first_hold + first_grace;
         match self.after {
             None => (Target::Whole, first_timeout),
             Some(after) if self.last_call_answered && self.validity(now) == Validity::Valid => {
-                (Target::Changes { after, wait }, wait + late)
+                (Target::Changes { after, hold }, hold + grace)
             }
-            Some(after) => (Target::Changes { after, wait: first_wait }, first_timeout),
+            Some(after) => (Target::Changes { after, hold: first_hold }, first_timeout),
         }
     }
 
@@ -263,10 +273,10 @@
             return;
         };
         newest.late = true;
-        let failure = if newest.connected { Failure::Silent } else { Failure::NeverUp };
+        let failure = if newest.connected { Failure::NoAnswer } else { Failure::ConnectTimedOut };
         self.last_call_answered = false;
         self.freshness.failed(failure);
-        if self.pace.most_calls > 1 {
+        if self.pace.max_calls > 1 {
             self.next_at = Some(now);
         } else {
             self.dropped.extend(self.calls.drain(..).map(|call| call.id));
@@ -286,8 +296,8 @@
         self.former.retain(|c| c.id != call);
         let Some(index) = self.calls.iter().position(|c| c.id == call) else { return };
         let ended = self.calls.remove(index);
-        let immediate = now - ended.began < IMMEDIATE_REJECTION;
-        let failure = if failure == Failure::TurnedAway && immediate { Failure::Busy } else { failure };
+        let immediate = now - ended.started_at < IMMEDIATE_REJECTION;
+        let failure = if failure == Failure::Rejected && immediate { Failure::Busy } else { failure };
         self.freshness.failed(failure);
         self.retry(now, failure);
     }
@@ -340,8 +350,8 @@
         self.calls = newer;
         self.dropped.extend(older.iter().chain(&self.former).map(|c| c.id));
         self.former.clear();
-        let empty_at_once =
-            answer.lines == 0 && now - call.began < EMPTY_ANSWER_DELAY.min(call.late_at - call.began);
+        let empty_at_once = answer.lines == 0
+            && now - call.started_at < EMPTY_ANSWER_DELAY.min(call.late_at - call.started_at);
         let pause = if empty_at_once { EMPTY_ANSWER_DELAY } else { 0.0 };
         let another = self.calls.iter().any(|c| !c.late);
         self.next_at = (!another).then_some(now + pause);
@@ -356,7 +366,7 @@
         if let Some(known) = self.known {
             // A service that was restarted or replaced counts from the beginning, so that only an answer to a call
             // since the last list is known to be newer. Of two addresses of one service the slower may be behind.
-            let older = answer.generation < known.generation && call.began < known.applied_at;
+            let older = answer.generation < known.generation && call.started_at < known.applied_at;
             if call.address < known.address || older {
                 return Verdict::Outdated;
             }
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -16,7 +16,7 @@
     /// How long the process may stall between reading its clock and sending an attempt.
     pub stall: Ms,
     /// The service is the host's own agent, which does not respond when it has nothing behind it.
-    pub silent_when_down: bool,
+    pub unresponsive_when_down: bool,
 }
 
 /// How a call to the discovery service failed.
@@ -25,17 +25,17 @@
     /// The network or the service's machine reported that it cannot be reached.
     Unreachable,
     /// The connection was not established in time.
-    NeverUp,
+    ConnectTimedOut,
     /// This host had no socket, port or memory to call with.
     Local,
     /// The connection ended before any of an answer came.
-    Broken,
+    ConnectionLost,
     /// The service answered that it cannot serve the call.
-    TurnedAway,
+    Rejected,
     /// It did so at once: it is up, and overloaded.
     Busy,
     /// The connection is established and no answer comes.
-    Silent,
+    NoAnswer,
     /// The answer is malformed or does not follow what is known.
     Unusable,
 }
@@ -137,10 +137,10 @@
         match self.last_failure {
             Some(Failure::Unreachable) => true,
             // After a reload the service may as well be overloaded, and the operator says that it is there.
-            Some(Failure::NeverUp | Failure::Broken | Failure::TurnedAway) => {
-                self.reloads.is_empty() || self.rules.silent_when_down
+            Some(Failure::ConnectTimedOut | Failure::ConnectionLost | Failure::Rejected) => {
+                self.reloads.is_empty() || self.rules.unresponsive_when_down
             }
-            Some(Failure::Silent) => self.rules.silent_when_down,
+            Some(Failure::NoAnswer) => self.rules.unresponsive_when_down,
             Some(Failure::Local | Failure::Busy | Failure::Unusable) | None => false,
         }
     }
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -55,13 +55,13 @@
 impl ClientTimeouts {
     /// No request came yet.
     pub fn new(config: &SchedulerConfig) -> ClientTimeouts {
-        let policies = config.plans.len().max(1);
+        let policies = config.policies.len().max(1);
         let statistics = vec![TimeoutStatistics::default(); config.classes.len() * policies];
         ClientTimeouts { policies, statistics }
     }
 
     fn time_spent(&mut self, request: &Request) -> Ms {
-        let index = request.class * self.policies + request.plan;
+        let index = request.class * self.policies + request.policy;
         self.statistics[index].time_spent(request.client_timeout)
     }
 }
@@ -77,7 +77,7 @@
     /// Whether the reserve covers a request, as far as this host knows; takes its units if so. Where nodes do not say
     /// what they served through other hosts, this host counts on the reserve over the root of the volume's hosts.
     pub fn take(&mut self, now: Ms, request: &Request, config: &SchedulerConfig) -> bool {
-        let reserve = config.plans[request.plan].reserve;
+        let reserve = config.policies[request.policy].reserve;
         let hosts = if config.counts_remote_service { 1.0 } else { request.hosts.sqrt() };
         let rate = reserve / hosts;
         let bucket = self.buckets.entry(request.volume).or_insert_with(|| TokenBucket::new(now, rate));
@@ -107,7 +107,7 @@
 impl Scheduler {
     /// Accepts a request that is new.
     pub(super) fn accept(&mut self, now: Ms, id: usize, request: &Request) {
-        self.retries.add_request(now, request.counts);
+        self.retries.add_request(now, request.budget_weight);
         self.sequence += 1;
         let time_spent = self.client_timeouts.time_spent(request);
         let class = &self.config.classes[request.class];
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -92,7 +92,7 @@
             volume: request.volume,
             reserved,
             units: request.units,
-            weight: flow_weight(&self.config, request.class, request.plan, reserved),
+            weight: flow_weight(&self.config, request.class, request.policy, reserved),
         };
         let bounds =
             FrameBounds { max_batch_units: self.config.max_batch_units, least_weight: self.least_weight };
@@ -238,7 +238,7 @@
         if pending.attempts > 0 {
             self.retries.add_retry(now);
         } else if pending.has_tokens {
-            self.rate_limits.spend(now, request, &self.config.plans[request.plan]);
+            self.rate_limits.spend(now, request, &self.config.policies[request.policy]);
         }
         pending.attempts += 1;
         pending.state = RequestState::InFlight(index);
--- a/src/scheduler/fair_queueing.rs
+++ b/src/scheduler/fair_queueing.rs
@@ -160,9 +160,9 @@
 /// The weight of a flow, which is what a unit of its service earns: the reserve counts in full, the share by weight at
 /// the part that it earns.
 pub(super) fn flow_weight(config: &SchedulerConfig, class: usize, policy: usize, reserved: bool) -> f64 {
-    let rates: f64 = config.plans.iter().map(|policy| policy.rate).sum();
-    let weights: f64 = config.plans.iter().map(|policy| policy.weight).sum();
-    let policy = &config.plans[policy];
+    let rates: f64 = config.policies.iter().map(|policy| policy.rate).sum();
+    let weights: f64 = config.policies.iter().map(|policy| policy.weight).sum();
+    let policy = &config.policies[policy];
     let share = config.share_weight * policy.weight * rates / weights.max(1e-9);
     let rate = if reserved && policy.reserve > 0.0 { RESERVE_FACTOR * policy.reserve } else { share };
     (policy.price * config.classes[class].priority_weight * rate).max(MIN_WEIGHT)
@@ -170,7 +170,7 @@
 
 /// The least weight that any flow can have.
 pub(super) fn least_flow_weight(config: &SchedulerConfig) -> f64 {
-    let (classes, policies) = (0..config.classes.len(), 0..config.plans.len());
+    let (classes, policies) = (0..config.classes.len(), 0..config.policies.len());
     let kinds = classes.flat_map(|class| policies.clone().map(move |policy| (class, policy)));
     let weights = kinds.flat_map(|(class, policy)| {
         [false, true].map(|reserved| flow_weight(config, class, policy, reserved))
--- a/src/scheduler/gossip.rs
+++ b/src/scheduler/gossip.rs
@@ -75,7 +75,7 @@
 
     fn schedule_next(&mut self, now: Ms, reports: &[GossipReport]) {
         self.owes_update = !reports.is_empty();
-        let calm = reports.iter().all(|report| !report.waits);
+        let calm = reports.iter().all(|report| !report.has_queued);
         self.next_at = now + GOSSIP_INTERVAL * if calm { CALM_INTERVALS } else { 1.0 };
     }
 }
@@ -89,7 +89,7 @@
         let reports = self.collect_reports();
         let to = self.draw_gossip_targets(own_number);
         self.gossip.schedule_next(now, &reports);
-        Action::SendGossip { to, told: reports }
+        Action::SendGossip { to, reports }
     }
 
     fn collect_reports(&mut self) -> Vec<GossipReport> {
@@ -99,13 +99,13 @@
             let answers = unreported.remove(&index).unwrap_or_default();
             GossipReport {
                 node: index,
-                out: node.in_flight.occupied_slots() as u32,
-                waits: !node.queue.is_empty(),
+                in_flight: node.in_flight.occupied_slots() as u32,
+                has_queued: !node.queue.is_empty(),
                 answers: answers.count,
-                wait: answers.total_queueing_delay / f64::from(answers.count.max(1)),
+                queueing_delay: answers.total_queueing_delay / f64::from(answers.count.max(1)),
             }
         });
-        reports.filter(|report| report.out + report.answers > 0 || report.waits).collect()
+        reports.filter(|report| report.in_flight + report.answers > 0 || report.has_queued).collect()
     }
 
     fn draw_gossip_targets(&mut self, own_number: usize) -> Vec<usize> {
@@ -134,10 +134,10 @@
         let bounds = self.latencies.delay_bounds(self.congested_floor);
         let Some(node) = self.nodes.get_mut(report.node) else { return };
         let nearly_full = node.is_nearly_full();
-        let overtaken = node.window.overtaken_since(now, report.wait, GOSSIP_INTERVAL);
+        let overtaken = node.window.overtaken_since(now, report.queueing_delay, GOSSIP_INTERVAL);
         node.in_flight.overtake_sent_before(overtaken, report.answers);
         for _ in 0..report.answers {
-            node.on_answer(now, report.wait, nearly_full, &bounds);
+            node.on_answer(now, report.queueing_delay, nearly_full, &bounds);
             node.in_flight.set_doubtful_after(self.losses.doubtful_after());
             node.health.note_answer(now);
         }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -112,7 +112,7 @@
 
     /// Where to send this request: asked when it arrives, and each time [`Scheduler::next_action`] names it.
     pub fn route(&mut self, now: Ms, id: usize, request: &Request) -> RouteDecision {
-        if let Some(first) = request.with {
+        if let Some(first) = request.coalesce_with {
             return self.dispatch_coalesced(now, id, first);
         }
         if !self.requests.contains(id) {
@@ -139,11 +139,11 @@
         let (RequestState::InFlight(node) | RequestState::Finished(node)) = pending.state else {
             return AfterOutcome::Done;
         };
-        let is_over = answer.over || matches!(pending.state, RequestState::Finished(_));
+        let is_over = answer.request_over || matches!(pending.state, RequestState::Finished(_));
         let never_ran = answer.outcome.never_ran();
         let attempts = pending.attempts;
         pending.uncertain_attempt.take_if(|uncertain| never_ran && uncertain.number == attempts);
-        self.reserves.drain(pending.request.volume, answer.others);
+        self.reserves.drain(pending.request.volume, answer.remote_units);
         self.record_outcome(now, id, node, answer);
         self.keep_key_quiet(now, id, answer.outcome);
         if is_over {
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -53,7 +53,7 @@
     pub(super) fn reserve_tokens(&mut self, now: Ms, id: usize) -> Option<Ms> {
         let pending = self.requests.get_mut(id)?;
         let request = &pending.request;
-        let policy = &self.config.plans[request.plan];
+        let policy = &self.config.policies[request.policy];
         if policy.limit_rate <= 0.0 || pending.has_tokens {
             return Some(now);
         }
--- a/src/structures/gossip_state.rs
+++ b/src/structures/gossip_state.rs
@@ -31,13 +31,13 @@
         let former = self.by_host.insert(host, new).map_or(Vec::new(), |former| former.reports);
         for report in reports {
             let load = self.by_node.entry(report.node).or_default();
-            load.in_flight += report.out;
-            load.competing_hosts += u32::from(report.waits);
+            load.in_flight += report.in_flight;
+            load.competing_hosts += u32::from(report.has_queued);
         }
         for report in &former {
             let Some(load) = self.by_node.get_mut(&report.node) else { continue };
-            load.in_flight -= report.out;
-            load.competing_hosts -= u32::from(report.waits);
+            load.in_flight -= report.in_flight;
+            load.competing_hosts -= u32::from(report.has_queued);
         }
         self.by_node.retain(|_, load| *load != RemoteLoad::default());
         former.iter().chain(reports).map(|report| report.node).collect()
--- a/src/structures/tests.rs
+++ b/src/structures/tests.rs
@@ -28,17 +28,17 @@
     /// The model is the latest report of each host, added up when asked.
     fn remote_load_is_the_sum_of_the_latest_report_of_each_host(steps: Vec<(u8, u8, u8, bool)>) -> bool {
         let (mut gossip, mut model) = (GossipState::default(), BTreeMap::new());
-        steps.into_iter().zip(0..).all(|((host, node, out, waits), now)| {
-            let (host, node, out) = (usize::from(host % 5), usize::from(node % 3), u32::from(out));
-            let report = GossipReport { node, out, waits, answers: 0, wait: 0.0 };
+        steps.into_iter().zip(0..).all(|((host, node, in_flight, has_queued), now)| {
+            let (host, node, in_flight) = (usize::from(host % 5), usize::from(node % 3), u32::from(in_flight));
+            let report = GossipReport { node, in_flight, has_queued, answers: 0, queueing_delay: 0.0 };
             gossip.replace(f64::from(now), host, &[report]);
             model.insert(host, (f64::from(now), report));
             gossip.expire(f64::from(now - 7));
             model.retain(|_, (received_at, _)| *received_at >= f64::from(now - 7));
             let reports_of = |node| model.values().map(|(_, report)| report).filter(move |r| r.node == node);
             (0..3).all(|node| {
-                let in_flight: u32 = reports_of(node).map(|report| report.out).sum();
-                let competing_hosts = reports_of(node).filter(|report| report.waits).count() as u32;
+                let in_flight: u32 = reports_of(node).map(|report| report.in_flight).sum();
+                let competing_hosts = reports_of(node).filter(|report| report.has_queued).count() as u32;
                 let load = gossip.remote_load(node);
                 load.in_flight == in_flight && load.competing_hosts == competing_hosts
             })
--- a/src/types.rs
+++ b/src/types.rs
@@ -86,7 +86,7 @@
     /// The classes, by index.
     pub classes: Vec<RequestClass>,
     /// The QoS policies, by index.
-    pub plans: Vec<QosPolicy>,
+    pub policies: Vec<QosPolicy>,
     /// How long a decision may take to be carried out: the interval at which the caller acts.
     pub round: Ms,
     /// How many attempts a request has at most.
@@ -131,7 +131,7 @@
     /// Its class, an index.
     pub class: usize,
     /// Its QoS policy, an index.
-    pub plan: usize,
+    pub policy: usize,
     /// Its volume.
     pub volume: usize,
     /// The key by which it is ordered, if any.
@@ -145,9 +145,9 @@
     /// How long after its arrival the client gives up.
     pub client_timeout: Ms,
     /// 1, or 0 for a further part of a request that was split: the retry budget counts the request once.
-    pub counts: f64,
+    pub budget_weight: f64,
     /// A request that was just sent and that this one may be coalesced with: it leaves in the same batch, or stays.
-    pub with: Option<usize>,
+    pub coalesce_with: Option<usize>,
 }
 
 /// How an attempt ended.
@@ -221,11 +221,11 @@
     /// How long it took.
     pub latency: Ms,
     /// The request is over, by this outcome or before it.
-    pub over: bool,
+    pub request_over: bool,
     /// What the volume was served everywhere in a past period, as a part of its QoS policy's rate.
-    pub used: Option<f64>,
+    pub volume_usage: Option<f64>,
     /// Units that the node's shard served for the volume through other hosts since its last answer here.
-    pub others: f64,
+    pub remote_units: f64,
 }
 
 /// What is to be done after an outcome.
@@ -245,13 +245,13 @@
     /// The node.
     pub node: usize,
     /// The slots that its attempts in flight take there.
-    pub out: u32,
+    pub in_flight: u32,
     /// Whether it has requests queued there.
-    pub waits: bool,
+    pub has_queued: bool,
     /// The answers that it had from there since its last report.
     pub answers: u32,
     /// Their mean queueing delay: by how much they were over the latency without load.
-    pub wait: Ms,
+    pub queueing_delay: Ms,
 }
 
 /// What is due now, or until when nothing is.
@@ -275,7 +275,7 @@
         /// The hosts, by their numbers.
         to: Vec<usize>,
         /// The reports.
-        told: Vec<GossipReport>,
+        reports: Vec<GossipReport>,
     },
     /// Nothing until this time or the next event.
     WaitUntil(Ms),
--- a/tests/endpoint_client.rs
+++ b/tests/endpoint_client.rs
@@ -2,24 +2,29 @@
 
 use magpiewick::*;
 
-const WAIT: Ms = 2000.0;
-const FIRST_WAIT: Ms = 500.0;
-const LATE: Ms = 900.0;
-const FIRST_LATE: Ms = 2000.0;
+const HOLD: Ms = 2000.0;
+const FIRST_HOLD: Ms = 500.0;
+const GRACE: Ms = 900.0;
+const FIRST_GRACE: Ms = 2000.0;
 
 fn pace() -> Pace {
     Pace {
-        wait: WAIT,
-        first_wait: FIRST_WAIT,
-        late: LATE,
-        first_late: FIRST_LATE,
-        most_calls: 3,
+        hold: HOLD,
+        first_hold: FIRST_HOLD,
+        grace: GRACE,
+        first_grace: FIRST_GRACE,
+        max_calls: 3,
         max_poll_interval: 10_000.0,
     }
 }
 
 fn rules() -> FreshnessRules {
-    FreshnessRules { binds_after: 6000.0, binds_after_reload: 4000.0, stall: 150.0, silent_when_down: false }
+    FreshnessRules {
+        binds_after: 6000.0,
+        binds_after_reload: 4000.0,
+        stall: 150.0,
+        unresponsive_when_down: false,
+    }
 }
 
 fn client(restored: Option<u64>) -> EndpointClient {
@@ -64,7 +69,7 @@
     assert_eq!(target, Target::Whole);
     assert_eq!(client.answered(10.0, first, whole(4)), Verdict::Take(EndpointUpdate::Snapshot));
     let (watch, target) = call(&mut client, 10.0);
-    assert_eq!(target, Target::Changes { after: 4, wait: WAIT });
+    assert_eq!(target, Target::Changes { after: 4, hold: HOLD });
     (client, watch)
 }
 
@@ -94,23 +99,23 @@
 fn the_first_call_after_a_failure_has_a_short_hold_and_time_for_the_service_queue() {
     let mut client = client(Some(7));
     let (first, target) = call(&mut client, 0.0);
-    assert_eq!(target, Target::Changes { after: 7, wait: FIRST_WAIT }, "a new process");
-    assert_eq!(client.next_call_at(), FIRST_WAIT + FIRST_LATE);
+    assert_eq!(target, Target::Changes { after: 7, hold: FIRST_HOLD }, "a new process");
+    assert_eq!(client.next_call_at(), FIRST_HOLD + FIRST_GRACE);
     client.answered(400.0, first, changes(8));
     let (watch, target) = call(&mut client, 400.0);
-    assert_eq!(target, Target::Changes { after: 8, wait: WAIT });
-    assert_eq!(client.next_call_at(), 400.0 + WAIT + LATE);
-    client.failed(900.0, watch, Failure::Broken);
+    assert_eq!(target, Target::Changes { after: 8, hold: HOLD });
+    assert_eq!(client.next_call_at(), 400.0 + HOLD + GRACE);
+    client.failed(900.0, watch, Failure::ConnectionLost);
     let at = client.next_call_at();
     assert!((925.0..=975.0).contains(&at), "{at}");
     let (_, target) = call(&mut client, at);
-    assert_eq!(target, Target::Changes { after: 8, wait: FIRST_WAIT });
+    assert_eq!(target, Target::Changes { after: 8, hold: FIRST_HOLD });
     client.reloaded(1000.0);
     let (_, target) = call(&mut client, 1000.0);
     assert_eq!(target, Target::Whole);
     assert_eq!(
         client.next_call_at(),
-        1000.0 + FIRST_WAIT + FIRST_LATE,
+        1000.0 + FIRST_HOLD + FIRST_GRACE,
         "the service may have queued it as well"
     );
 }
@@ -121,7 +126,7 @@
     let mut now = 100.0;
     for most in [75.0, 150.0, 300.0, 600.0, 1200.0, 1500.0, 1500.0] {
         now += 100.0;
-        client.failed(now, in_flight, Failure::TurnedAway);
+        client.failed(now, in_flight, Failure::Rejected);
         let backoff = client.next_call_at() - now;
         assert!(backoff <= most, "{backoff} of {most}");
         now = client.next_call_at();
@@ -138,7 +143,7 @@
     let (mut client, watch) = watching();
     client.reloaded(1000.0);
     let (first, _) = call(&mut client, 1000.0);
-    client.failed(1000.0, first, Failure::Broken);
+    client.failed(1000.0, first, Failure::ConnectionLost);
     let next = client.next_call_at();
     assert!(next <= 1075.0);
     assert_eq!(client.answered(1010.0, watch, changes(5)), Verdict::Take(EndpointUpdate::Delta));
@@ -170,7 +175,7 @@
             in_flight += if matches!(step, Step::Call { .. }) { 1 } else { -1 };
         }
         assert!(in_flight <= 5, "{in_flight} calls are in flight");
-        assert!(client.next_call_at() <= 1000.0 + f64::from(reload) + FIRST_WAIT + FIRST_LATE);
+        assert!(client.next_call_at() <= 1000.0 + f64::from(reload) + FIRST_HOLD + FIRST_GRACE);
     }
 }
 
@@ -179,11 +184,11 @@
     let (mut client, watch) = watching();
     let late_at = client.next_call_at();
     let (second, target) = call(&mut client, late_at);
-    assert_eq!(target, Target::Changes { after: 4, wait: FIRST_WAIT });
+    assert_eq!(target, Target::Changes { after: 4, hold: FIRST_HOLD });
     assert_eq!(client.answered(late_at + 100.0, watch, changes(5)), Verdict::Take(EndpointUpdate::Delta));
     assert_eq!(steps(&mut client, late_at + 100.0), [], "the new one waits for what comes next");
     assert_eq!(client.answered(late_at + 400.0, second, changes(6)), Verdict::Take(EndpointUpdate::Delta));
-    assert_eq!(call(&mut client, late_at + 400.0).1, Target::Changes { after: 6, wait: WAIT });
+    assert_eq!(call(&mut client, late_at + 400.0).1, Target::Changes { after: 6, hold: HOLD });
 }
 
 #[test]
@@ -212,7 +217,7 @@
 
 #[test]
 fn with_a_limit_of_one_call_a_late_one_is_aborted() {
-    let pace = Pace { most_calls: 1, ..pace() };
+    let pace = Pace { max_calls: 1, ..pace() };
     let mut client = EndpointClient::new(pace, rules(), 7, 0.0, 0.0, Some(1));
     let (first, _) = call(&mut client, 0.0);
     let late_at = client.next_call_at();
@@ -233,8 +238,8 @@
 fn a_list_is_valid_until_a_change_without_notice_may_bind() {
     let (mut client, watch) = watching();
     // The service held the watch for all of its time: the list was complete at its end.
-    client.answered(10.0 + WAIT + 5.0, watch, no_changes(4));
-    let complete_at = 10.0 + WAIT;
+    client.answered(10.0 + HOLD + 5.0, watch, no_changes(4));
+    let complete_at = 10.0 + HOLD;
     assert_eq!(client.validity(complete_at + 5849.0), Validity::Valid);
     assert_eq!(client.validity(complete_at + 5850.0), Validity::Expired, "nothing is known of the service");
     assert!(client.wakes_at(complete_at + 2000.0) <= complete_at + 5850.0);
@@ -244,11 +249,11 @@
 fn an_old_list_stays_usable_only_while_the_service_is_down() {
     let cases = [
         (Failure::Unreachable, Validity::ServiceDown),
-        (Failure::NeverUp, Validity::ServiceDown),
-        (Failure::Broken, Validity::ServiceDown),
-        (Failure::TurnedAway, Validity::ServiceDown),
+        (Failure::ConnectTimedOut, Validity::ServiceDown),
+        (Failure::ConnectionLost, Validity::ServiceDown),
+        (Failure::Rejected, Validity::ServiceDown),
         (Failure::Local, Validity::Expired),
-        (Failure::Silent, Validity::Expired),
+        (Failure::NoAnswer, Validity::Expired),
         (Failure::Busy, Validity::Expired),
         (Failure::Unusable, Validity::Expired),
     ];
@@ -264,9 +269,9 @@
 fn after_a_reload_only_an_unreachable_service_counts_as_down() {
     let cases = [
         (Failure::Unreachable, Validity::ServiceDown),
-        (Failure::NeverUp, Validity::Expired),
-        (Failure::Broken, Validity::Expired),
-        (Failure::TurnedAway, Validity::Expired),
+        (Failure::ConnectTimedOut, Validity::Expired),
+        (Failure::ConnectionLost, Validity::Expired),
+        (Failure::Rejected, Validity::Expired),
     ];
     for (failure, validity) in cases {
         let (mut client, _) = watching();
@@ -290,7 +295,7 @@
 #[test]
 fn an_immediate_rejection_means_a_busy_service_and_a_longer_backoff() {
     let (mut client, watch) = watching();
-    client.failed(15.0, watch, Failure::TurnedAway);
+    client.failed(15.0, watch, Failure::Rejected);
     assert_eq!(client.validity(8000.0), Validity::Expired);
     let backoff = client.next_call_at() - 15.0;
     assert!((300.0..=900.0).contains(&backoff), "{backoff}");
@@ -303,7 +308,7 @@
     let (first, _) = call(&mut client, 1000.0);
     assert_eq!(client.validity(1000.0 + 3849.0), Validity::Valid);
     assert_eq!(client.validity(1000.0 + 3850.0), Validity::Expired);
-    client.failed(3000.0, first, Failure::TurnedAway);
+    client.failed(3000.0, first, Failure::Rejected);
     assert_eq!(client.validity(1000.0 + 3850.0), Validity::Expired, "the service may be overloaded");
     // The service may have moved on to its new address without the former one.
     client.answered(3100.0, watch, no_changes(4));
@@ -318,6 +323,6 @@
     let (mut client, watch) = watching();
     client.reload_refused(1000.0);
     assert_eq!(client.validity(4850.0), Validity::Expired);
-    client.answered(10.0 + WAIT, watch, no_changes(4));
+    client.answered(10.0 + HOLD, watch, no_changes(4));
     assert_eq!(client.validity(4850.0), Validity::Valid, "the former address still answers");
 }
--- a/tests/endpoint_client_search.rs
+++ b/tests/endpoint_client_search.rs
@@ -12,11 +12,11 @@
 
 fn pace() -> Pace {
     Pace {
-        wait: 2000.0,
-        first_wait: 500.0,
-        late: 900.0,
-        first_late: 2000.0,
-        most_calls: 3,
+        hold: 2000.0,
+        first_hold: 500.0,
+        grace: 900.0,
+        first_grace: 2000.0,
+        max_calls: 3,
         max_poll_interval: 10_000.0,
     }
 }
@@ -26,7 +26,7 @@
         binds_after: BINDS_AFTER,
         binds_after_reload: BINDS_AFTER_RELOAD,
         stall: 150.0,
-        silent_when_down: false,
+        unresponsive_when_down: false,
     }
 }
 
@@ -137,7 +137,7 @@
             let CallOutcome::Answered(delay) = call.outcome else { continue };
             let has_answer = match call.target {
                 Target::Whole => true,
-                Target::Changes { after, wait } => generation > after || now >= call.started_at + wait,
+                Target::Changes { after, hold } => generation > after || now >= call.started_at + hold,
             };
             if !has_answer {
                 continue;
@@ -160,8 +160,8 @@
             let failure = match call.outcome {
                 CallOutcome::Unreachable => Some(Failure::Unreachable),
                 CallOutcome::Local => Some(Failure::Local),
-                CallOutcome::Reset(after) if has_passed(after) => Some(Failure::Broken),
-                CallOutcome::Rejected(after) if has_passed(after) => Some(Failure::TurnedAway),
+                CallOutcome::Reset(after) if has_passed(after) => Some(Failure::ConnectionLost),
+                CallOutcome::Rejected(after) if has_passed(after) => Some(Failure::Rejected),
                 CallOutcome::Unusable(after) if has_passed(after) => Some(Failure::Unusable),
                 _ => None,
             };
--- a/tests/scheduler/coalescing.rs
+++ b/tests/scheduler/coalescing.rs
@@ -70,7 +70,7 @@
     let mut simulation = Simulation::with_full_window(config());
     simulation.coalesces = true;
     let ordered = simulation.submit_all(2, &Request { class: 1, key: Some(3), ..request_of(1) });
-    let limited = simulation.submit_all(60, &Request { plan: 1, ..request_of(3) });
+    let limited = simulation.submit_all(60, &Request { policy: 1, ..request_of(3) });
     let elsewhere = simulation.submit(Request { shard: Some(1), ..request_of(1) });
     let attempts_elsewhere = simulation.attempts(elsewhere);
     end_without_running(&mut simulation, &[0]);
--- a/tests/scheduler/fair_queueing.rs
+++ b/tests/scheduler/fair_queueing.rs
@@ -18,7 +18,7 @@
     // A counter left up would hold the potential back, and a volume that comes later would catch up on
     // service that it never requested.
     let mut config = config();
-    config.plans[0].reserve = 0.0;
+    config.policies[0].reserve = 0.0;
     let mut simulation = Simulation::with_full_window(config);
     let disconnected = simulation.submit_all(40, &request_of(1));
     let queued = simulation.submit_all(30, &request_of(2));
--- a/tests/scheduler/rate_limit.rs
+++ b/tests/scheduler/rate_limit.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_token_bucket_is_empty_when_the_host_starts() {
     let mut simulation = Simulation::new(config());
-    let limited = Request { plan: 1, units: 4.0, client_timeout: 2000.0, ..request() };
+    let limited = Request { policy: 1, units: 4.0, client_timeout: 2000.0, ..request() };
     simulation.advance(2000.0);
     simulation.restart();
     let id = simulation.submit(limited);
@@ -22,7 +22,7 @@
     let mut simulation = Simulation::new(config);
     simulation.advance(2000.0);
     simulation.fill_window();
-    simulation.submit_all(10, &Request { plan: 1, units: 4.0, ..request_of(1) });
+    simulation.submit_all(10, &Request { policy: 1, units: 4.0, ..request_of(1) });
     simulation.advance(500.0);
     for id in 0..simulation.requests.len() {
         simulation.outcome(id, Outcome::Succeeded);
@@ -34,7 +34,7 @@
     let mut simulation = Simulation::new(config());
     simulation.advance(2000.0);
     // Not idempotent, with a rate limit that covers one such request only.
-    let limited = |shard| Request { class: 2, plan: 1, units: 4.0, shard: Some(shard), ..request_of(5) };
+    let limited = |shard| Request { class: 2, policy: 1, units: 4.0, shard: Some(shard), ..request_of(5) };
     let id = simulation.submit(limited(0));
     assert_eq!(simulation.attempts(id), 1);
     simulation.outcome(id, Outcome::ShardMoved);
--- a/tests/scheduler/reference_model.rs
+++ b/tests/scheduler/reference_model.rs
@@ -142,7 +142,7 @@
         let is_recent = |at: &Ms| *at > self.now - budget.window;
         let retries = self.retries.iter().filter(|at| is_recent(at)).count() as f64;
         let recent = self.requests.iter().filter(|record| is_recent(&record.arrived_at));
-        let requests: f64 = recent.map(|record| record.request.counts).sum();
+        let requests: f64 = recent.map(|record| record.request.budget_weight).sum();
         let allowed = budget.free + budget.share * requests;
         assert!(retries <= allowed, "rule 6: {retries} retries, {requests} requests");
     }
@@ -150,7 +150,7 @@
     /// Rule 7: a limited volume's token bucket covers each first attempt.
     fn check_rate_limit(&mut self, id: usize) {
         let request = &self.requests[id].request;
-        let policy = &self.config.plans[request.plan];
+        let policy = &self.config.policies[request.policy];
         if policy.limit_rate <= 0.0 {
             return;
         }
--- a/tests/scheduler/rules.rs
+++ b/tests/scheduler/rules.rs
@@ -11,15 +11,15 @@
     let (x, y) = (usize::from(a), usize::from(b));
     Request {
         class: x % 3,
-        plan: y % 2,
+        policy: y % 2,
         volume: 2 * (x / 3 % 3) + y % 2,
         key: (a < 200).then_some(x / 9 % 2),
         units: 1.0 + (y / 2 % 4) as f64,
         shard: (b < 230).then_some(y / 8 % 2),
         hosts: 2.0,
         client_timeout: [60.0, 400.0, 1200.0][x / 7 % 3],
-        counts: f64::from(!a.is_multiple_of(5)),
-        with: None,
+        budget_weight: f64::from(!a.is_multiple_of(5)),
+        coalesce_with: None,
     }
 }
 
@@ -46,10 +46,10 @@
     let (x, y) = (usize::from(a), usize::from(b));
     let report = GossipReport {
         node: y % 6,
-        out: u32::from(a) * u32::from(b),
-        waits: !a.is_multiple_of(2),
+        in_flight: u32::from(a) * u32::from(b),
+        has_queued: !a.is_multiple_of(2),
         answers: u32::from(b % 16),
-        wait: f64::from(a) * f64::from(b),
+        queueing_delay: f64::from(a) * f64::from(b),
     };
     simulation.receive_gossip(x % 4, &[report, GossipReport { node: x % 6, ..report }]);
 }
--- a/tests/scheduler/simulation.rs
+++ b/tests/scheduler/simulation.rs
@@ -32,7 +32,7 @@
             class(Idempotency::IdempotentWithKey, DeduplicationScope::Shard, true),
             class(Idempotency::NonIdempotent, DeduplicationScope::Shard, false),
         ],
-        plans: vec![policy(0.0), policy(40.0)],
+        policies: vec![policy(0.0), policy(40.0)],
         round: ROUND,
         max_attempts: 3,
         can_cancel: true,
@@ -62,15 +62,15 @@
 pub fn request() -> Request {
     Request {
         class: 0,
-        plan: 0,
+        policy: 0,
         volume: 0,
         key: None,
         units: 1.0,
         shard: Some(0),
         hosts: 1.0,
         client_timeout: 400.0,
-        counts: 1.0,
-        with: None,
+        budget_weight: 1.0,
+        coalesce_with: None,
     }
 }
 
@@ -80,8 +80,8 @@
 }
 
 /// A report without answers.
-pub fn report(node: usize, out: u32, waits: bool) -> GossipReport {
-    GossipReport { node, out, waits, answers: 0, wait: 0.0 }
+pub fn report(node: usize, in_flight: u32, has_queued: bool) -> GossipReport {
+    GossipReport { node, in_flight, has_queued, answers: 0, queueing_delay: 0.0 }
 }
 
 /// An attempt that the scheduler decided on.
@@ -310,7 +310,7 @@
             if record.completion.is_some() || record.is_in_flight() {
                 continue;
             }
-            let request = Request { with: Some(first), ..record.request.clone() };
+            let request = Request { coalesce_with: Some(first), ..record.request.clone() };
             let decision = self.scheduler.route(self.now, id, &request);
             if let RouteDecision::Send { node, timeout, send_by } = decision {
                 assert_eq!(node, first_node, "coalesced with a request that went to another node");
@@ -322,7 +322,7 @@
     /// The attempt in flight of a request ends, if there is one.
     pub fn outcome(&mut self, id: usize, outcome: Outcome) {
         let (now, record) = (self.now, &mut self.requests[id]);
-        let over = record.completion.is_some() || outcome == Outcome::Succeeded;
+        let request_over = record.completion.is_some() || outcome == Outcome::Succeeded;
         let Some(attempt) = record.attempts.last_mut().filter(|attempt| attempt.is_in_flight()) else {
             return;
         };
@@ -332,7 +332,7 @@
             record.completion.get_or_insert(Completion::WithoutFinalStatus);
             self.served.push(Transfer { at: now, node, units: record.request.units });
         }
-        let answer = Answer { outcome, latency, over, used: None, others: 0.0 };
+        let answer = Answer { outcome, latency, request_over, volume_usage: None, remote_units: 0.0 };
         if let AfterOutcome::Finish(status) = self.scheduler.on_outcome(now, id, &answer) {
             self.complete(id, status);
         }
@@ -371,7 +371,7 @@
                 Action::CancelAttempt { request, .. } => self.cancelled.push(request),
                 Action::CheckHealth(_) => {}
                 Action::PollEndpoints => self.polls += 1,
-                Action::SendGossip { told, .. } => self.gossip_sent.push(told),
+                Action::SendGossip { reports, .. } => self.gossip_sent.push(reports),
                 Action::WaitUntil(at) => return at.max(self.now + ROUND),
             }
         }
