--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,5 +1,5 @@
-//! The cost of a decision by the number of nodes and of pending requests: all windows are full, one request succeeds,
-//! the next ones are sent, and a new one arrives in its place.
+//! The cost of a decision by the number of nodes and of pending requests: all windows are full, one request
+//! succeeds, the next ones are sent, and a new one arrives in its place.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use magpiewick::{
--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -3,8 +3,8 @@
 use crate::random_source::RandomSource;
 use crate::types::Ms;
 
-/// Delays before retries, which double from the first to the longest. Each is spread at random over half to one and a
-/// half of its length, so that hosts which failed together do not come back together.
+/// Delays before retries, which double from the first to the longest. Each is spread at random over half to
+/// one and a half of its length, so that hosts which failed together do not come back together.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
     first: Ms,
--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -1,8 +1,9 @@
-//! The client of the discovery service, as a state machine without I/O: when the service is called, which answers are
-//! applied, how long a call may take, and until when the endpoint list may be relied on. Nothing else decides on these.
+//! The client of the discovery service, as a state machine without I/O: when the service is called, which
+//! answers are applied, how long a call may take, and until when the endpoint list may be relied on.
+//! Nothing else decides on these.
 //!
-//! A driver reports events and carries out the steps that [`EndpointClient::due`] names, until there is none. At every
-//! moment a call with a known deadline is in flight, or the time of the next call is set.
+//! A driver reports events and carries out the steps that [`EndpointClient::due`] names, until there is
+//! none. At every moment a call with a known deadline is in flight, or the time of the next call is set.
 
 use crate::backoff::Backoff;
 use crate::freshness::{Failure, Freshness, FreshnessRules, Validity};
@@ -16,7 +17,8 @@
 const BUSY_BACKOFF: f64 = 0.6;
 /// A call that is rejected sooner than this was never queued by the service.
 const IMMEDIATE_REJECTION: Ms = 20.0;
-/// How soon a call follows an answer that came at once and had no changes: soon enough to go on with the watch.
+/// How soon a call follows an answer that came at once and had no changes: soon enough to go on with the
+/// watch.
 const EMPTY_ANSWER_DELAY: Ms = 50.0;
 /// Calls to former addresses whose answers are still accepted.
 const MAX_FORMER_CALLS: usize = 4;
@@ -147,7 +149,8 @@
 }
 
 impl EndpointClient {
-    /// `as_of`: when the list that the host starts with counts as complete; `restored`: the generation of that list.
+    /// `as_of`: when the list that the host starts with counts as complete; `restored`: the generation of
+    /// that list.
     pub fn new(
         pace: Pace,
         rules: FreshnessRules,
@@ -251,8 +254,8 @@
         Step::Call { call: id, target }
     }
 
-    /// What the next call asks for, and how long it may take. The service does not hold a first call for long, so that
-    /// it shows soon whether the service responds.
+    /// What the next call asks for, and how long it may take. The service does not hold a first call for
+    /// long, so that it shows soon whether the service responds.
     fn target(&self, now: Ms) -> (Target, Ms) {
         let Pace { hold, first_hold, grace, first_grace, .. } = self.pace;
         let first_timeout = first_hold + first_grace;
@@ -265,9 +268,9 @@
         }
     }
 
-    /// Makes a call beside one that is late. The late one keeps its place in the service's queue: guards against a slow
-    /// service, which would never answer hosts that give up and queue again, as well as against calls that nobody will
-    /// answer. It may hurt an overloaded service by twice the calls.
+    /// Makes a call beside one that is late. The late one keeps its place in the service's queue: guards
+    /// against a slow service, which would never answer hosts that give up and queue again, as well as
+    /// against calls that nobody will answer. It may hurt an overloaded service by twice the calls.
     fn replace_late_call(&mut self, now: Ms) {
         let Some(newest) = self.calls.last_mut().filter(|call| !call.late && now >= call.late_at) else {
             return;
@@ -323,7 +326,7 @@
         }
         let Some(index) = self.former.iter().position(|c| c.id == call) else { return Verdict::Outdated };
         let call = self.former.remove(index);
-        let verdict = self.judge(&call, answer);
+        let verdict = self.verdict_on(&call, answer);
         if let Verdict::Take(_) = verdict {
             // It says nothing of the present address: the next call stays as it is.
             self.apply(now, &call, answer);
@@ -332,7 +335,7 @@
     }
 
     fn answered_by_present(&mut self, now: Ms, call: Call, answer: Answered) -> Verdict {
-        let verdict = self.judge(&call, answer);
+        let verdict = self.verdict_on(&call, answer);
         let Verdict::Take(_) = verdict else {
             if verdict == Verdict::Gap {
                 self.after = None;
@@ -345,7 +348,8 @@
         self.after = Some(answer.generation);
         self.last_call_answered = true;
         self.backoff.reset();
-        // Calls are answered in order: older ones are broken, and those to former addresses of no use any more.
+        // Calls are answered in order: older ones are broken, and those to former addresses of no use any
+        // more.
         let (older, newer): (Vec<Call>, Vec<Call>) = self.calls.drain(..).partition(|c| c.id < call.id);
         self.calls = newer;
         self.dropped.extend(older.iter().chain(&self.former).map(|c| c.id));
@@ -358,14 +362,15 @@
         verdict
     }
 
-    fn judge(&self, call: &Call, answer: Answered) -> Verdict {
+    fn verdict_on(&self, call: &Call, answer: Answered) -> Verdict {
         let follows = matches!(call.target, Target::Changes { after, .. } if answer.generation >= after);
         if !answer.whole && !follows {
             return Verdict::Gap;
         }
         if let Some(known) = self.known {
-            // A service that was restarted or replaced counts from the beginning, so that only an answer to a call
-            // since the last list is known to be newer. Of two addresses of one service the slower may be behind.
+            // A service that was restarted or replaced counts from the beginning, so that only an answer to
+            // a call since the last list is known to be newer. Of two addresses of one service the slower
+            // may be behind.
             let older = answer.generation < known.generation && call.started_at < known.applied_at;
             if call.address < known.address || older {
                 return Verdict::Outdated;
@@ -383,8 +388,8 @@
         }
     }
 
-    /// The service is at another address from now on. It is called at once, whatever failed before; answers to calls in
-    /// flight are accepted until it responds.
+    /// The service is at another address from now on. It is called at once, whatever failed before; answers
+    /// to calls in flight are accepted until it responds.
     pub fn reloaded(&mut self, now: Ms) {
         self.freshness.reloaded(now);
         self.backoff.reset();
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -1,8 +1,9 @@
 //! Until when a host may rely on the endpoint list that it has.
 //!
-//! A change of the list binds every host some time after the discovery service had it, whether or not it reached the
-//! host. So a host relies on its list only as long as no change that it was not notified of can bind it, and no longer
-//! than that unless the service itself is down: a change that nobody can be notified of binds nobody.
+//! A change of the list binds every host some time after the discovery service had it, whether or not it
+//! reached the host. So a host relies on its list only as long as no change that it was not notified of can
+//! bind it, and no longer than that unless the service itself is down: a change that nobody can be notified
+//! of binds nobody.
 
 use crate::types::Ms;
 
@@ -76,8 +77,8 @@
         Freshness { rules, confirmed_at, reloads: Vec::new(), last_failure: None, service_seen_up: false }
     }
 
-    /// An answer of a former address was applied, complete as of that time. The service may have moved elsewhere: what
-    /// a reload binds stays bound.
+    /// An answer of a former address was applied, complete as of that time. The service may have moved
+    /// elsewhere: what a reload binds stays bound.
     pub fn confirmed_by_former(&mut self, as_of: Ms) {
         self.confirmed_at = self.confirmed_at.max(as_of);
     }
@@ -127,9 +128,9 @@
         }
     }
 
-    /// Whether all that was seen since the list was confirmed indicates that the service is down. Guards against hosts
-    /// that serve nobody through an outage of the service, in which no change can bind them. It may hurt where a service
-    /// that is up breaks every call for as long as a change takes to bind.
+    /// Whether all that was seen since the list was confirmed indicates that the service is down. Guards
+    /// against hosts that serve nobody through an outage of the service, in which no change can bind them.
+    /// It may hurt where a service that is up breaks every call for as long as a change takes to bind.
     fn service_down(&self) -> bool {
         if self.service_seen_up {
             return false;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decision module of magpiewick and the plain types of its interface. It does no I/O: callers pass in the
-//! time and carry out what it decides.
+//! The decision module of magpiewick and the plain types of its interface. It does no I/O: callers pass in
+//! the time and carry out what it decides.
 
 #![warn(missing_docs)]
 
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,5 +1,5 @@
-//! Which requests are accepted or rejected, until when each may be served, and which ones the reserve of their volume
-//! covers.
+//! Which requests are accepted or rejected, until when each may be served, and which ones the reserve of
+//! their volume covers.
 
 use super::fair_queueing::Tag;
 use super::pending_request::{PendingRequest, RequestState};
@@ -9,7 +9,8 @@
 use crate::types::{FinalStatus, Ms, Request, SchedulerConfig};
 use std::collections::BTreeMap;
 
-/// From this part of requests on that have the longest client timeout, a shorter one means that time was spent.
+/// From this part of requests on that have the longest client timeout, a shorter one means that time was
+/// spent.
 const COMMON_TIMEOUT_PART: f64 = 0.1;
 /// How much of what was counted before stays with each request.
 const TIMEOUT_COUNT_DECAY: f64 = 0.995;
@@ -29,8 +30,9 @@
 }
 
 impl TimeoutStatistics {
-    /// How much of its timeout a request has spent before it came: it is a client's retry, or waited for a stalled host.
-    /// Where few requests have the longest timeout, timeouts are of many lengths, and a shorter one is no sign.
+    /// How much of its timeout a request has spent before it came: it is a client's retry, or waited for a
+    /// stalled host. Where few requests have the longest timeout, timeouts are of many lengths, and a
+    /// shorter one is no sign.
     fn time_spent(&mut self, client_timeout: Ms) -> Ms {
         if client_timeout > self.longest + TIMEOUT_TOLERANCE {
             *self = TimeoutStatistics { longest: client_timeout, ..TimeoutStatistics::default() };
@@ -66,16 +68,17 @@
     }
 }
 
-/// How much of each volume's reserve is left: a bucket that fills at the reserved rate, drained by what is queued here
-/// and by what nodes say they served through other hosts.
+/// How much of each volume's reserve is left: a bucket that fills at the reserved rate, drained by what is
+/// queued here and by what nodes say they served through other hosts.
 #[derive(Default)]
 pub(super) struct ReserveCoverage {
     buckets: BTreeMap<usize, TokenBucket>,
 }
 
 impl ReserveCoverage {
-    /// Whether the reserve covers a request, as far as this host knows; takes its units if so. Where nodes do not say
-    /// what they served through other hosts, this host counts on the reserve over the root of the volume's hosts.
+    /// Whether the reserve covers a request, as far as this host knows; takes its units if so. Where nodes
+    /// do not say what they served through other hosts, this host counts on the reserve over the root of
+    /// the volume's hosts.
     pub fn take(&mut self, now: Ms, request: &Request, config: &SchedulerConfig) -> bool {
         let reserve = config.policies[request.policy].reserve;
         let hosts = if config.counts_remote_service { 1.0 } else { request.hosts.sqrt() };
@@ -133,8 +136,8 @@
         self.set_waiting(id, true);
     }
 
-    /// Ends a request that has no attempt in flight: it is rejected where a retry of the client is harmless, and has
-    /// failed otherwise.
+    /// Ends a request that has no attempt in flight: it is rejected where a retry of the client is
+    /// harmless, and has failed otherwise.
     pub(super) fn reject_or_fail(&mut self, now: Ms, id: usize) -> FinalStatus {
         self.dequeue(id);
         let Some(pending) = self.requests.get(id) else { return FinalStatus::Failed };
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -1,5 +1,5 @@
-//! How many attempts may be in flight at one node: a window that adapts to latency, and the spacing between attempts
-//! where hosts share a node.
+//! How many attempts may be in flight at one node: a window that adapts to latency, and the spacing between
+//! attempts where hosts share a node.
 
 use super::in_flight::InFlightAttempts;
 use crate::types::Ms;
@@ -7,20 +7,22 @@
 /// The window as it starts, which is its floor too unless the node is congested.
 pub(super) const MIN_WINDOW: f64 = 4.0;
 const MAX_WINDOW: f64 = 32.0;
-/// Parts of the headroom under the shortest latency objective. Past the first the window narrows to one, past the
-/// second until the windows of all hosts together are at the floor.
+/// Parts of the headroom under the shortest latency objective. Past the first the window narrows to one,
+/// past the second until the windows of all hosts together are at the floor.
 const TIGHT_DELAY: f64 = 0.1;
 const CONGESTED_DELAY: f64 = 0.2;
 /// By how much a window under one widens besides doubling.
 const CONGESTED_STEP: f64 = 0.05;
-/// Queueing delays, in unloaded latencies of the fastest class, under which the window widens and over which it narrows.
+/// Queueing delays, in unloaded latencies of the fastest class, under which the window widens and over
+/// which it narrows.
 const WIDENING_DELAY: f64 = 0.5;
 const NARROWING_DELAY: f64 = 1.5;
 /// The part of the window that one answer takes away.
 const NARROWING: f64 = 0.1;
 /// How far attempts that are spared spacing may exceed the window where hosts gossip.
 const SPARED_WINDOWS: f64 = 2.0;
-/// How much one answer moves the queueing delay: at least, and at most where the last one is much older than the scale.
+/// How much one answer moves the queueing delay: at least, and at most where the last one is much older
+/// than the scale.
 const SMOOTHING: f64 = 0.15;
 const MAX_SMOOTHING: f64 = 0.5;
 const SMOOTHING_TIME_SCALE: Ms = 1000.0;
@@ -40,7 +42,8 @@
     pub congested_floor: f64,
 }
 
-/// The floor of one host's window at a congested node: the windows of all hosts together are at the common floor.
+/// The floor of one host's window at a congested node: the windows of all hosts together are at the common
+/// floor.
 pub(super) fn congested_floor(hosts: f64) -> f64 {
     (MIN_WINDOW / hosts).min(1.0)
 }
@@ -82,7 +85,8 @@
         self.size = MIN_WINDOW;
     }
 
-    /// Whether other hosts report. From then on the window holds the slots of all hosts and keeps their common floor.
+    /// Whether other hosts report. From then on the window holds the slots of all hosts and keeps their
+    /// common floor.
     pub fn set_gossip(&mut self, has_gossip: bool) {
         self.has_gossip = has_gossip;
         self.size = self.size.max(if has_gossip { MIN_WINDOW } else { 0.0 });
@@ -114,8 +118,8 @@
         self.total_in_flight(in_flight) < self.size.max(1.0) * windows
     }
 
-    /// The queueing delay to expect of an attempt that is sent now: where hosts report all that is in flight, no more
-    /// than that takes. Guards against past congestion that counts until the next answer.
+    /// The queueing delay to expect of an attempt that is sent now: where hosts report all that is in
+    /// flight, no more than that takes. Guards against past congestion that counts until the next answer.
     pub fn expected_queueing_delay(&self, in_flight: &InFlightAttempts) -> Ms {
         if self.has_gossip {
             return self.queueing_delay.min(self.total_in_flight(in_flight) * self.unloaded_latency);
@@ -138,14 +142,14 @@
         self.queueing_delay + self.total_in_flight(in_flight) * self.unloaded_latency
     }
 
-    /// When an attempt must have been sent that an answer with this queueing delay, reported by another host within
-    /// `report_delay`, has overtaken.
+    /// When an attempt must have been sent that an answer with this queueing delay, reported by another
+    /// host within `report_delay`, has overtaken.
     pub fn overtaken_since(&self, now: Ms, queueing_delay: Ms, report_delay: Ms) -> Ms {
         now - queueing_delay - self.unloaded_latency - report_delay
     }
 
-    /// Whether the next attempt may follow the last one by now. Spacing stands for a window under one, and for turns
-    /// where other hosts' requests wait as well.
+    /// Whether the next attempt may follow the last one by now. Spacing stands for a window under one, and
+    /// for turns where other hosts' requests wait as well.
     pub fn spacing_has_passed(&self, now: Ms, in_flight: &InFlightAttempts, spared: bool) -> bool {
         if spared && self.spares_spacing(in_flight) || self.needs_no_spacing() {
             return true;
--- a/src/scheduler/endpoint_health.rs
+++ b/src/scheduler/endpoint_health.rs
@@ -7,8 +7,8 @@
 use super::{Scheduler, TIMER_TOLERANCE};
 use crate::types::{Action, Answer, Ms, Outcome};
 
-/// A node that answers nothing for the response timeout of an attempt, and for this multiple of its latency, is
-/// unresponsive.
+/// A node that answers nothing for the response timeout of an attempt, and for this multiple of its
+/// latency, is unresponsive.
 const RESPONSE_TIMEOUT_LATENCIES: f64 = 4.0;
 /// How many later answers make an attempt doubtful: as a rule, and where attempts prove to be lost.
 pub(super) const DOUBTFUL_AFTER: u32 = 8;
@@ -172,9 +172,9 @@
         self.health.back_off(now);
     }
 
-    /// An attempt ended without an answer at a node that answered nothing else either: it is tried again with one
-    /// request at a time. Where other hosts report its answers, one such attempt is no sign: it may be this host's only
-    /// one in seconds.
+    /// An attempt ended without an answer at a node that answered nothing else either: it is tried again
+    /// with one request at a time. Where other hosts report its answers, one such attempt is no sign: it
+    /// may be this host's only one in seconds.
     fn on_unanswered(&mut self, now: Ms, floor: f64) {
         self.health.unanswered += 1;
         if self.health.unanswered >= UNANSWERED_WITH_GOSSIP || !self.window.has_gossip() {
@@ -184,9 +184,9 @@
 }
 
 impl Scheduler {
-    /// The next attempt to cancel: nobody waits for it, or its answer is lost. The latter guards the slots of a window
-    /// against answers that are lost and nodes that accept work and answer nothing; it may hurt where single requests
-    /// take many times the usual work.
+    /// The next attempt to cancel: nobody waits for it, or its answer is lost. The latter guards the slots
+    /// of a window against answers that are lost and nodes that accept work and answer nothing; it may hurt
+    /// where single requests take many times the usual work.
     pub(super) fn next_cancellation(&mut self, now: Ms) -> Option<Action> {
         if !self.config.can_cancel {
             return None;
--- a/src/scheduler/endpoint_selection.rs
+++ b/src/scheduler/endpoint_selection.rs
@@ -5,8 +5,8 @@
 use crate::types::Ms;
 
 impl Scheduler {
-    /// The node to which requests of a shard go: of those that are ready one that is not failing, and of these the one
-    /// that was started first, as its successor is still warming up.
+    /// The node to which requests of a shard go: of those that are ready one that is not failing, and of
+    /// these the one that was started first, as its successor is still warming up.
     pub(super) fn select_node(&self, shard: usize) -> Option<&Node> {
         let ready = self.nodes.of_shard(shard).filter(|node| node.is_ready());
         ready.min_by_key(|node| {
@@ -15,8 +15,8 @@
         })
     }
 
-    /// Lets a node with a free slot take the oldest request that names no shard into its queue, one at a time. Whether
-    /// any did.
+    /// Lets a node with a free slot take the oldest request that names no shard into its queue, one at a
+    /// time. Whether any did.
     pub(super) fn place_request_without_shard(&mut self, now: Ms) -> bool {
         if !self.blocked.has_any_without_shard() {
             return false;
@@ -31,8 +31,8 @@
         true
     }
 
-    /// Of two nodes with a free slot, drawn at random, the one that is to answer sooner. Guards against hosts that all
-    /// choose the same one.
+    /// Of two nodes with a free slot, drawn at random, the one that is to answer sooner. Guards against
+    /// hosts that all choose the same one.
     fn select_node_without_shard(&mut self, now: Ms) -> Option<usize> {
         let candidates =
             self.nodes.with_capacity().filter(|node| self.takes_request_without_shard(now, node));
--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -10,8 +10,8 @@
 /// The first backoff after a poll that failed, and the longest as a part of the longest poll interval.
 const FIRST_POLL_BACKOFF: Ms = 50.0;
 const LONGEST_POLL_BACKOFF: f64 = 0.1;
-/// When the list is polled again, as parts of the longest poll interval: where a poll has no answer, and after one, as a
-/// watch may break unnoticed.
+/// When the list is polled again, as parts of the longest poll interval: where a poll has no answer, and
+/// after one, as a watch may break unnoticed.
 const POLL_TIMEOUT: f64 = 0.4;
 const POLL_INTERVAL: f64 = 0.8;
 
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -1,4 +1,5 @@
-//! When a request cannot be answered within its latency objective any more, so that it gets its final answer now.
+//! When a request cannot be answered within its latency objective any more, so that it gets its final
+//! answer now.
 
 use super::pending_request::{PendingRequest, RequestState};
 use super::unloaded_latency::relative_duration;
--- a/src/scheduler/fair_queueing.rs
+++ b/src/scheduler/fair_queueing.rs
@@ -1,5 +1,5 @@
-//! Frame-based fair queueing (Stiliadis and Varma, sections 4 and 5.1): the queue of one node, with the tags, the
-//! system potential and the frames by which requests leave it.
+//! Frame-based fair queueing (Stiliadis and Varma, sections 4 and 5.1): the queue of one node, with the
+//! tags, the system potential and the frames by which requests leave it.
 
 use super::pending_request::PendingRequest;
 use crate::structures::total_order_key;
@@ -157,8 +157,8 @@
     }
 }
 
-/// The weight of a flow, which is what a unit of its service earns: the reserve counts in full, the share by weight at
-/// the part that it earns.
+/// The weight of a flow, which is what a unit of its service earns: the reserve counts in full, the share
+/// by weight at the part that it earns.
 pub(super) fn flow_weight(config: &SchedulerConfig, class: usize, policy: usize, reserved: bool) -> f64 {
     let rates: f64 = config.policies.iter().map(|policy| policy.rate).sum();
     let weights: f64 = config.policies.iter().map(|policy| policy.weight).sum();
--- a/src/scheduler/gossip.rs
+++ b/src/scheduler/gossip.rs
@@ -1,7 +1,7 @@
 //! What hosts report to each other of nodes: how often, to whom, and what a report changes.
 //!
-//! A report moves what is known of a node as own answers do. Nothing depends on its arrival: it may be late, lost or
-//! duplicated.
+//! A report moves what is known of a node as own answers do. Nothing depends on its arrival: it may be
+//! late, lost or duplicated.
 
 use super::Scheduler;
 use crate::structures::GossipState;
@@ -81,8 +81,8 @@
 }
 
 impl Scheduler {
-    /// Reports to some other hosts, drawn at random, what this host has at each node and which answers came since its
-    /// last report.
+    /// Reports to some other hosts, drawn at random, what this host has at each node and which answers came
+    /// since its last report.
     pub(super) fn send_gossip(&mut self, now: Ms, own_number: usize) -> Action {
         let expired = self.gossip.expire(now, self.config.hosts);
         self.apply_remote_load(&expired);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,9 +1,9 @@
-//! The scheduler of a host: every decision on its requests. This file has its state and its interface, the other files
-//! one decision each.
+//! The scheduler of a host: every decision on its requests. This file has its state and its interface, the
+//! other files one decision each.
 //!
-//! A caller asks [`Scheduler::route`] where to send a request, [`Scheduler::on_outcome`] what to do after an outcome,
-//! and [`Scheduler::next_action`] what is due, repeated until that names a time. The other methods are notices. The
-//! mechanism and its departures from the paper are described in `docs/design.md`.
+//! A caller asks [`Scheduler::route`] where to send a request, [`Scheduler::on_outcome`] what to do after
+//! an outcome, and [`Scheduler::next_action`] what is due, repeated until that names a time. The other
+//! methods are notices. The mechanism and its departures from the paper are described in `docs/design.md`.
 
 mod admission;
 mod concurrency_window;
@@ -18,6 +18,7 @@
 mod node;
 mod ordering;
 mod pending_request;
+mod queueing;
 mod rate_limit;
 mod retry_policy;
 mod slow_start;
@@ -37,7 +38,8 @@
 use slow_start::ShardThroughput;
 use unloaded_latency::UnloadedLatency;
 
-/// The longest waits until the next action: with no poll ahead, with attempts in flight, and with requests waiting.
+/// The longest waits until the next action: with no poll ahead, with attempts in flight, and with requests
+/// waiting.
 const MAX_IDLE_WAIT: Ms = 1000.0;
 const MAX_WAIT_IN_FLIGHT: Ms = 20.0;
 const MAX_WAIT_PENDING: Ms = 5.0;
@@ -211,10 +213,10 @@
         self.receive_gossip(now, from, reports);
     }
 
-    /// Whether the endpoint list may not be relied on any more. While it may not, a node that takes a request may be one
-    /// that drains or has gone, so nothing new is sent anywhere: requests wait for a list, and end when their time does.
-    /// Guards against attempts that others know to be wrong; it costs all service of a host that hears nothing of a
-    /// discovery service which is up.
+    /// Whether the endpoint list may not be relied on any more. While it may not, a node that takes a
+    /// request may be one that drains or has gone, so nothing new is sent anywhere: requests wait for a
+    /// list, and end when their time does. Guards against attempts that others know to be wrong; it costs
+    /// all service of a host that hears nothing of a discovery service which is up.
     pub fn set_endpoint_list_expired(&mut self, expired: bool) {
         self.endpoint_list_expired = expired;
     }
@@ -240,9 +242,10 @@
         }
     }
 
-    /// The data of a request lies on another shard now: a request that is not in flight follows it before it is sent,
-    /// its tag given back; an attempt in flight ends where it is. Guards against attempts spent on nodes that do not
-    /// hold the data, whoever moved it; it may hurt where notices of moves are wrong: an attempt each.
+    /// The data of a request lies on another shard now: a request that is not in flight follows it before
+    /// it is sent, its tag given back; an attempt in flight ends where it is. Guards against attempts spent
+    /// on nodes that do not hold the data, whoever moved it; it may hurt where notices of moves are wrong:
+    /// an attempt each.
     pub fn on_shard_moved(&mut self, now: Ms, id: usize, shard: usize) {
         let Some(pending) = self.requests.get(id) else { return };
         let is_in_flight = pending.is_in_flight();
--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -14,8 +14,8 @@
         request.key.filter(|_| self.config.classes[request.class].ordered)
     }
 
-    /// Keeps the key of a request quiet after an attempt that may still run. A round is added, as the attempt may have
-    /// been sent that much later than the scheduler said.
+    /// Keeps the key of a request quiet after an attempt that may still run. A round is added, as the
+    /// attempt may have been sent that much later than the scheduler said.
     pub(super) fn keep_key_quiet(&mut self, now: Ms, id: usize, outcome: Outcome) {
         let request = self.requests.get(id).map(|pending| &pending.request);
         let key = request.and_then(|request| self.ordering_key(request));
--- /dev/null
+++ b/src/scheduler/queueing.rs
@@ -0,0 +1,114 @@
+//! When a blocked request enters the queue of its node, and what it gives back when it leaves it unsent.
+
+use super::fair_queueing::{flow_weight, FrameBounds, QueueEntry};
+use super::pending_request::RequestState;
+use super::Scheduler;
+use crate::types::Ms;
+
+impl Scheduler {
+    /// Has a blocked request checked again.
+    pub(super) fn wake(&mut self, id: usize) {
+        let Some(pending) = self.requests.blocked(id) else { return };
+        self.blocked.wake(pending.arrival, id, pending.request.shard.is_some());
+    }
+
+    /// Has all blocked requests of a shard checked again.
+    pub(super) fn wake_shard(&mut self, shard: usize) {
+        for id in self.expiry.waiting_for(shard) {
+            self.wake(id);
+        }
+    }
+
+    /// Takes a request off the list of blocked ones.
+    pub(super) fn unblock(&mut self, id: usize) {
+        let Some(pending) = self.requests.get(id) else { return };
+        self.blocked.remove(pending.arrival, id, pending.request.volume);
+    }
+
+    /// Puts a blocked request into the queue of its node, or to sleep until its key and its rate limit may
+    /// allow that.
+    pub(super) fn enqueue_if_allowed(&mut self, now: Ms, id: usize) {
+        let Some(pending) = self.requests.blocked(id) else { return };
+        let Some(shard) = pending.request.shard else { return };
+        let arrival = pending.arrival;
+        let Some(node) = self.select_node(shard).map(|node| node.endpoint.node) else {
+            return self.blocked.sleep(arrival, id, None);
+        };
+        let mut allowed_at = self.blocked_until(now, id, node);
+        if allowed_at.is_some_and(|at| at <= now) {
+            allowed_at = self.reserve_tokens(now, id);
+        }
+        if allowed_at.is_some_and(|at| at <= now) {
+            return self.enqueue(now, id, node);
+        }
+        self.blocked.sleep(arrival, id, allowed_at);
+    }
+
+    /// Until when time alone keeps a request out of a node's queue; none where its key or idempotency do.
+    pub(super) fn blocked_until(&self, now: Ms, id: usize, node: usize) -> Option<Ms> {
+        let pending = self.requests.get(id)?;
+        let lock = self.ordering_key(&pending.request).and_then(|key| self.key_locks.holder(key));
+        let holds_lock = lock.is_none_or(|(holder, _)| holder == id);
+        if !holds_lock || !self.idempotency_allows(now, pending, node) {
+            return None;
+        }
+        let quiet_until = lock.map(|(_, quiet_until)| quiet_until).filter(|_| pending.attempts == 0);
+        Some(quiet_until.map_or(pending.earliest_retry_at, |until| until.max(pending.earliest_retry_at)))
+    }
+
+    /// Puts a request into the queue of a node.
+    pub(super) fn enqueue(&mut self, now: Ms, id: usize, index: usize) {
+        let Some(pending) = self.requests.get(id) else { return };
+        let request = &pending.request;
+        let reserved = self.reserves.take(now, request, &self.config);
+        let entry = QueueEntry {
+            request: id,
+            arrival: pending.arrival,
+            volume: request.volume,
+            reserved,
+            units: request.units,
+            weight: flow_weight(&self.config, request.class, request.policy, reserved),
+        };
+        let bounds =
+            FrameBounds { max_batch_units: self.config.max_batch_units, least_weight: self.least_weight };
+        let Some(node) = self.nodes.get_mut(index) else { return };
+        node.reset_queue_if_idle();
+        if node.queue.is_empty() && node.window.has_competitors() {
+            node.window.await_turn(now, self.rng.fraction());
+        }
+        let tag = node.queue.enqueue(now, &entry, &bounds);
+        self.unblock(id);
+        if let Some(pending) = self.requests.get_mut(id) {
+            self.sequence += 1;
+            (pending.state, pending.tag, pending.queue_entry) =
+                (RequestState::Queued(index), tag, self.sequence);
+        }
+        if self.expiry.is_expiring(id) {
+            self.mark_expiring(id);
+        }
+        self.nodes.refresh(index);
+    }
+
+    /// Takes an unsent request out of its queue, and gives back what it reserved.
+    pub(super) fn dequeue(&mut self, id: usize) {
+        let Some(pending) = self.requests.get_mut(id) else { return };
+        let RequestState::Queued(index) = pending.state else { return };
+        pending.state = RequestState::Blocked;
+        let mut woken = vec![id];
+        let request = &pending.request;
+        if pending.has_tokens && pending.attempts == 0 && self.rate_limits.release(request) {
+            pending.has_tokens = false;
+            woken.extend(self.blocked.short_of_tokens(request.volume));
+        }
+        if pending.tag.reserved {
+            self.reserves.put_back(request);
+        }
+        let Some(node) = self.nodes.get_mut(index) else { return };
+        node.queue.remove_unsent(id, pending);
+        node.reset_queue_if_idle();
+        self.nodes.refresh(index);
+        for id in woken {
+            self.wake(id);
+        }
+    }
+}
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -5,8 +5,9 @@
 use crate::types::{Ms, QosPolicy, Request};
 use std::collections::BTreeMap;
 
-/// The token buckets of limited volumes. A bucket starts empty: a host that has just started may have spent it before.
-/// Queued requests keep their tokens reserved in it, as the true bucket does not refill while it is full.
+/// The token buckets of limited volumes. A bucket starts empty: a host that has just started may have spent
+/// it before. Queued requests keep their tokens reserved in it, as the true bucket does not refill while it
+/// is full.
 #[derive(Default)]
 pub(super) struct RateLimits {
     buckets: BTreeMap<usize, TokenBucket>,
--- a/src/scheduler/retry_policy.rs
+++ b/src/scheduler/retry_policy.rs
@@ -10,8 +10,8 @@
 /// The window of requests where there is no budget.
 const DEFAULT_WINDOW: Ms = 1000.0;
 
-/// The requests and retries that the retry budget counts. Retries count over a bucket more than the window, requests
-/// over a bucket less, so that the budget is never exceeded.
+/// The requests and retries that the retry budget counts. Retries count over a bucket more than the window,
+/// requests over a bucket less, so that the budget is never exceeded.
 #[derive(Default)]
 pub(super) struct RetryCounts {
     requests: RollingWindow,
@@ -88,8 +88,8 @@
             .map_or(f64::INFINITY, |earlier| earlier.sent_at + class.deduplication_window - self.config.round)
     }
 
-    /// What follows a failed attempt at `node`: a retry where idempotency, attempts, the latency objective and the
-    /// budget allow it.
+    /// What follows a failed attempt at `node`: a retry where idempotency, attempts, the latency objective
+    /// and the budget allow it.
     pub(super) fn retry_or_finish(&mut self, now: Ms, id: usize, node: usize) -> AfterOutcome {
         let may_retry = self.requests.get(id).is_some_and(|pending| {
             let earlier = pending.uncertain_attempt.map_or(node, |earlier| earlier.node);
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,9 +1,10 @@
 //! What a node that has just started may be sent: an allowance of units.
 //!
-//! It grows as the deployment's overload bound does at its slowest recovery ramp: by this host's part of what the
-//! shard's node served while it was warm (the parts of all hosts are no more than a node can do), or of the stated
-//! units, if that is more. Guards against hosts that together overload a warming node, however many they are and
-//! whenever each was notified. It may hurt where a shard's traffic moves to hosts that sent it little before.
+//! It grows as the deployment's overload bound does at its slowest recovery ramp: by this host's part of
+//! what the shard's node served while it was warm (the parts of all hosts are no more than a node can do),
+//! or of the stated units, if that is more. Guards against hosts that together overload a warming node,
+//! however many they are and whenever each was notified. It may hurt where a shard's traffic moves to hosts
+//! that sent it little before.
 
 use super::node::{Node, Nodes};
 use super::Scheduler;
@@ -37,7 +38,8 @@
         }
     }
 
-    /// That of a shard. The mean stands in for one that was never seen warm, as for a host that has just started.
+    /// That of a shard. The mean stands in for one that was never seen warm, as for a host that has just
+    /// started.
     fn of_shard(&self, shard: usize) -> f64 {
         let mean = || self.by_shard.values().sum::<f64>() / self.by_shard.len().max(1) as f64;
         self.by_shard.get(&shard).copied().unwrap_or_else(mean)
@@ -69,7 +71,8 @@
     }
 }
 
-/// How much of a warm node's work one of this age can do, as of the start of the window in which overload counts.
+/// How much of a warm node's work one of this age can do, as of the start of the window in which overload
+/// counts.
 fn recovery(config: &SchedulerConfig, age: Ms) -> f64 {
     let progress = ((age - config.overload_window) / config.slow_start_duration).clamp(0.0, 1.0);
     config.slow_start_share + (1.0 - config.slow_start_share) * progress
@@ -92,8 +95,8 @@
         node.slow_start.grow(now, units_per_ms, most) >= config.mean_units
     }
 
-    /// The node's process is a new one: a random part of a mean request spreads the first requests of hosts. A host
-    /// that has just started itself may have spent its part before.
+    /// The node's process is a new one: a random part of a mean request spreads the first requests of
+    /// hosts. A host that has just started itself may have spent its part before.
     pub(super) fn initial_allowance(&mut self, now: Ms) -> f64 {
         let spread = self.rng.fraction();
         let has_run = f64::from(now - self.started_at >= self.config.overload_window);
--- a/src/scheduler/unloaded_latency.rs
+++ b/src/scheduler/unloaded_latency.rs
@@ -7,13 +7,14 @@
 /// Buckets of latencies; the unloaded latency is the lowest mean of any of them.
 const BUCKET_LENGTH: Ms = 1000.0;
 const BUCKETS: usize = 12;
-/// The unloaded latency is at most this part of the class's latency objective: guards against nodes that were never
-/// seen idle.
+/// The unloaded latency is at most this part of the class's latency objective: guards against nodes that
+/// were never seen idle.
 const MAX_PART_OF_OBJECTIVE: f64 = 0.25;
 /// The headroom is at least this divisor's part of the shortest latency objective.
 const MIN_HEADROOM_DIVISOR: f64 = 4.0;
 
-/// How long work of some units takes in relation to that of a mean request: half of it does not depend on the units.
+/// How long work of some units takes in relation to that of a mean request: half of it does not depend on
+/// the units.
 pub(super) fn relative_duration(units: f64, mean_units: f64) -> f64 {
     (1.0 + units / mean_units) / 2.0
 }
--- a/src/structures/blocked_requests.rs
+++ b/src/structures/blocked_requests.rs
@@ -4,8 +4,8 @@
 use crate::types::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Blocked requests by arrival: those of a shard that are to be checked again, those that name no shard, and sleeping
-/// ones, which wait for a time or to be woken.
+/// Blocked requests by arrival: those of a shard that are to be checked again, those that name no shard,
+/// and sleeping ones, which wait for a time or to be woken.
 #[derive(Default)]
 pub struct BlockedRequests {
     to_check: BTreeMap<u64, usize>,
--- a/src/structures/expiry_queue.rs
+++ b/src/structures/expiry_queue.rs
@@ -13,8 +13,8 @@
     Queued(usize, u64),
 }
 
-/// Waiting requests by shard and time of expiry, one timer a shard for the first of them, and the requests that were
-/// found to be expiring.
+/// Waiting requests by shard and time of expiry, one timer a shard for the first of them, and the requests
+/// that were found to be expiring.
 #[derive(Default)]
 pub struct ExpiryQueue {
     waiting: BTreeMap<Option<usize>, BTreeSet<(i64, usize)>>,
--- a/src/structures/key_locks.rs
+++ b/src/structures/key_locks.rs
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Removes a request; the one that holds the lock then. Idle keys are dropped once their quiet period is over.
+    /// Removes a request; the one that holds the lock then. Idle keys are dropped once their quiet period
+    /// is over.
     pub fn remove(&mut self, now: Ms, key: usize, id: usize) -> Option<usize> {
         let queue = self.queues.get_mut(&key)?;
         queue.requests.retain(|&other| other != id);
--- a/src/structures/rolling_window.rs
+++ b/src/structures/rolling_window.rs
@@ -11,8 +11,8 @@
     count: f64,
 }
 
-/// Sums of values over the latest buckets of time, kept in a ring. The ring has one bucket more than the window, as the
-/// newest one is not full yet.
+/// Sums of values over the latest buckets of time, kept in a ring. The ring has one bucket more than the
+/// window, as the newest one is not full yet.
 #[derive(Default)]
 pub struct RollingWindow {
     bucket_length: Ms,
--- a/src/structures/token_bucket.rs
+++ b/src/structures/token_bucket.rs
@@ -2,8 +2,8 @@
 
 use crate::types::Ms;
 
-/// Tokens that refill at a rate up to a capacity. Tokens may be reserved before they are spent; the bucket refills no
-/// further than as if they were still in it.
+/// Tokens that refill at a rate up to a capacity. Tokens may be reserved before they are spent; the bucket
+/// refills no further than as if they were still in it.
 pub struct TokenBucket {
     tokens: f64,
     refilled_at: Ms,
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,8 +1,8 @@
 //! The plain types of the scheduler's interface. Nothing here decides.
 //!
-//! Times are milliseconds with fractions on one monotonic clock. Requests, nodes, volumes, keys, classes, QoS policies,
-//! shards and zones are small indices that the caller assigns. A request's index is free again once the request is over
-//! and none of its attempts is in flight.
+//! Times are milliseconds with fractions on one monotonic clock. Requests, nodes, volumes, keys, classes,
+//! QoS policies, shards and zones are small indices that the caller assigns. A request's index is free
+//! again once the request is over and none of its attempts is in flight.
 
 /// A point in time or a duration, in milliseconds.
 pub type Ms = f64;
@@ -146,7 +146,8 @@
     pub client_timeout: Ms,
     /// 1, or 0 for a further part of a request that was split: the retry budget counts the request once.
     pub budget_weight: f64,
-    /// A request that was just sent and that this one may be coalesced with: it leaves in the same batch, or stays.
+    /// A request that was just sent and that this one may be coalesced with: it leaves in the same batch,
+    /// or stays.
     pub coalesce_with: Option<usize>,
 }
 
--- a/tests/endpoint_client_search.rs
+++ b/tests/endpoint_client_search.rs
@@ -1,5 +1,6 @@
-//! A search over the outcomes of the endpoint client's calls, against a reference model of the service and of the rule:
-//! the list is never older than what binds the host, or the client reports that it has expired.
+//! A search over the outcomes of the endpoint client's calls, against a reference model of the service and
+//! of the rule: the list is never older than what binds the host, or the client reports that it has
+//! expired.
 
 use magpiewick::*;
 use std::collections::BTreeSet;
@@ -240,7 +241,8 @@
         self.check();
     }
 
-    /// The service is up from now on: the host gets the whole list and relies on it before another change could bind.
+    /// The service is up from now on: the host gets the whole list and relies on it before another change
+    /// could bind.
     fn assert_recovers(&mut self) {
         let until = self.now + BINDS_AFTER;
         while self.now < until {
--- a/tests/scheduler/main.rs
+++ b/tests/scheduler/main.rs
@@ -1,5 +1,5 @@
-//! The scheduler by its interface alone: one file a decision, each test a fault or a known trap that one defence guards
-//! against; and generated events beside a reference model of the rules.
+//! The scheduler by its interface alone: one file a decision, each test a fault or a known trap that one
+//! defence guards against; and generated events beside a reference model of the rules.
 
 mod admission;
 mod coalescing;
--- a/tests/scheduler/reference_model.rs
+++ b/tests/scheduler/reference_model.rs
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Rule 4: what went to a warming node within the window stays under an allowance of two largest requests and
-    /// what the bound of the rule allows of this host's part: of the stated units, or of the most that the
-    /// shard ever served for it in the time of a throughput window.
+    /// Rule 4: what went to a warming node within the window stays under an allowance of two largest
+    /// requests and what the bound of the rule allows of this host's part: of the stated units, or of the
+    /// most that the shard ever served for it in the time of a throughput window.
     fn check_slow_start(&self, node: usize, units: f64) {
         let config = &self.config;
         let age = self.endpoints[&node].started_at.map(|at| self.now - at);
--- a/tests/scheduler/rules.rs
+++ b/tests/scheduler/rules.rs
@@ -54,7 +54,8 @@
     simulation.receive_gossip(x % 4, &[report, GossipReport { node: x % 6, ..report }]);
 }
 
-/// Plays one event: a request, an outcome, a change of the endpoint list, a disconnect, a restart, gossip, or time.
+/// Plays one event: a request, an outcome, a change of the endpoint list, a disconnect, a restart, gossip,
+/// or time.
 fn play(simulation: &mut Simulation, (kind, a, b): Event) {
     match kind % 16 {
         0..=6 => _ = simulation.submit(generated_request(a, b)),
--- a/tests/scheduler/simulation.rs
+++ b/tests/scheduler/simulation.rs
@@ -1,4 +1,5 @@
-//! A simulated host: the scheduler under test, a clock, and a reference model of the rules that checks every decision.
+//! A simulated host: the scheduler under test, a clock, and a reference model of the rules that checks
+//! every decision.
 
 use magpiewick::*;
 use std::collections::BTreeMap;
