--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decision module of magpiewick and the plain types of its interface. It does no I/O: callers pass in
-//! the time and carry out what it decides.
+//! The scheduler of magpiewick, the types of its interface, and the client of the discovery service. It
+//! does no I/O: callers pass in the time and carry out what it decides.
 
 #![warn(missing_docs)]
 
--- a/src/scheduler/in_flight.rs
+++ b/src/scheduler/in_flight.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Answers came to attempts that were sent at `sent_at`, here or by other hosts.
+    /// Answers came, here or to other hosts, to attempts sent at `sent_at`: older ones were overtaken.
     pub fn overtake_sent_before(&mut self, sent_at: Ms, answers: u32) {
         for attempt in self.attempts.iter_mut().filter(|attempt| attempt.sent_at < sent_at) {
             attempt.overtaken_by += answers;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -216,7 +216,7 @@
     /// Whether the endpoint list may not be relied on any more. While it may not, a node that takes a
     /// request may be one that drains or has gone, so nothing new is sent anywhere: requests wait for a
     /// list, and end when their time does. Guards against attempts that others know to be wrong; it costs
-    /// all service of a host that hears nothing of a discovery service which is up.
+    /// all service of a host that cannot reach a discovery service which is up.
     pub fn set_endpoint_list_expired(&mut self, expired: bool) {
         self.endpoint_list_expired = expired;
     }
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,4 +1,4 @@
-//! The plain types of the scheduler's interface. Nothing here decides.
+//! The types of the scheduler's interface. Nothing here decides.
 //!
 //! Times are milliseconds with fractions on one monotonic clock. Requests, nodes, volumes, keys, classes,
 //! QoS policies, shards and zones are small indices that the caller assigns. A request's index is free
