--- /dev/null
+++ b/src/scheduler/dispatch.rs
@@ -0,0 +1,145 @@
+//! When a queued request leaves to its node, alone or in a batch.
+
+use super::in_flight::InFlightAttempt;
+use super::node::Node;
+use super::pending_request::{PendingRequest, RequestState, UncertainAttempt};
+use super::Scheduler;
+use crate::types::{Ms, RouteDecision};
+
+/// Requests of a class are spared spacing if it has at least the best priority weight over this: guards
+/// against long requests that may wait long and earn little for the slots that they take.
+const SPARED_WEIGHT_DIVISOR: f64 = 2.0;
+
+/// What the node and the retry budget allow at a moment.
+struct DispatchConditions {
+    accepts: bool,
+    /// Whether the node accepts requests that are spared spacing.
+    accepts_spared: bool,
+    allows_retry: bool,
+    best_priority_weight: f64,
+}
+
+impl Node {
+    /// Whether a request may leave to it now, as far as the window, its spacing and the node's health say.
+    pub(super) fn accepts_attempt(&self, now: Ms, spared: bool) -> bool {
+        !self.health.is_backing_off(now)
+            && self.window.spacing_has_passed(now, &self.in_flight, spared)
+            && self.has_capacity(spared)
+            && !self.is_unresponsive(now)
+    }
+}
+
+impl Scheduler {
+    /// The request that leaves next to a node: the first in the queue that nothing forbids.
+    pub(super) fn next_to_dispatch(&mut self, now: Ms, index: usize) -> Option<usize> {
+        if self.endpoint_list_expired {
+            return None;
+        }
+        let node = self.nodes.get(index).filter(|node| !node.queue.is_empty())?;
+        let (accepts, accepts_spared) = (node.accepts_attempt(now, false), node.accepts_attempt(now, true));
+        if !accepts_spared || !self.slow_start_allows(now, index) {
+            return None;
+        }
+        let priority_weights = self.config.classes.iter().map(|class| class.priority_weight);
+        let conditions = DispatchConditions {
+            accepts,
+            accepts_spared,
+            best_priority_weight: priority_weights.fold(0.0, f64::max),
+            allows_retry: self.retry_budget_allows(now),
+        };
+        let mut queued = self.nodes.get(index)?.queue.requests();
+        queued.find(|id| {
+            self.requests.get(*id).is_some_and(|pending| self.may_leave(now, pending, index, &conditions))
+        })
+    }
+
+    fn may_leave(
+        &self,
+        now: Ms,
+        pending: &PendingRequest,
+        node: usize,
+        conditions: &DispatchConditions,
+    ) -> bool {
+        let priority_weight = self.config.classes[pending.request.class].priority_weight;
+        let spared = pending.tag.reserved
+            && SPARED_WEIGHT_DIVISOR * priority_weight >= conditions.best_priority_weight;
+        let has_slot = if spared { conditions.accepts_spared } else { conditions.accepts };
+        has_slot
+            && (conditions.allows_retry || pending.attempts == 0)
+            && now < pending.expires_at
+            && self.idempotency_allows(now, pending, node)
+    }
+
+    /// Sends a queued request that was found to be the next one.
+    pub(super) fn dispatch(&mut self, now: Ms, id: usize, node: usize) -> RouteDecision {
+        self.batches += 1;
+        self.start_attempt(now, id, node)
+    }
+
+    /// Sends a queued request along with one that was just sent, where only the order of tags forbids it to
+    /// be next and its tag starts less than a frame after that one's. Guards the bounds of fair queueing,
+    /// whatever is coalesced; it may hurt other volumes, which wait for what the batch adds.
+    pub(super) fn dispatch_coalesced(&mut self, now: Ms, id: usize, first: usize) -> RouteDecision {
+        let Some(index) = self.coalescing_node(now, id, first) else { return RouteDecision::Queue };
+        if !self.slow_start_allows(now, index) {
+            return RouteDecision::Queue;
+        }
+        let decision = self.start_attempt(now, id, index);
+        if let Some(node) = self.nodes.get_mut(index) {
+            node.in_flight.join_batch(first);
+        }
+        decision
+    }
+
+    /// The node to which a request may leave along with another, but for the node's slow start.
+    fn coalescing_node(&mut self, now: Ms, id: usize, first: usize) -> Option<usize> {
+        let (pending, leader) = (self.requests.get(id)?, self.requests.get(first)?);
+        let RequestState::InFlight(index) = leader.state else { return None };
+        let node = self.nodes.get(index).filter(|_| pending.state == RequestState::Queued(index))?;
+        let leaves_now = node.in_flight.newest().is_some_and(|newest| newest.sent_at == now);
+        let starts_in_time = pending.tag.start < leader.tag.start + 1.0;
+        let may_leave = leaves_now
+            && starts_in_time
+            && now < pending.expires_at
+            && self.idempotency_allows(now, pending, index);
+        let is_retry = pending.attempts > 0;
+        (may_leave && (!is_retry || self.retry_budget_allows(now))).then_some(index)
+    }
+
+    fn start_attempt(&mut self, now: Ms, id: usize, index: usize) -> RouteDecision {
+        self.set_waiting(id, false);
+        let send_by = self.requests.get(id).map_or(f64::INFINITY, |pending| self.latest_send_time(pending));
+        let (Some(pending), Some(node)) = (self.requests.get_mut(id), self.nodes.get_mut(index)) else {
+            return RouteDecision::Queue;
+        };
+        node.queue.depart(now, id, pending);
+        node.window.on_send(now, self.rng.fraction());
+        let request = &pending.request;
+        let unloaded_latency = self.latencies.of_class(request.class);
+        node.in_flight.push(InFlightAttempt {
+            request: id,
+            attempt: pending.attempts,
+            sent_at: now,
+            response_timeout: self.config.classes[request.class].latency_objective,
+            unloaded_latency: unloaded_latency * (1.0 + request.units / self.config.mean_units) / 2.0,
+            batch: self.batches,
+            batch_units: request.units,
+            overtaken_by: 0,
+            cancelled: false,
+        });
+        node.slow_start.spend(request.units);
+        if pending.attempts > 0 {
+            self.retries.add_retry(now);
+        } else if pending.has_tokens {
+            self.rate_limits.spend(now, request, &self.config.policies[request.policy]);
+        }
+        pending.attempts += 1;
+        pending.state = RequestState::InFlight(index);
+        let attempt = UncertainAttempt { number: pending.attempts, sent_at: now, node: index };
+        pending.uncertain_attempt.get_or_insert(attempt);
+        let timeout = pending.deadline - now;
+        self.in_flight += 1;
+        self.nodes.refresh(index);
+        RouteDecision::Send { node: index, timeout, send_by }
+    }
+}
