--- /dev/null
+++ b/crates/cli/src/commands/check.rs
@@ -0,0 +1,18 @@
+//! `magpiewick check`: reads a settings file and reports all its errors.
+
+use crate::error::{Error, ExitStatus};
+use crate::settings;
+use std::path::Path;
+
+/// Reads the file; errors in it end the subcommand with their list.
+pub fn run(file: &Path) -> Result<ExitStatus, Error> {
+    let host = settings::read(file)?.host;
+    println!(
+        "{}: good; {} bands, {} plans, {} volumes",
+        file.display(),
+        host.start.classes.len(),
+        host.start.plans.len(),
+        host.volumes.len()
+    );
+    Ok(ExitStatus::Success)
+}
--- /dev/null
+++ b/crates/cli/src/commands/extents/map_service.rs
@@ -0,0 +1,96 @@
+//! A blocking client of the map service.
+
+use magpiewick_node_protocol::{read, write, Hello, Message, MoveStage, Read, Role, LONG_AGO};
+use std::io::{self, ErrorKind, Read as _, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+const READ_BYTES: usize = 1 << 16;
+
+/// How far the migration of an extent has come, as the service reports it.
+pub struct MigrationState {
+    pub from: u32,
+    pub to: u32,
+    pub stage: MoveStage,
+}
+
+/// A connection to the service.
+pub struct MapService {
+    stream: TcpStream,
+    received: Vec<u8>,
+}
+
+impl MapService {
+    /// Connects as a client.
+    pub fn connect(address: SocketAddr) -> io::Result<MapService> {
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
+        let mut service = MapService { stream, received: Vec::new() };
+        service.send(&Message::Hello(Hello::of(Role::Client, 0, 0, LONG_AGO)))?;
+        Ok(service)
+    }
+
+    /// How long a read waits at most.
+    pub fn set_read_timeout(&self, timeout: Duration) -> io::Result<()> {
+        self.stream.set_read_timeout(Some(timeout))
+    }
+
+    /// Asks for the map and for each change of it from now on.
+    pub fn watch(&mut self) -> io::Result<()> {
+        self.send(&Message::WatchMap)
+    }
+
+    /// Asks for a migration, or for its end with `abandon`, and returns the state that follows.
+    pub fn migrate(
+        &mut self,
+        volume: u64,
+        start: u64,
+        shard: u32,
+        abandon: bool,
+    ) -> io::Result<MigrationState> {
+        self.send(&Message::Move { volume, start, shard, abandon })?;
+        self.receive(|message| match message {
+            Message::MoveState { from, to, stage, .. } => {
+                Some(MigrationState { from: *from, to: *to, stage: *stage })
+            }
+            _ => None,
+        })
+    }
+
+    /// Passes messages to `wanted` until it returns a value.
+    pub fn receive<T>(&mut self, mut wanted: impl FnMut(&Message) -> Option<T>) -> io::Result<T> {
+        loop {
+            let decoded = read(&self.received).map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?;
+            match decoded {
+                Read::Whole(message, length) => {
+                    let found = wanted(&message);
+                    self.received.drain(..length);
+                    if let Some(found) = found {
+                        return Ok(found);
+                    }
+                }
+                Read::Skip(length) => _ = self.received.drain(..length),
+                Read::Partial => self.fill()?,
+            }
+        }
+    }
+
+    fn send(&mut self, message: &Message) -> io::Result<()> {
+        let mut bytes = Vec::new();
+        write(message, &mut bytes);
+        self.stream.write_all(&bytes)
+    }
+
+    fn fill(&mut self) -> io::Result<()> {
+        let mut buffer = [0; READ_BYTES];
+        match self.stream.read(&mut buffer)? {
+            0 => Err(io::Error::new(ErrorKind::UnexpectedEof, "the service closed")),
+            length => {
+                self.received.extend_from_slice(&buffer[..length]);
+                Ok(())
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/cli/src/commands/extents/mod.rs
@@ -0,0 +1,142 @@
+//! `magpiewick extents`: shows, migrates and watches extents at a map service.
+
+mod map_service;
+
+use crate::error::{Error, ExitStatus};
+use clap::Subcommand;
+use magpiewick_node_protocol::{MapLine, Mapped, Message, MoveStage};
+use map_service::MapService;
+use std::io::{self, ErrorKind, Write};
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+#[derive(clap::Args)]
+pub struct ExtentsArguments {
+    /// The list and map service
+    #[arg(long)]
+    service: SocketAddr,
+    #[command(subcommand)]
+    action: ExtentsAction,
+}
+
+#[derive(Subcommand)]
+enum ExtentsAction {
+    /// Print the map: volume, start, end, shard, version
+    Show {
+        /// Only this volume
+        #[arg(long)]
+        volume: Option<u64>,
+    },
+    /// Migrate the extent that starts here to a shard, and wait until that is over
+    #[command(alias = "move")]
+    Migrate {
+        #[arg(long)]
+        volume: u64,
+        #[arg(long)]
+        start: u64,
+        #[arg(long)]
+        to: u32,
+    },
+    /// Cancel the migration of an extent, if it has not been switched yet
+    #[command(alias = "abandon")]
+    Cancel {
+        #[arg(long)]
+        volume: u64,
+        #[arg(long)]
+        start: u64,
+    },
+    /// Print changes of the map as they come, for so many seconds
+    #[command(alias = "follow")]
+    Watch {
+        #[arg(long, default_value_t = 60)]
+        seconds: u64,
+    },
+}
+
+/// A shard without a node: asked to migrate there, the service does nothing but report the state.
+const NO_SHARD: u32 = u32::MAX;
+const MIGRATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Does what was asked; a service that did not do it shows in the exit status.
+pub fn run(arguments: &ExtentsArguments) -> Result<ExitStatus, Error> {
+    let mut service = MapService::connect(arguments.service)?;
+    let done = match arguments.action {
+        ExtentsAction::Show { volume } => show(&mut service, volume)?,
+        ExtentsAction::Migrate { volume, start, to } => migrate(&mut service, volume, start, to)?,
+        ExtentsAction::Cancel { volume, start } => cancel(&mut service, volume, start)?,
+        ExtentsAction::Watch { seconds } => watch(&mut service, Duration::from_secs(seconds))?,
+    };
+    Ok(if done { ExitStatus::Success } else { ExitStatus::CheckFailed })
+}
+
+fn show(service: &mut MapService, volume: Option<u64>) -> io::Result<bool> {
+    service.watch()?;
+    let mut rows = vec![["volume", "start", "end", "shard", "version"].map(str::to_string)];
+    service.receive(|message| {
+        let Message::Map(update) = message else { return None };
+        let wanted = update.lines.iter().filter(|line| volume.is_none_or(|v| v == line.volume));
+        rows.extend(wanted.map(row));
+        update.last.then_some(())
+    })?;
+    let table: String =
+        rows.iter().map(|[a, b, c, d, e]| format!("{a:>10} {b:>12} {c:>12} {d:>6} {e:>8}\n")).collect();
+    match io::stdout().write_all(table.as_bytes()) {
+        // A reader of the first lines alone is no failure.
+        Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(error),
+        _ => Ok(true),
+    }
+}
+
+fn row(line: &MapLine) -> [String; 5] {
+    let fields = [line.volume, line.start, line.at, line.shard.into(), line.version.into()];
+    fields.map(|field| field.to_string())
+}
+
+fn migrate(service: &mut MapService, volume: u64, start: u64, to: u32) -> io::Result<bool> {
+    let mut state = service.migrate(volume, start, to, false)?;
+    if state.stage == MoveStage::Still {
+        println!("not moved: there is no such extent, it lies there already, or no node holds that shard");
+        return Ok(false);
+    }
+    let target = state.to;
+    println!("moving from shard {} to shard {target}", state.from);
+    while state.stage != MoveStage::Still {
+        std::thread::sleep(MIGRATION_POLL_INTERVAL);
+        let next = service.migrate(volume, start, NO_SHARD, false)?;
+        if next.stage != state.stage {
+            println!("{:?}", next.stage);
+        }
+        state = next;
+    }
+    Ok(state.from == target)
+}
+
+fn cancel(service: &mut MapService, volume: u64, start: u64) -> io::Result<bool> {
+    let state = service.migrate(volume, start, 0, true)?;
+    println!("{:?}", state.stage);
+    Ok(state.stage == MoveStage::Abandoned)
+}
+
+fn watch(service: &mut MapService, time: Duration) -> io::Result<bool> {
+    service.set_read_timeout(time)?;
+    service.watch()?;
+    let until = Instant::now() + time;
+    let watched = service.receive(|message| {
+        if let Message::Map(update) = message {
+            let changes = update.lines.iter().filter(|line| line.kind != Mapped::Extent);
+            changes.for_each(|line| print_change(update.epoch, line));
+        }
+        (Instant::now() >= until).then_some(true)
+    });
+    match watched {
+        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Ok(true),
+        other => other,
+    }
+}
+
+fn print_change(epoch: impl std::fmt::Display, line: &MapLine) {
+    println!(
+        "epoch {epoch} {:?} volume {} start {} shard {} version {}",
+        line.kind, line.volume, line.start, line.shard, line.version
+    );
+}
--- /dev/null
+++ b/crates/cli/src/commands/mod.rs
@@ -0,0 +1,31 @@
+//! The subcommands, one module each.
+
+pub mod bench;
+mod check;
+pub mod extents;
+mod list;
+pub mod load;
+pub mod node;
+mod platform;
+mod relay;
+pub mod scenario;
+pub mod serve;
+
+use crate::arguments::Command;
+use crate::error::{Error, ExitStatus};
+
+/// Runs a subcommand to its end.
+pub fn run(command: Command) -> Result<ExitStatus, Error> {
+    match command {
+        Command::Serve(arguments) => serve::run(&arguments),
+        Command::Check(arguments) => check::run(&arguments.file),
+        Command::Node(arguments) => node::run(&arguments),
+        Command::List(arguments) => list::run(&arguments.file),
+        Command::Scenario(arguments) => scenario::run(&arguments),
+        Command::Load(arguments) => load::run(&arguments),
+        Command::Bench(arguments) => bench::run(&arguments),
+        Command::Extents(arguments) => extents::run(&arguments),
+        Command::Platform => platform::run(),
+        Command::Relay { nodes } => relay::run(&nodes),
+    }
+}
--- /dev/null
+++ b/crates/cli/src/commands/node.rs
@@ -0,0 +1,26 @@
+//! `magpiewick node`: one of a file's storage nodes as an emulated service.
+
+use crate::emulated_services::{self, Announced};
+use crate::error::{Error, ExitStatus};
+use crate::settings;
+use std::path::PathBuf;
+
+#[derive(clap::Args)]
+pub struct NodeArguments {
+    file: PathBuf,
+    /// The node's number
+    #[arg(long)]
+    number: u32,
+}
+
+/// Runs the node until a termination signal.
+pub fn run(arguments: &NodeArguments) -> Result<ExitStatus, Error> {
+    let NodeArguments { file, number } = arguments;
+    let mut settings = settings::read(file)?;
+    let Some(emulator) = &mut settings.fleet else { return Err(Error::block_missing(file, "standin")) };
+    emulator.nodes.retain(|node| node.number == *number);
+    if emulator.nodes.is_empty() {
+        return Err(Error::NodeUnknown { file: file.clone(), number: *number });
+    }
+    emulated_services::run(settings, file, Announced::FirstNode)
+}
--- /dev/null
+++ b/crates/cli/src/emulated_services.rs
@@ -0,0 +1,46 @@
+//! Runs the emulated endpoint list service and storage nodes of a settings file until a termination signal.
+
+use crate::error::{Error, ExitStatus};
+use crate::logging;
+use crate::signals::termination_signals;
+use magpiewick_emulator::{play, Handle};
+use magpiewick_scenario::Sheet;
+use magpiewick_transport::Clock;
+use std::io::{self, Read, Write};
+use std::path::Path;
+
+/// The service whose address is printed once all are ready.
+#[derive(Clone, Copy, PartialEq)]
+pub enum Announced {
+    EndpointList,
+    FirstNode,
+}
+
+/// Runs the services with the file's faults. Its nodes keep no record of their attempts: nobody will audit them.
+pub fn run(settings: Sheet, file: &Path, announced: Announced) -> Result<ExitStatus, Error> {
+    let Some(emulator) = settings.fleet else { return Err(Error::block_missing(file, "standin")) };
+    logging::start(&settings.host.log);
+    let mut signals = termination_signals()?;
+    let nodes: Vec<(u64, u32)> = emulator.nodes.iter().map(|n| (u64::from(n.zone), n.number)).collect();
+    let clock = Clock::start();
+    let services = Handle::start(emulator, clock, None)?;
+    services.order(|fleet| fleet.forget_records());
+    let addresses = services.ask(|fleet| fleet.addresses()).unwrap_or_default();
+    let address = match announced {
+        Announced::EndpointList => services.list,
+        Announced::FirstNode => addresses.first().map_or(services.list, |a| a.1),
+    };
+    println!("ready {address}");
+    io::stdout().flush()?;
+    let faults = settings.drill.map_or(Vec::new(), |d| d.troubles);
+    let nodes_in_zone = |zone: u64| nodes.iter().filter(|n| n.0 == zone).map(|n| n.1).collect();
+    let steps = faults.iter().flat_map(|f| f.steps(nodes_in_zone)).collect();
+    tracing::info!(nodes = nodes.len(), "emulated_services_started");
+    signals.set_nonblocking(true)?;
+    let signalled = || Read::read(&mut &signals, &mut [0; 1]).is_ok();
+    play(&services, &clock, clock.now(), steps, |_| {}, signalled);
+    signals.set_nonblocking(false)?;
+    // Whatever the read returns, the wait is over.
+    _ = signals.read(&mut [0; 1]);
+    Ok(ExitStatus::Success)
+}
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logging.rs
@@ -4,7 +4,7 @@
 use std::io::IsTerminal;
 use tracing_subscriber::EnvFilter;
 
-/// Starts them; `MAGPIEWICK_LOG` takes the place of the file's level, in tracing's own form.
+/// Installs the global subscriber; `MAGPIEWICK_LOG` overrides the level of the file, in the syntax of `EnvFilter`.
 pub fn start(config: &LogConfig) {
     let requests = if config.requests { "info" } else { "off" };
     let filter = EnvFilter::try_from_env("MAGPIEWICK_LOG")
