--- a/crates/cli/benches/hosts.rs
+++ b/crates/cli/benches/hosts.rs
@@ -1,37 +1,40 @@
-//! Processor time a request and resident memory of the platform's door beside the program's other door: both in one
-//! run, in turn, at the same rate, over as many nodes that do no work.
+//! Processor time per request and resident memory of a host of the platform beside a host of our own installations: both
+//! in one run, in turn, at the same rate, over as many nodes that do no work.
 
-#[allow(dead_code)]
-#[path = "../tests/platform/rig.rs"]
-mod rig;
+#[path = "../tests/support/mod.rs"]
+mod support;
 
 use magpiewick_scenario::spread;
-use rig::{command, Limits, Rig};
 use std::path::Path;
 use std::time::{Duration, Instant};
+use support::host_settings::Limits;
+use support::http_message::request_bytes;
+use support::test_cluster::TestCluster;
 
 const NODES: usize = 4;
 const RATE: f64 = 4000.0;
-/// Rounds, each of which measures both doors; in each the platform's figure is the middle of as many repeats as the
+/// Rounds, each of which measures both hosts; in each the platform's figure is the median of as many repeats as the
 /// other's.
 const ROUNDS: usize = 5;
 const REPEATS: usize = 3;
-const TIME: Duration = Duration::from_secs(2);
-/// Clients that ask at the rate together, and those that ask as fast as they are answered.
-const PACED: usize = 16;
-const FLOOD: usize = 256;
+const RUN_TIME: Duration = Duration::from_secs(2);
+/// Clients that send at the rate together, and those that send as fast as they are answered.
+const PACED_CLIENTS: usize = 16;
+const FLOOD_CLIENTS: usize = 256;
 
-/// Has so many clients ask for a while, each so often or as soon as it is answered; how many were served.
-fn load(rig: &Rig, name: &str, clients: usize, every: Option<Duration>) -> usize {
+/// Has clients send for a while, each at an interval or as soon as it is answered; how many requests were served.
+fn load(cluster: &TestCluster, name: &str, clients: usize, interval: Option<Duration>) -> usize {
     let one = |i: usize| {
-        let (mut client, began, mut asked) = (rig.client(), Instant::now(), 0);
-        let mut served = 0;
-        while began.elapsed() < TIME {
-            let id = format!("{name}-{i}-{asked}");
-            let answer = client.asks(&command(&id, "read", (i + asked) as i32 % NODES as i32, 1000));
-            served += usize::from(answer.is_some_and(|a| a.status() == 200));
-            asked += 1;
-            let next = every.map(|every| every * asked as u32);
+        let mut client = cluster.client();
+        let began = Instant::now();
+        let (mut sent, mut served) = (0, 0);
+        while began.elapsed() < RUN_TIME {
+            let id = format!("{name}-{i}-{sent}");
+            let response =
+                client.request(&request_bytes(&id, "read", (i + sent) as i32 % NODES as i32, 1000));
+            served += usize::from(response.is_some_and(|response| response.status() == 200));
+            sent += 1;
+            let next = interval.map(|interval| interval * sent as u32);
             std::thread::sleep(next.unwrap_or_default().saturating_sub(began.elapsed()));
         }
         served
@@ -42,23 +45,24 @@
     })
 }
 
-/// The platform's door: microseconds of processor time a request, and its memory at first, full and after.
-fn platform() -> (f64, [f64; 3]) {
-    let rig = Rig::with(NODES, Limits { sockets: 2048, given: 2048, ..Limits::default() });
-    let first = rig.memory();
-    load(&rig, "flood", FLOOD, None);
-    let full = rig.memory();
-    let every = Duration::from_secs_f64(PACED as f64 / RATE);
+/// A host of the platform: microseconds of processor time per request, and its memory at first, under full load and after.
+fn measure_platform() -> (f64, [f64; 3]) {
+    let cluster =
+        TestCluster::with_limits(NODES, Limits { sockets: 2048, descriptors: 2048, ..Limits::default() });
+    let first = cluster.host.memory_kb();
+    load(&cluster, "flood", FLOOD_CLIENTS, None);
+    let full = cluster.host.memory_kb();
+    let interval = Duration::from_secs_f64(PACED_CLIENTS as f64 / RATE);
     let figures = (0..REPEATS).map(|repeat| {
-        let before = rig.ticks().unwrap();
-        let served = load(&rig, &format!("paced{repeat}"), PACED, Some(every));
-        (rig.ticks().unwrap() - before) as f64 * 1e4 / served as f64
+        let before = cluster.host.cpu_ticks().unwrap();
+        let served = load(&cluster, &format!("paced{repeat}"), PACED_CLIENTS, Some(interval));
+        (cluster.host.cpu_ticks().unwrap() - before) as f64 * 1e4 / served as f64
     });
-    (spread(figures.collect())[0], [first, full, rig.memory()].map(|kb| kb as f64 / 1024.0))
+    (spread(figures.collect())[0], [first, full, cluster.host.memory_kb()].map(|kb| kb as f64 / 1024.0))
 }
 
 fn main() {
-    // `cargo test --benches` asks for nothing to be measured.
+    // `cargo test --benches` measures nothing.
     if !std::env::args().any(|arg| arg == "--bench") {
         return;
     }
@@ -67,16 +71,16 @@
     for _ in 0..ROUNDS {
         let other = magpiewick_scenario::bench(program, &[NODES], Some(RATE)).unwrap();
         let other = other.iter().find(|m| m.way == "host").unwrap();
-        let (cpu, held) = platform();
+        let (cpu, memory_mb) = measure_platform();
         println!(
-            "platform {cpu:.1} us a command, {held:.1?} MB at first, full, after; the other door {:.1} us, {:.1?} MB",
+            "platform {cpu:.1} us a request, {memory_mb:.1?} MB at first, full, after; the other host {:.1} us, {:.1?} MB",
             other.cpu_us[0], other.memory_mb
         );
         ratios.push(cpu / other.cpu_us[0]);
-        memory.push(held[1] / other.memory_mb[1]);
+        memory.push(memory_mb[1] / other.memory_mb[1]);
     }
-    for (what, all) in [("processor time a command", ratios), ("memory at the fullest", memory)] {
-        let [middle, least, most] = spread(all);
-        println!("{what}: {middle:.2} times the other door's ({least:.2} to {most:.2})");
+    for (what, all) in [("processor time a request", ratios), ("memory at the fullest", memory)] {
+        let [median, least, most] = spread(all);
+        println!("{what}: {median:.2} times the other host's ({least:.2} to {most:.2})");
     }
 }
--- /dev/null
+++ b/crates/cli/tests/platform/bad_clients.rs
@@ -0,0 +1,114 @@
+//! Clients that disconnect, and clients that break HTTP.
+
+use crate::support::http_client::HttpClient;
+use crate::support::http_message::{assert_served, request_bytes};
+use crate::support::node::Behaviour;
+use crate::support::test_cluster::TestCluster;
+use std::io::Write;
+use std::time::{Duration, Instant};
+
+#[test]
+fn a_client_disconnect_cancels_the_attempt_and_releases_the_request_id() {
+    let cluster = TestCluster::start(1);
+    cluster.nodes[0].enqueue(&[Behaviour::NoResponse]);
+    let mut client = cluster.client();
+    client.send(&request_bytes("c1", "read", 0, 2000));
+    cluster.nodes[0].wait_for_requests(1);
+    let other = cluster.client().request(&request_bytes("c1", "read", 0, 2000)).unwrap();
+    assert_eq!(other.status(), 409, "the id is open");
+    drop(client);
+    std::thread::sleep(Duration::from_millis(100));
+    assert_served(cluster.client().request(&request_bytes("c1", "read", 0, 2000)), "c1");
+}
+
+/// What malformed clients send; `{path}` and `{fields}` stand for valid ones.
+const MALFORMED_REQUESTS: [&str; 17] = [
+    "\0\u{1}\u{2}\u{3}",
+    "nonsense\r\n\r\n",
+    "GET / HTTP/1.1\r\nHost: h\r\n\r\n",
+    "GET /api/1/2 HTTP/1.1\r\n\r\n",
+    "GET /api/1/2 HTTP/1.1\nHost: h\n\n",
+    "GET /api/1/2 HTTP/9.9\r\nHost: h\r\n\r\n",
+    "PUT {path} HTTP/1.1\r\nHost: h\r\n{fields}\r\n",
+    "PUT {path} HTTP/1.1\r\nHost: h\r\n{fields}Content-Length: -4\r\n\r\nbody",
+    "PUT {path} HTTP/1.1\r\nHost: h\r\n{fields}Content-Length: 99999999999999999999999\r\n\r\nbody",
+    "PUT {path} HTTP/1.1\r\nHost: h\r\n{fields}Content-Length: 60000000\r\n\r\nbody",
+    "PUT {path} HTTP/1.1\r\nHost: h\r\n{fields}Content-Length: 4\r\nContent-Length: 4\r\n\r\nbody",
+    "PUT {path} HTTP/1.1\r\nHost: h\r\n{fields}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+    "PUT {path} HTTP/1.1\r\nHost: h\r\n{fields}Transfer-Encoding: chunked\r\n\r\n4\r\nbody, and more\r\n0\r\n\r\n",
+    "PUT {path} HTTP/1.1\r\nHost: h\r\n{fields}Content-Length: 4\r\n\r\nbody, and more than that",
+    "PUT {path} HTTP/1.1\r\nHost: h\r\n{fields}Content-Length: 400\r\n\r\nless than that",
+    "PUT {path} HTTP/1.1\r\nHost: h\r\n{fields}Content-Length: 4\r\nX-Endless: ",
+    "",
+];
+
+#[test]
+fn malformed_requests_get_an_error_or_a_close_and_are_not_forwarded() {
+    let cluster = TestCluster::start(1);
+    let path = "/api/00000003b4d60021/7f3a9c21e0b4d655";
+    let fields =
+        "X-Request-Id: bad\r\nX-Class: write\r\nX-Qos-Policy: gold\r\nX-Deadline: 900m\r\nX-Placement: units=1,shard=0,hosts=1\r\n";
+    let asked = Instant::now();
+    let clients: Vec<HttpClient> = MALFORMED_REQUESTS
+        .iter()
+        .map(|bytes| {
+            let mut client = cluster.client();
+            client.send(bytes.replace("{path}", path).replace("{fields}", fields).as_bytes());
+            client
+        })
+        .collect();
+    for (mut client, bytes) in clients.into_iter().zip(MALFORMED_REQUESTS) {
+        if let Some(answer) = client.receive() {
+            assert!(matches!(answer.status(), 400..=428 | 431 | 505), "{bytes:?}: {answer:?}");
+        }
+        assert!(asked.elapsed() < Duration::from_secs(3), "{bytes:?}: {:?}", asked.elapsed());
+    }
+    assert_eq!(cluster.nodes[0].request_count(), 0);
+    assert_served(cluster.client().request(&request_bytes("good", "read", 0, 900)), "good");
+}
+
+#[test]
+fn request_smuggling_is_rejected() {
+    let cluster = TestCluster::start(1);
+    let hidden = String::from_utf8(request_bytes("hidden", "read", 0, 900)).unwrap();
+    let outer = String::from_utf8(request_bytes("outer", "write", 0, 900)).unwrap();
+    let outer = outer.strip_suffix("some bytes").unwrap();
+    for lengths in [
+        format!("Content-Length: {}\r\nTransfer-Encoding: chunked\r\n", hidden.len() + 5),
+        format!("Transfer-Encoding: chunked\r\nContent-Length: {}\r\n", hidden.len() + 5),
+        "Transfer-Encoding: chunked, identity\r\n".to_string(),
+        "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n".to_string(),
+        "Transfer-Encoding : chunked\r\nContent-Length: 5\r\n".to_string(),
+    ] {
+        let mut client = cluster.client();
+        let bytes = outer.replace("Content-Length: 10\r\n", &lengths) + "0\r\n\r\n" + &hidden;
+        let answer = client.request(bytes.as_bytes()).unwrap();
+        assert!(matches!(answer.status(), 400 | 501), "{lengths:?}: {answer:?}");
+        assert!(client.closes_without_response(), "{lengths:?}: something came behind the rejection");
+    }
+    assert_eq!(cluster.nodes[0].request_count(), 0);
+    // Within one chunk these bytes are data like any other, and the node gets all of them as one body.
+    let bytes = outer.replace("Content-Length: 10\r\n", "Transfer-Encoding: chunked\r\n")
+        + &format!("{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len());
+    assert_served(cluster.client().request(bytes.as_bytes()), "outer");
+    let got = cluster.nodes[0].received.lock().unwrap();
+    assert_eq!((got.len(), got[0].body.as_slice()), (1, hidden.as_bytes()));
+}
+
+#[test]
+fn an_oversized_body_is_rejected_from_its_head() {
+    let cluster = TestCluster::start(1);
+    let mut client = cluster.client();
+    let head = String::from_utf8(request_bytes("big", "write", 0, 900)).unwrap();
+    let head = head.replace("Content-Length: 10", "Content-Length: 60000000").replace("some bytes", "");
+    client.send(head.as_bytes());
+    let mut stream = client.stream.try_clone().unwrap();
+    // The client sends as fast as it can until the host closes.
+    let sender = std::thread::spawn(move || {
+        let piece = [7; 1 << 16];
+        (0..60_000_000 / piece.len()).all(|_| stream.write_all(&piece).is_ok())
+    });
+    let answer = client.receive();
+    assert!(answer.is_none_or(|a| a.status() == 413));
+    assert!(!sender.join().unwrap(), "all of it was taken");
+}
--- a/crates/cli/tests/platform/endpoint_list_age.rs
+++ b/crates/cli/tests/platform/endpoint_list_age.rs
@@ -1,32 +1,39 @@
-//! How old the endpoint list may become: whatever fails at discovery, a node that drains or went gets nothing new
-//! once the change counts as told.
+//! How stale the endpoint list may become: whatever fails at discovery, a draining or removed endpoint gets no new
+//! attempt once the change is binding.
 
-use crate::proxy::{Harm, Proxy};
-use crate::rig::{command, instance, Discovery, Mood, Rig};
-use crate::served;
+use crate::support::discovery::{instance, Discovery, FaultMode};
+use crate::support::http_message::{assert_served, request_bytes};
+use crate::support::proxy::{ConnectionFault, Proxy};
+use crate::support::test_cluster::TestCluster;
+use serde_json::Value;
+use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after discovery had it and could be reached; a node may still be sent to for the
-/// grace, with the slack of the platform.
-const TOLD: Duration = Duration::from_secs(6);
+/// A change is binding so long after discovery had it and could be reached.
+const CHANGE_BINDS_AFTER: Duration = Duration::from_secs(6);
+/// For so long an endpoint may still get attempts then: the platform's grace, and its slack of measurement.
 const GRACE: Duration = Duration::from_millis(250 + 50);
 
-/// The rig's two nodes, the first of them in this state; both hold shard 0.
-fn both(rig: &Rig, first: &str) -> Vec<serde_json::Value> {
-    vec![instance("s-0", rig.addresses[0], 0, first), instance("s-1", rig.addresses[1], 0, "SERVING")]
+/// The cluster's two nodes as a list, the first of them in this state; both hold shard 0.
+fn both_nodes(cluster: &TestCluster, first: &str) -> Vec<Value> {
+    vec![
+        instance("s-0", cluster.node_addresses[0], 0, first),
+        instance("s-1", cluster.node_addresses[1], 0, "SERVING"),
+    ]
 }
 
-fn asks(rig: &Rig, id: &str) {
-    _ = rig.client().asks(&command(id, "read", 0, 900));
+fn send_read(cluster: &TestCluster, id: &str) {
+    _ = cluster.client().request(&request_bytes(id, "read", 0, 900));
 }
 
-/// Asks on until some time after a change, and tells how long after it the first node got its last request.
-fn last_sent_after(rig: &Rig, change: Instant, until: Duration) -> Duration {
+/// Sends requests until some time after a change; how long after it the first node got its last one.
+fn last_attempt_after(cluster: &TestCluster, change: Instant, until: Duration) -> Duration {
     let mut last = Duration::ZERO;
     for ask in 0.. {
-        let before = rig.nodes[0].count();
-        asks(rig, &format!("r{ask}"));
-        if rig.nodes[0].count() > before {
+        let before = cluster.nodes[0].request_count();
+        send_read(cluster, &format!("r{ask}"));
+        if cluster.nodes[0].request_count() > before {
             last = change.elapsed();
         }
         if change.elapsed() > until {
@@ -37,121 +44,125 @@
     unreachable!()
 }
 
-fn kept(last: Duration) {
-    assert!(last <= TOLD + GRACE, "the drained node was sent to {last:?} after the change");
+fn assert_in_time(last: Duration) {
+    assert!(last <= CHANGE_BINDS_AFTER + GRACE, "the draining node got an attempt {last:?} after the change");
 }
 
-/// A host with a watch out at its first discovery, and another discovery that it does not know yet.
-fn with_another() -> (Rig, std::sync::Arc<Discovery>, std::net::SocketAddr) {
-    let rig = Rig::new(2);
-    rig.discovery.tells(both(&rig, "SERVING"));
-    rig.discovery.is_asked("a watch is open", |all| {
+/// A host with an open watch at its first discovery, and another discovery that it does not know yet.
+fn cluster_with_second_discovery() -> (TestCluster, Arc<Discovery>, SocketAddr) {
+    let cluster = TestCluster::start(2);
+    cluster.discovery.publish(both_nodes(&cluster, "SERVING"));
+    cluster.discovery.wait_for_calls("a watch is open", |all| {
         all.iter().any(|call| call.contains("after=2") && call.contains("wait_ms=2000"))
     });
-    let (other, other_at) = Discovery::new(both(&rig, "SERVING"));
-    (rig, other, other_at)
+    let (other, other_address) = Discovery::start(both_nodes(&cluster, "SERVING"));
+    (cluster, other, other_address)
 }
 
 #[test]
-fn an_answer_of_the_former_discovery_leaves_the_retry_at_the_new_one_in_place() {
-    let (mut rig, other, other_at) = with_another();
-    let proxy = Proxy::before(other_at, |number| if number == 0 { Harm::Reset } else { Harm::None });
-    rig.turns_to(proxy.address);
-    rig.comes_to("the first call there has failed", |_| !proxy.came().is_empty());
-    // The call to the former discovery is still out, and is answered.
-    rig.discovery.tells(both(&rig, "SERVING"));
+fn a_response_of_the_former_discovery_keeps_the_retry_at_the_new_one() {
+    let (mut cluster, other, other_address) = cluster_with_second_discovery();
+    let proxy =
+        Proxy::start(
+            other_address,
+            |number| if number == 0 { ConnectionFault::Reset } else { ConnectionFault::None },
+        );
+    cluster.host.reload_with_discovery(proxy.address);
+    cluster.wait_until("the first call there has failed", |_| !proxy.connection_times().is_empty());
+    // The call to the former discovery is still open, and is answered.
+    cluster.discovery.publish(both_nodes(&cluster, "SERVING"));
     std::thread::sleep(Duration::from_millis(200));
-    other.tells(both(&rig, "DRAINING"));
-    kept(last_sent_after(&rig, Instant::now(), Duration::from_millis(8500)));
+    other.publish(both_nodes(&cluster, "DRAINING"));
+    assert_in_time(last_attempt_after(&cluster, Instant::now(), Duration::from_millis(8500)));
 }
 
 #[test]
-fn calls_that_stand_in_line_for_seconds_are_not_given_up() {
-    let (mut rig, other, other_at) = with_another();
-    let proxy = Proxy::before(other_at, |_| Harm::Delay(Duration::from_millis(2500)));
-    rig.turns_to(proxy.address);
-    rig.comes_to("it is called", |_| !proxy.came().is_empty());
+fn discovery_calls_delayed_by_seconds_are_not_abandoned() {
+    let (mut cluster, other, other_address) = cluster_with_second_discovery();
+    let proxy = Proxy::start(other_address, |_| ConnectionFault::Delay(Duration::from_millis(2500)));
+    cluster.host.reload_with_discovery(proxy.address);
+    cluster.wait_until("it is called", |_| !proxy.connection_times().is_empty());
     std::thread::sleep(Duration::from_millis(3500));
-    other.tells(both(&rig, "DRAINING"));
-    kept(last_sent_after(&rig, Instant::now(), Duration::from_millis(8500)));
+    other.publish(both_nodes(&cluster, "DRAINING"));
+    assert_in_time(last_attempt_after(&cluster, Instant::now(), Duration::from_millis(8500)));
 }
 
 #[test]
-fn a_file_that_is_half_written_at_the_signal_is_read_when_it_is_whole() {
-    let (mut rig, other, other_at) = with_another();
-    rig.spoils_file();
+fn a_file_half_written_at_reload_is_read_once_complete() {
+    let (mut cluster, other, other_address) = cluster_with_second_discovery();
+    cluster.host.reload_truncated_file();
     std::thread::sleep(Duration::from_millis(300));
-    rig.names(other_at);
-    // The former discovery tells nothing any more.
-    rig.discovery.mood(Mood::Silent);
-    other.tells(both(&rig, "DRAINING"));
-    kept(last_sent_after(&rig, Instant::now(), Duration::from_millis(8500)));
+    cluster.host.write_discovery(other_address);
+    // The former discovery does not respond any more.
+    cluster.discovery.set_fault_mode(FaultMode::Unresponsive);
+    other.publish(both_nodes(&cluster, "DRAINING"));
+    assert_in_time(last_attempt_after(&cluster, Instant::now(), Duration::from_millis(8500)));
 }
 
 #[test]
-fn answers_that_are_no_list_leave_a_drained_node_alone_once_the_drain_binds() {
-    let rig = Rig::new(2);
-    rig.discovery.tells(both(&rig, "SERVING"));
-    served(rig.client().asks(&command("before", "read", 0, 900)), "before");
-    rig.discovery.mood(Mood::Odd);
-    rig.discovery.tells(both(&rig, "DRAINING"));
-    kept(last_sent_after(&rig, Instant::now(), Duration::from_millis(7500)));
-    // Nobody is served by a list that may be wrong; requests wait for a good one, and get it.
-    assert_eq!(rig.client().asks(&command("refused", "read", 0, 300)).unwrap().status(), 503);
-    let mut waits = rig.client();
-    waits.sends(&command("waits", "read", 0, 3000));
-    rig.discovery.mood(Mood::Good);
-    served(waits.hears(), "waits");
+fn malformed_lists_stop_attempts_to_a_draining_endpoint_in_time() {
+    let cluster = TestCluster::start(2);
+    cluster.discovery.publish(both_nodes(&cluster, "SERVING"));
+    assert_served(cluster.client().request(&request_bytes("before", "read", 0, 900)), "before");
+    cluster.discovery.set_fault_mode(FaultMode::Malformed);
+    cluster.discovery.publish(both_nodes(&cluster, "DRAINING"));
+    assert_in_time(last_attempt_after(&cluster, Instant::now(), Duration::from_millis(7500)));
+    // Nothing is served by a list that may be wrong; requests wait for a valid one, and get it.
+    assert_eq!(cluster.client().request(&request_bytes("refused", "read", 0, 300)).unwrap().status(), 503);
+    let mut waits = cluster.client();
+    waits.send(&request_bytes("waits", "read", 0, 3000));
+    cluster.discovery.set_fault_mode(FaultMode::Healthy);
+    assert_served(waits.receive(), "waits");
 }
 
 #[test]
-fn a_silent_discovery_after_a_reload_leaves_a_drained_node_alone_once_the_drain_binds() {
-    let (mut rig, other, other_at) = with_another();
-    let proxy = Proxy::before(other_at, |_| Harm::Silence);
-    rig.turns_to(proxy.address);
-    rig.comes_to("it is called", |_| !proxy.came().is_empty());
-    other.tells(both(&rig, "DRAINING"));
+fn an_unresponsive_discovery_after_reload_stops_attempts_to_a_draining_endpoint_in_time() {
+    let (mut cluster, other, other_address) = cluster_with_second_discovery();
+    let proxy = Proxy::start(other_address, |_| ConnectionFault::Unresponsive);
+    cluster.host.reload_with_discovery(proxy.address);
+    cluster.wait_until("it is called", |_| !proxy.connection_times().is_empty());
+    other.publish(both_nodes(&cluster, "DRAINING"));
     let change = Instant::now();
-    kept(last_sent_after(&rig, change, Duration::from_millis(7500)));
-    proxy.plans(|_| Harm::None);
-    let before = rig.nodes[1].count();
-    rig.comes_to("it is heard again", |rig| {
-        asks(rig, &format!("again{:?}", change.elapsed()));
-        rig.nodes[1].count() > before
+    assert_in_time(last_attempt_after(&cluster, change, Duration::from_millis(7500)));
+    proxy.set_plan(|_| ConnectionFault::None);
+    let before = cluster.nodes[1].request_count();
+    cluster.wait_until("its list arrives again", |cluster| {
+        send_read(cluster, &format!("again{:?}", change.elapsed()));
+        cluster.nodes[1].request_count() > before
     });
     assert!(change.elapsed() < Duration::from_millis(7500 + 3500), "{:?}", change.elapsed());
 }
 
 #[test]
-fn a_host_that_stood_still_sends_nothing_by_the_list_of_before() {
-    let rig = Rig::new(2);
-    rig.discovery.tells(vec![instance("s-0", rig.addresses[0], 0, "SERVING")]);
+fn a_stalled_host_does_not_use_its_stale_list() {
+    let cluster = TestCluster::start(2);
+    cluster.discovery.publish(vec![instance("s-0", cluster.node_addresses[0], 0, "SERVING")]);
     let id = |n: u32| format!("r{n}");
-    served(rig.client().asks(&command(&id(0), "read", 0, 900)), &id(0));
-    rig.signal("STOP");
-    rig.discovery.tells(both(&rig, "DRAINING"));
-    let mut waits = rig.client();
-    std::thread::sleep(TOLD + GRACE);
-    let before = rig.nodes[0].count();
-    waits.sends(&command(&id(1), "read", 0, 3000));
-    rig.signal("CONT");
-    let answer = waits.hears().expect("an answer");
+    assert_served(cluster.client().request(&request_bytes(&id(0), "read", 0, 900)), &id(0));
+    cluster.host.signal("STOP");
+    cluster.discovery.publish(both_nodes(&cluster, "DRAINING"));
+    let mut waits = cluster.client();
+    std::thread::sleep(CHANGE_BINDS_AFTER + GRACE);
+    let before = cluster.nodes[0].request_count();
+    waits.send(&request_bytes(&id(1), "read", 0, 3000));
+    cluster.host.signal("CONT");
+    let answer = waits.receive().expect("an answer");
     assert!(matches!(answer.status(), 200 | 503), "{answer:?}");
-    assert_eq!(rig.nodes[0].count(), before, "the drained node was sent to");
+    assert_eq!(cluster.nodes[0].request_count(), before, "the draining node got an attempt");
 }
 
 #[test]
-fn an_outage_of_discovery_leaves_the_host_serving_and_its_end_is_found_out_soon() {
-    let (mut rig, other, other_at) = with_another();
-    let proxy = Proxy::before(other_at, |_| Harm::None);
-    rig.turns_to(proxy.address);
-    other.is_asked("a watch is open", |all| all.iter().any(|call| call.contains("wait_ms=2000")));
-    proxy.plans(|_| Harm::Reset);
-    proxy.cuts();
+fn a_discovery_outage_keeps_the_host_serving_and_recovery_is_detected_soon() {
+    let (mut cluster, other, other_address) = cluster_with_second_discovery();
+    let proxy = Proxy::start(other_address, |_| ConnectionFault::None);
+    cluster.host.reload_with_discovery(proxy.address);
+    other.wait_for_calls("a watch is open", |all| all.iter().any(|call| call.contains("wait_ms=2000")));
+    proxy.set_plan(|_| ConnectionFault::Reset);
+    proxy.close_all();
     std::thread::sleep(Duration::from_millis(8000));
-    served(rig.client().asks(&command("through", "read", 0, 900)), "through");
-    other.tells(both(&rig, "DRAINING"));
-    proxy.plans(|_| Harm::None);
-    let heard = last_sent_after(&rig, Instant::now(), Duration::from_millis(4000));
-    assert!(heard < Duration::from_millis(3000), "{heard:?} after the outage");
+    assert_served(cluster.client().request(&request_bytes("through", "read", 0, 900)), "through");
+    other.publish(both_nodes(&cluster, "DRAINING"));
+    proxy.set_plan(|_| ConnectionFault::None);
+    let noticed = last_attempt_after(&cluster, Instant::now(), Duration::from_millis(4000));
+    assert!(noticed < Duration::from_millis(3000), "{noticed:?} after the outage");
 }
--- a/crates/cli/tests/platform/response_matching.rs
+++ b/crates/cli/tests/platform/response_matching.rs
@@ -1,94 +1,111 @@
-//! Each request that was read gets exactly one answer, its own, whatever arrives on a connection outside an exchange
-//! and whatever ends while something is owed.
+//! Each request that was read gets exactly one response, its own, whatever arrives on a connection outside an exchange
+//! and whatever ends while a response is outstanding.
 
-use crate::proxy::{Harm, Proxy};
-use crate::rig::{command, instance, made_for, Client, Does, Limits, Rig, Seeded, Stray, SERVED};
-use crate::served;
+use crate::support::discovery::instance;
+use crate::support::host_settings::Limits;
+use crate::support::http_client::HttpClient;
+use crate::support::http_message::{assert_served, expected_body, request_bytes};
+use crate::support::node::{Behaviour, Unsolicited, OK_RESPONSE};
+use crate::support::proxy::{ConnectionFault, Proxy};
+use crate::support::random::SeededRandom;
+use crate::support::test_cluster::TestCluster;
 use serde_json::json;
+use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// Asks one request after the other with a rest between them; each answer must be its own.
-fn asks_in_turn(rig: &Rig, name: &str, class: &str, rest: Duration) {
-    let mut client = rig.client();
+/// Sends one request after the other with a pause after each; each response must be its own.
+fn assert_own_responses(cluster: &TestCluster, name: &str, class: &str, pause: Duration) {
+    let mut client = cluster.client();
     for i in 0..6 {
         let id = format!("{name}-{i}");
-        let answer =
-            client.asks(&command(&id, class, 0, 2000)).unwrap_or_else(|| panic!("{id} has no answer"));
+        let answer = client
+            .request(&request_bytes(&id, class, 0, 2000))
+            .unwrap_or_else(|| panic!("{id} has no answer"));
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         match answer.status() {
-            200 => assert_eq!(body, made_for(&id), "{id} got an answer that was not made for it"),
+            200 => assert_eq!(body, expected_body(&id), "{id} got an answer that was not made for it"),
             status => assert!(class == "once" && status == 502, "{id}: {status} {body}"),
         }
-        std::thread::sleep(rest);
+        std::thread::sleep(pause);
     }
 }
 
 #[test]
-fn what_belongs_to_the_exchange_before_is_never_the_answer_to_the_next_request() {
-    for stray in [
-        Stray::Copy,
-        Stray::EarlierCopy,
-        Stray::CutCopy(1),
-        Stray::CutCopy(7),
-        Stray::CutCopy(12),
-        Stray::CutCopy(30),
-        Stray::CutCopy(50),
-        Stray::Noise,
-        Stray::Interim,
+fn unsolicited_bytes_are_never_taken_for_the_next_response() {
+    for unsolicited in [
+        Unsolicited::Duplicate,
+        Unsolicited::EarlierDuplicate,
+        Unsolicited::TruncatedDuplicate(1),
+        Unsolicited::TruncatedDuplicate(7),
+        Unsolicited::TruncatedDuplicate(12),
+        Unsolicited::TruncatedDuplicate(30),
+        Unsolicited::TruncatedDuplicate(50),
+        Unsolicited::Garbage,
+        Unsolicited::InterimResponse,
     ] {
-        // A connection is taken again at once where it is, or after a rest.
+        // A connection is reused at once, or after it was idle.
         std::thread::scope(|scope| {
-            for (rest, class) in [0, 15, 250].into_iter().flat_map(|rest| [(rest, "read"), (rest, "once")]) {
+            for (pause, class) in
+                [0, 15, 250].into_iter().flat_map(|pause| [(pause, "read"), (pause, "once")])
+            {
                 scope.spawn(move || {
-                    let rig = Rig::new(1);
-                    rig.nodes[0].always(Does::ServesBehind(stray));
-                    asks_in_turn(&rig, &format!("{class}-{rest}"), class, Duration::from_millis(rest));
+                    let cluster = TestCluster::start(1);
+                    cluster.nodes[0].set_default(Behaviour::RespondBehind(unsolicited));
+                    assert_own_responses(
+                        &cluster,
+                        &format!("{class}-{pause}"),
+                        class,
+                        Duration::from_millis(pause),
+                    );
                 });
             }
         });
     }
 }
 
-/// Five clients that ask one request after the other, while one answer in three is written twice, with 2 ms of
-/// network between host and node: how many got an answer that was not made for their request.
-fn misled_by_copies(seed: u64, late: &[u64]) -> usize {
-    let rig = Rig::new(1);
-    let network = Proxy::before(rig.addresses[0], |_| Harm::Delay(Duration::from_millis(2)));
-    rig.discovery.tells(vec![instance("s-near", network.address, 0, "SERVING")]);
-    let mut seeded = Seeded::new(seed);
-    let script: Vec<Does> = (0..4000)
-        .map(|_| match seeded.below(3) {
-            0 => Does::CopiesAfter(Duration::from_millis(late[seeded.below(late.len() as u64) as usize])),
-            _ => Does::Writes(SERVED),
+/// Five clients that send one request after the other, while one response in three is written twice, with 2 ms of
+/// network between host and node: how many responses belonged to another request.
+fn mismatched_responses(seed: u64, delays_ms: &[u64]) -> usize {
+    let cluster = TestCluster::start(1);
+    let network =
+        Proxy::start(cluster.node_addresses[0], |_| ConnectionFault::Delay(Duration::from_millis(2)));
+    cluster.discovery.publish(vec![instance("s-near", network.address, 0, "SERVING")]);
+    let mut random = SeededRandom::new(seed);
+    let script: Vec<Behaviour> = (0..4000)
+        .map(|_| match random.below(3) {
+            0 => Behaviour::DuplicateAfter(Duration::from_millis(
+                delays_ms[random.below(delays_ms.len() as u64) as usize],
+            )),
+            _ => Behaviour::Write(OK_RESPONSE),
         })
         .collect();
-    rig.nodes[0].does(&script);
+    cluster.nodes[0].enqueue(&script);
     std::thread::sleep(Duration::from_millis(100));
-    let asks = |client: usize| {
-        let mut connection = rig.client();
-        let misled = |i: usize| {
+    let run = |client: usize| {
+        let mut connection = cluster.client();
+        let mismatched = |i: usize| {
             let id = format!("c{client}-{i}");
-            let answer = connection.asks(&command(&id, "read", 0, 2000)).unwrap();
-            answer.status() == 200 && answer.body != made_for(&id).into_bytes()
+            let answer = connection.request(&request_bytes(&id, "read", 0, 2000)).unwrap();
+            answer.status() == 200 && answer.body != expected_body(&id).into_bytes()
         };
-        (0..120).map(misled).filter(|misled| *misled).count()
+        (0..120).map(mismatched).filter(|mismatched| *mismatched).count()
     };
     std::thread::scope(|scope| {
-        let all: Vec<_> = (0..5).map(|client| scope.spawn(move || asks(client))).collect();
+        let all: Vec<_> = (0..5).map(|client| scope.spawn(move || run(client))).collect();
         all.into_iter().map(|client| client.join().unwrap()).sum()
     })
 }
 
 #[test]
-fn late_copies_of_answers_mislead_nobody() {
+fn late_duplicate_responses_reach_no_client() {
     for (seed, late) in [(1, &[1, 2, 3, 4, 5, 6][..]), (2, &[12, 20][..]), (3, &[40, 70, 120, 200][..])] {
-        assert_eq!(misled_by_copies(seed, late), 0, "copies that are {late:?} ms late");
+        assert_eq!(mismatched_responses(seed, late), 0, "copies that are {late:?} ms late");
     }
 }
 
-/// What stands between two requests in one piece: something that the host answers by itself, at once.
-fn answered_at_once(form: usize, id: &str) -> Vec<u8> {
-    let plain = String::from_utf8(command(id, "read", 0, 900)).unwrap();
+/// A request that the host answers by itself, at once.
+fn immediate_request(form: usize, id: &str) -> Vec<u8> {
+    let plain = String::from_utf8(request_bytes(id, "read", 0, 900)).unwrap();
     match form {
         0 => b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n".to_vec(),
         1 => plain.replace("X-Class: read", "X-Class: unheard-of").into_bytes(),
@@ -96,20 +113,20 @@
     }
 }
 
-/// Sends three requests in one piece again and again until the connection ends; the answers to each piece.
-fn pieces_of_three(mut client: Client, name: &str, form: usize) -> Vec<usize> {
+/// Sends three pipelined requests again and again until the connection ends; the number of responses to each three.
+fn pipeline_in_threes(mut client: HttpClient, name: &str, form: usize) -> Vec<usize> {
     let mut answers = Vec::new();
     for batch in 0.. {
         let [first, second, third] = ["a", "b", "c"].map(|part| format!("{name}-{batch}-{part}"));
         let piece = [
-            command(&first, "read", 0, 2500),
-            answered_at_once(form, &second),
-            command(&third, "read", 0, 2500),
+            request_bytes(&first, "read", 0, 2500),
+            immediate_request(form, &second),
+            request_bytes(&third, "read", 0, 2500),
         ];
-        client.sends(&piece.concat());
-        let came = (0..3).map_while(|_| client.hears()).count();
+        client.send(&piece.concat());
+        let came = (0..3).map_while(|_| client.receive()).count();
         answers.push(came);
-        if came < 3 || client.is_over() {
+        if came < 3 || client.is_closed() {
             break;
         }
     }
@@ -117,63 +134,63 @@
 }
 
 #[test]
-fn a_request_behind_one_that_is_answered_at_once_is_answered_at_the_planned_end() {
+fn requests_behind_an_immediate_response_are_answered_during_shutdown() {
     for form in 0..3 {
-        let mut rig = Rig::new(1);
-        rig.nodes[0].always(Does::Waits(Duration::from_millis(120)));
-        rig.signal("TERM");
+        let mut cluster = TestCluster::start(1);
+        cluster.nodes[0].set_default(Behaviour::RespondAfter(Duration::from_millis(120)));
+        cluster.host.signal("TERM");
         std::thread::sleep(Duration::from_millis(2800));
         let all: Vec<_> = (0..6)
             .map(|client| {
                 std::thread::sleep(Duration::from_millis(21));
-                let connection = rig.client();
-                std::thread::spawn(move || pieces_of_three(connection, &format!("c{client}"), form))
+                let connection = cluster.client();
+                std::thread::spawn(move || pipeline_in_threes(connection, &format!("c{client}"), form))
             })
             .collect();
         for client in all {
             let answers = client.join().unwrap();
             assert!(answers.iter().all(|came| matches!(came, 0 | 3)), "form {form}: {answers:?}");
         }
-        assert!(rig.ends().success());
+        assert!(cluster.host.wait_for_exit().success());
     }
 }
 
 #[test]
-fn requests_behind_one_that_hangs_are_answered_at_the_end_of_all_time() {
-    let mut rig = Rig::new(1);
-    rig.nodes[0].always(Does::Nothing);
-    rig.signal("TERM");
+fn requests_behind_a_hanging_one_are_answered_before_forced_shutdown() {
+    let mut cluster = TestCluster::start(1);
+    cluster.nodes[0].set_default(Behaviour::NoResponse);
+    cluster.host.signal("TERM");
     std::thread::sleep(Duration::from_millis(3000));
-    let mut client = rig.client();
-    let all: Vec<u8> = (0..4).flat_map(|i| command(&format!("r{i}"), "once", 0, 3000)).collect();
+    let mut client = cluster.client();
+    let all: Vec<u8> = (0..4).flat_map(|i| request_bytes(&format!("r{i}"), "once", 0, 3000)).collect();
     let asked = Instant::now();
-    client.sends(&all);
+    client.send(&all);
     for i in 0..4 {
-        let answer = client.hears().unwrap_or_else(|| panic!("r{i} was read and has no answer"));
+        let answer = client.receive().unwrap_or_else(|| panic!("r{i} was read and has no answer"));
         assert!(matches!(answer.status(), 502 | 503), "{answer:?}");
     }
     assert!(
         asked.elapsed() < Duration::from_millis(700),
-        "the end by force came first: {:?}",
+        "the forced shutdown came first: {:?}",
         asked.elapsed()
     );
-    assert!(rig.ends().success());
+    assert!(cluster.host.wait_for_exit().success());
 }
 
 #[test]
-fn however_much_comes_early_each_request_gets_its_answer() {
-    let rig = Rig::new(1);
-    rig.nodes[0].does(&[Does::Waits(Duration::from_millis(300))]);
-    let mut client = rig.client();
+fn each_of_many_pipelined_requests_is_answered() {
+    let cluster = TestCluster::start(1);
+    cluster.nodes[0].enqueue(&[Behaviour::RespondAfter(Duration::from_millis(300))]);
+    let mut client = cluster.client();
     let many = 8000;
-    let all: Vec<u8> = (0..many).flat_map(|i| command(&format!("r{i}"), "read", 0, 3000)).collect();
+    let all: Vec<u8> = (0..many).flat_map(|i| request_bytes(&format!("r{i}"), "read", 0, 3000)).collect();
     assert!(all.len() > 3 << 19, "{} bytes", all.len());
-    let mut sends = client.stream.try_clone().unwrap();
-    let sending = std::thread::spawn(move || std::io::Write::write_all(&mut sends, &all));
+    let mut sender = client.stream.try_clone().unwrap();
+    let sending = std::thread::spawn(move || Write::write_all(&mut sender, &all));
     for i in 0..many {
-        let answer = client.hears().unwrap_or_else(|| panic!("r{i} was read and has no answer"));
+        let answer = client.receive().unwrap_or_else(|| panic!("r{i} was read and has no answer"));
         match answer.status() {
-            200 => served(Some(answer), &format!("r{i}")),
+            200 => assert_served(Some(answer), &format!("r{i}")),
             status => assert_eq!(status, 503, "{answer:?}"),
         }
     }
@@ -181,18 +198,18 @@
 }
 
 #[test]
-fn a_flood_in_a_small_memory_is_answered_one_by_one() {
-    let rig = Rig::with(1, Limits { memory_mb: 16, ..Limits::default() });
-    rig.nodes[0].always(Does::Waits(Duration::from_millis(1)));
+fn a_flood_under_a_small_memory_limit_is_answered_completely() {
+    let cluster = TestCluster::with_limits(1, Limits { memory_mb: 16, ..Limits::default() });
+    cluster.nodes[0].set_default(Behaviour::RespondAfter(Duration::from_millis(1)));
     let floods: Vec<_> = (0..8)
         .map(|flood| {
-            let mut client = rig.client();
+            let mut client = cluster.client();
             let all: Vec<u8> =
-                (0..2500).flat_map(|i| command(&format!("f{flood}-{i}"), "read", 0, 3000)).collect();
+                (0..2500).flat_map(|i| request_bytes(&format!("f{flood}-{i}"), "read", 0, 3000)).collect();
             std::thread::spawn(move || {
-                let mut sends = client.stream.try_clone().unwrap();
-                let sending = std::thread::spawn(move || std::io::Write::write_all(&mut sends, &all).is_ok());
-                let answers = (0..2500).map_while(|_| client.hears()).count();
+                let mut sender = client.stream.try_clone().unwrap();
+                let sending = std::thread::spawn(move || Write::write_all(&mut sender, &all).is_ok());
+                let answers = (0..2500).map_while(|_| client.receive()).count();
                 (answers, sending.join().unwrap())
             })
         })
@@ -200,32 +217,32 @@
     for flood in floods {
         assert_eq!(flood.join().unwrap(), (2500, true), "answers, and whether all could be sent");
     }
-    assert!(rig.most_memory() < 16 << 10, "{} KB", rig.most_memory());
+    assert!(cluster.host.peak_memory_kb() < 16 << 10, "{} KB", cluster.host.peak_memory_kb());
 }
 
 #[test]
-fn an_answer_that_comes_as_its_clients_time_to_ask_is_over_reaches_it() {
-    // The module itself gives nothing up before.
-    let rig = Rig::told(1, Limits::default(), |settings| {
+fn a_response_at_the_moment_of_the_idle_check_reaches_its_client() {
+    // The scheduler itself ends no request before.
+    let cluster = TestCluster::with_settings(1, |settings| {
         settings["limits"]["cancelling"] = json!(false);
         settings["profiles"][0]["slo_ns"] = json!(3_000_000_000u64);
     });
-    // A connection is looked at 2.2 s after it came. The host is held up then, so that the look and the first answer
-    // come to it in one moment.
-    rig.nodes[0].always(Does::Waits(Duration::from_millis(2180)));
-    let mut all: Vec<Client> = (0..8).map(|_| rig.client()).collect();
+    // A connection is checked 2.2 s after it came. The host is stopped then, so that it meets the check and the first
+    // response at the same moment.
+    cluster.nodes[0].set_default(Behaviour::RespondAfter(Duration::from_millis(2180)));
+    let mut all: Vec<HttpClient> = (0..8).map(|_| cluster.client()).collect();
     for (i, client) in all.iter_mut().enumerate() {
-        client.sends(&command(&format!("r{i}"), "read", 0, 2900));
+        client.send(&request_bytes(&format!("r{i}"), "read", 0, 2900));
     }
     std::thread::sleep(Duration::from_millis(2120));
-    rig.signal("STOP");
+    cluster.host.signal("STOP");
     std::thread::sleep(Duration::from_millis(140));
-    rig.signal("CONT");
+    cluster.host.signal("CONT");
     for (i, client) in all.iter_mut().enumerate() {
-        let answer = client.hears().unwrap_or_else(|| panic!("r{i} has no answer"));
+        let answer = client.receive().unwrap_or_else(|| panic!("r{i} has no answer"));
         match answer.status() {
-            200 => served(Some(answer), &format!("r{i}")),
-            // The module may have given the attempt up meanwhile.
+            200 => assert_served(Some(answer), &format!("r{i}")),
+            // The scheduler may have ended the attempt meanwhile.
             status => assert_eq!(status, 503, "{answer:?}"),
         }
     }
--- a/crates/cli/tests/platform/syscall_faults.rs
+++ b/crates/cli/tests/platform/syscall_faults.rs
@@ -1,7 +1,9 @@
-//! System calls that fail as they may: each errno is taken for what it says and for nothing else.
+//! Failing system calls: each errno has the effect that it stands for and no other.
 
-use crate::rig::{command, Client, Limits, Rig};
-use crate::served;
+use crate::support::http_client::HttpClient;
+use crate::support::http_message::{assert_served, request_bytes};
+use crate::support::node::{Behaviour, OK_RESPONSE};
+use crate::support::test_cluster::TestCluster;
 use std::time::Duration;
 
 const ENETUNREACH: i32 = 101;
@@ -12,58 +14,64 @@
 const EPROTO: i32 = 71;
 const EINTR: i32 = 4;
 
-/// Asks on and on over new connections, and tells how many requests were served.
-fn served_of(rig: &Rig, requests: usize) -> usize {
-    let ask = |i| {
-        let bytes = command(&format!("r{i}"), "read", 0, 900);
-        Client::to(rig.host).ok()?.asks(&bytes).filter(|answer| answer.status() == 200)
+/// Sends requests over new connections; how many were served.
+fn served_count(cluster: &TestCluster, requests: usize) -> usize {
+    let is_served = |i| {
+        let bytes = request_bytes(&format!("r{i}"), "read", 0, 900);
+        HttpClient::connect(cluster.host_address)
+            .ok()?
+            .request(&bytes)
+            .filter(|answer| answer.status() == 200)
     };
-    (0..requests).filter_map(ask).count()
+    (0..requests).filter_map(is_served).count()
 }
 
 #[test]
-fn an_accept_that_fails_ends_no_client_that_rests() {
+fn failing_accepts_close_no_idle_client() {
     for errno in [ECONNABORTED, ENOBUFS, EPROTO] {
-        let rig = Rig::with_faults(1, Limits::default(), &format!("accept4={errno}/4"));
-        let mut resting: Vec<Client> = (0..8).map(|_| rig.client()).collect();
-        let mut stays: Vec<usize> = Vec::new();
-        for (i, client) in resting.iter_mut().enumerate() {
-            if client.asks(&command(&format!("s{i}"), "read", 0, 900)).is_some_and(|a| a.status() == 200) {
-                stays.push(i);
+        let cluster = TestCluster::with_syscall_faults(1, &format!("accept4={errno}/4"));
+        let mut idle: Vec<HttpClient> = (0..8).map(|_| cluster.client()).collect();
+        let mut served: Vec<usize> = Vec::new();
+        for (i, client) in idle.iter_mut().enumerate() {
+            if client
+                .request(&request_bytes(&format!("s{i}"), "read", 0, 900))
+                .is_some_and(|a| a.status() == 200)
+            {
+                served.push(i);
             }
         }
-        assert!(stays.len() >= 4, "errno {errno}: {stays:?}");
-        served_of(&rig, 40);
+        assert!(served.len() >= 4, "errno {errno}: {served:?}");
+        served_count(&cluster, 40);
         std::thread::sleep(Duration::from_millis(400));
-        served_of(&rig, 40);
-        let ended: Vec<&usize> = stays.iter().filter(|i| resting[**i].is_over()).collect();
+        served_count(&cluster, 40);
+        let ended: Vec<&usize> = served.iter().filter(|i| idle[**i].is_closed()).collect();
         assert!(ended.is_empty(), "errno {errno}: the connections of {ended:?} were ended");
     }
 }
 
 #[test]
-fn want_of_sockets_is_not_taken_for_a_sign_of_a_node() {
+fn socket_exhaustion_is_not_taken_for_a_faulty_endpoint() {
     // Each request needs a connection of its own, as its node ends the one before.
     for fault in ["socket=105/3", "connect=99/3", "connect=4/3"] {
-        let rig = Rig::with_faults(1, Limits::default(), fault);
-        rig.nodes[0].always(crate::rig::Does::WritesAndEnds(crate::rig::SERVED));
-        let mut client = rig.client();
+        let cluster = TestCluster::with_syscall_faults(1, fault);
+        cluster.nodes[0].set_default(Behaviour::WriteThenClose(OK_RESPONSE));
+        let mut client = cluster.client();
         for i in 0..30 {
             let id = format!("r{i}");
-            served(client.asks(&command(&id, "read", 0, 900)), &id);
+            assert_served(client.request(&request_bytes(&id, "read", 0, 900)), &id);
         }
     }
 }
 
 #[test]
-fn a_node_that_cannot_be_reached_now_and_then_ends_no_client_that_rests() {
+fn failing_connects_close_no_idle_client() {
     for errno in [ENETUNREACH, ECONNREFUSED, EADDRNOTAVAIL, EINTR] {
-        let rig = Rig::with_faults(1, Limits::default(), &format!("connect={errno}/2"));
-        rig.nodes[0].always(crate::rig::Does::WritesAndEnds(crate::rig::SERVED));
-        let mut resting = rig.client();
-        served(resting.asks(&command("first", "read", 0, 2900)), "first");
+        let cluster = TestCluster::with_syscall_faults(1, &format!("connect={errno}/2"));
+        cluster.nodes[0].set_default(Behaviour::WriteThenClose(OK_RESPONSE));
+        let mut idle = cluster.client();
+        assert_served(idle.request(&request_bytes("first", "read", 0, 2900)), "first");
         std::thread::sleep(Duration::from_millis(400));
-        served_of(&rig, 20);
-        assert!(!resting.is_over(), "errno {errno}");
+        served_count(&cluster, 20);
+        assert!(!idle.is_closed(), "errno {errno}");
     }
 }
--- a/crates/cli/tests/soak/audit.rs
+++ b/crates/cli/tests/soak/audit.rs
@@ -1,62 +1,64 @@
 //! The audit of a run from traffic alone: what clients saw of their requests, and what reached the nodes.
 
-use crate::client::{Ended, Kind, Request};
-use crate::fleet::{Exit, Seen};
-use crate::lateness::Lateness;
-use crate::node::{made_for, Attempt};
+use crate::client::{Request, RequestEnd, RequestKind};
+use crate::node::{expected_body, Attempt};
+use crate::run::{Evidence, Exit};
+use crate::test_delays::TestDelays;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// An answer is due so long after its deadline at the latest. All times have some room for what measures them, and as
-/// much as the rig itself was late just then.
-const LATE: Duration = Duration::from_millis(500 + 50);
-/// An attempt may begin so long after its client has left.
-const BEGINS_BEHIND: Duration = Duration::from_millis(100 + 15);
-/// A node may be told so much more than its client has left.
-const TOLD_MORE: Duration = Duration::from_millis(150 + 15);
-/// A request that was sent on a connection whose end it crossed sees that end within this time.
-const CROSSES: Duration = Duration::from_millis(400);
-const BUSY: Duration = Duration::from_millis(50);
+/// A response may come so long after its deadline. All bounds include some slack of measurement, and grow by the
+/// delays of the test itself.
+const RESPONSE_AFTER_DEADLINE: Duration = Duration::from_millis(500 + 50);
+/// An attempt may start so long after its request has ended.
+const ATTEMPT_AFTER_END: Duration = Duration::from_millis(100 + 15);
+/// The deadline of an attempt may be so much later than its client's.
+const ATTEMPT_DEADLINE_EXCESS: Duration = Duration::from_millis(150 + 15);
+/// A request that crossed the close of its connection sees that close within this time.
+const CLOSE_CROSSED_WITHIN: Duration = Duration::from_millis(400);
+/// How far a kill and what it ends may lie apart.
+const KILL_TOLERANCE: Duration = Duration::from_millis(50);
 
 /// A broken rule.
 #[derive(Clone, Debug)]
 pub enum Finding {
-    NotItsOwn { id: String, status: u16, begins: String },
-    NoAnswer { id: String, host: usize, after: Duration, why: &'static str },
-    TooLate { id: String, by: Duration },
-    MoreThanAsked { times: u64 },
-    BegunAfterItsEnd { id: String, after: Duration, end: &'static str },
-    ToldTooMuch { id: String, by: Duration },
-    RunTwice { id: String, attempts: usize },
-    Ended { host: usize, how: String },
+    ForeignResponse { id: String, status: u16, begins: String },
+    NoResponse { id: String, host: usize, after: Duration, why: &'static str },
+    LateResponse { id: String, by: Duration },
+    UnsolicitedResponse { times: u64 },
+    AttemptAfterEnd { id: String, after: Duration, end: &'static str },
+    DeadlineExtended { id: String, by: Duration },
+    RanTwice { id: String, attempts: usize },
+    AbnormalExit { host: usize, how: String },
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Finding::NotItsOwn { id, status, begins } => {
-                write!(f, "{id} got an answer that was not made for it: {status} {begins:?}")
+            Finding::ForeignResponse { id, status, begins } => {
+                write!(f, "{id} got the response to another request: {status} {begins:?}")
             }
-            Finding::NoAnswer { id, host, after, why } => {
-                write!(f, "{id} at host {host} got no answer within {after:?}, and {why}")
+            Finding::NoResponse { id, host, after, why } => {
+                write!(f, "{id} at host {host} got no response within {after:?}, and {why}")
             }
-            Finding::TooLate { id, by } => write!(f, "{id} got its answer {by:?} after its deadline"),
-            Finding::MoreThanAsked { times } => {
-                write!(f, "clients got more than they asked for, {times} times")
+            Finding::LateResponse { id, by } => write!(f, "{id} got its response {by:?} after its deadline"),
+            Finding::UnsolicitedResponse { times } => {
+                write!(f, "clients got unsolicited responses, {times} times")
             }
-            Finding::BegunAfterItsEnd { id, after, end } => {
-                write!(f, "an attempt of {id} began {after:?} after {end}")
+            Finding::AttemptAfterEnd { id, after, end } => {
+                write!(f, "an attempt of {id} started {after:?} after {end}")
             }
-
-            Finding::ToldTooMuch { id, by } => write!(f, "a node was told {by:?} more than {id} had left"),
-            Finding::RunTwice { id, attempts } => write!(f, "{id} may run once and ran {attempts} times"),
-            Finding::Ended { host, how } => write!(f, "host {host}: {how}"),
+            Finding::DeadlineExtended { id, by } => {
+                write!(f, "an attempt had {by:?} more than {id} had left")
+            }
+            Finding::RanTwice { id, attempts } => write!(f, "{id} may run once and ran {attempts} times"),
+            Finding::AbnormalExit { host, how } => write!(f, "host {host}: {how}"),
         }
     }
 }
 
-/// What an audit found, and what it looked at.
+/// What an audit found, and what it counted.
 #[derive(Debug, Default)]
 pub struct Report {
     pub findings: Vec<Finding>,
@@ -74,20 +76,22 @@
     }
 }
 
-pub fn audit(seen: &Seen, attempts: &[Attempt], exits: &[Exit]) -> Report {
+/// Checks all requests, attempts and exits of a run.
+pub fn audit(evidence: &Evidence) -> Report {
+    let Evidence { requests, unsolicited_count, test_delays, attempts, exits } = evidence;
     let mut report = Report::default();
     let mut by_id: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     for attempt in attempts {
         report.count("attempts");
         by_id.entry(&attempt.id).or_default().push(attempt);
     }
-    for request in &seen.requests {
+    for request in requests {
         let attempts = by_id.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
-        audit_end(&mut report, request, attempts, exits, &seen.lateness);
-        audit_attempts(&mut report, request, attempts, &seen.lateness);
+        audit_end(&mut report, request, attempts, exits, test_delays);
+        audit_attempts(&mut report, request, attempts, test_delays);
     }
-    if seen.unasked > 0 {
-        report.findings.push(Finding::MoreThanAsked { times: seen.unasked });
+    if *unsolicited_count > 0 {
+        report.findings.push(Finding::UnsolicitedResponse { times: *unsolicited_count });
     }
     for exit in exits {
         audit_exit(&mut report, exit);
@@ -100,35 +104,35 @@
     request: &Request,
     attempts: &[&Attempt],
     exits: &[Exit],
-    lateness: &Lateness,
+    test_delays: &TestDelays,
 ) {
     report.count("requests");
-    match &request.ended {
-        Ended::Left { .. } => report.count("left"),
-        Ended::Answered { status, body, at } => {
-            report.count(if *status == 200 { "served" } else { "refused or failed" });
+    match &request.end {
+        RequestEnd::Cancelled { .. } => report.count("cancelled"),
+        RequestEnd::Answered { status, body, at } => {
+            report.count(if *status == 200 { "served" } else { "rejected or failed" });
             if !is_own(request, *status, body) {
                 let begins = String::from_utf8_lossy(&body[..body.len().min(24)]).into_owned();
                 let (id, status) = (request.id.clone(), *status);
-                report.findings.push(Finding::NotItsOwn { id, status, begins });
+                report.findings.push(Finding::ForeignResponse { id, status, begins });
             }
             let by = at.duration_since(request.sent).saturating_sub(request.due);
-            let late_at_most = LATE + lateness.near(*at);
+            let bound = RESPONSE_AFTER_DEADLINE + test_delays.allowance(*at);
             let late = at.duration_since(request.sent).saturating_sub(request.deadline);
-            if late > late_at_most && by <= late_at_most {
-                report.count("late behind others of their piece");
+            if late > bound && by <= bound {
+                report.count("late behind pipelined requests");
             }
-            if by > late_at_most {
-                report.findings.push(Finding::TooLate { id: request.id.clone(), by });
+            if by > bound {
+                report.findings.push(Finding::LateResponse { id: request.id.clone(), by });
             }
         }
-        Ended::Cut { at } => {
-            report.count("cut");
+        RequestEnd::ConnectionClosed { at } => {
+            report.count("closed");
             let after = at.duration_since(request.sent);
-            let crossed = after <= CROSSES + lateness.near(*at);
-            if let Some(why) = owed(request, attempts, exits, *at, crossed) {
+            let crossed = after <= CLOSE_CROSSED_WITHIN + test_delays.allowance(*at);
+            if let Some(why) = outstanding(request, attempts, exits, *at, crossed) {
                 let (id, host) = (request.id.clone(), request.host);
-                report.findings.push(Finding::NoAnswer { id, host, after, why });
+                report.findings.push(Finding::NoResponse { id, host, after, why });
             }
         }
     }
@@ -136,28 +140,32 @@
 
 fn is_own(request: &Request, status: u16, body: &[u8]) -> bool {
     match (request.kind, status) {
-        (Kind::Command, 200) => body == made_for(&request.id),
-        (Kind::Ready, 200) => body == b"ready\n",
-        (Kind::Ready, _) => status == 503,
-        (Kind::Refused, 200) => false,
+        (RequestKind::Forwarded, 200) => body == expected_body(&request.id),
+        (RequestKind::Readiness, 200) => body == b"ready\n",
+        (RequestKind::Readiness, _) => status == 503,
+        (RequestKind::Rejected, 200) => false,
         _ => true,
     }
 }
 
-/// Why a request whose connection ended was owed an answer all the same; none where it crossed that end unread.
-fn owed(
+/// Why a request whose connection closed needed a response all the same; none where it crossed the close unread.
+fn outstanding(
     request: &Request,
     attempts: &[&Attempt],
     exits: &[Exit],
     at: Instant,
     crossed: bool,
 ) -> Option<&'static str> {
-    // Of what the end by force finds, only what came late after the request to end is owed.
+    // Of the requests that a kill ends, only those sent long after the signal needed a response.
     let killed = exits.iter().find(|e| {
-        e.host == request.host && e.status.is_none() && at + BUSY >= e.at && request.sent <= e.at + BUSY
+        e.host == request.host
+            && e.status.is_none()
+            && at + KILL_TOLERANCE >= e.at
+            && request.sent <= e.at + KILL_TOLERANCE
+    });
+    let early = killed.is_some_and(|e| {
+        e.signalled.is_some_and(|signalled| request.sent < signalled + Duration::from_millis(700))
     });
-    let early =
-        killed.is_some_and(|e| e.told.is_some_and(|told| request.sent < told + Duration::from_millis(700)));
     if early {
         return None;
     }
@@ -167,43 +175,43 @@
     if request.read {
         return Some("it was read with one that was answered");
     }
-    (!crossed).then_some("its connection stood for long")
+    (!crossed).then_some("its connection stayed open for long")
 }
 
-fn audit_attempts(report: &mut Report, request: &Request, attempts: &[&Attempt], lateness: &Lateness) {
+fn audit_attempts(report: &mut Report, request: &Request, attempts: &[&Attempt], test_delays: &TestDelays) {
     for attempt in attempts {
-        let room = lateness.near(attempt.at);
+        let allowance = test_delays.allowance(attempt.at);
         let id = request.id.clone();
-        let gone = match &request.ended {
-            Ended::Left { at } => Some((*at, "its client had left")),
-            // What has its answer is over.
-            Ended::Answered { at, .. } => Some((*at, "its answer")),
-            Ended::Cut { .. } => None,
+        let end = match &request.end {
+            RequestEnd::Cancelled { at } => Some((*at, "its client had disconnected")),
+            // A request with its response has ended.
+            RequestEnd::Answered { at, .. } => Some((*at, "its response")),
+            RequestEnd::ConnectionClosed { .. } => None,
         };
-        let behind = |(gone, end)| (attempt.at.saturating_duration_since(gone), end);
-        let (after, end) = gone.map_or((Duration::ZERO, ""), behind);
-        if after > BEGINS_BEHIND + room {
-            report.findings.push(Finding::BegunAfterItsEnd { id: id.clone(), after, end });
+        let since = |(at, end)| (attempt.at.saturating_duration_since(at), end);
+        let (after, end) = end.map_or((Duration::ZERO, ""), since);
+        if after > ATTEMPT_AFTER_END + allowance {
+            report.findings.push(Finding::AttemptAfterEnd { id: id.clone(), after, end });
         }
         let left = (request.sent + request.deadline).saturating_duration_since(attempt.at);
-        let by = attempt.told.saturating_sub(left);
-        // The least that can be told is a millisecond.
-        if by > TOLD_MORE + room {
-            report.findings.push(Finding::ToldTooMuch { id, by });
+        let by = attempt.timeout.saturating_sub(left);
+        // The least that the field can hold is a millisecond.
+        if by > ATTEMPT_DEADLINE_EXCESS + allowance {
+            report.findings.push(Finding::DeadlineExtended { id, by });
         }
     }
     let ran = attempts.iter().filter(|attempt| attempt.ran && attempt.class == "once").count();
     if ran > 1 {
-        report.findings.push(Finding::RunTwice { id: request.id.clone(), attempts: ran });
+        report.findings.push(Finding::RanTwice { id: request.id.clone(), attempts: ran });
     }
 }
 
 fn audit_exit(report: &mut Report, exit: &Exit) {
-    let how = match (exit.told, exit.status) {
-        (None, status) => format!("it ended though nobody had told it to: {status:?}"),
+    let how = match (exit.signalled, exit.status) {
+        (None, status) => format!("it exited without a signal: {status:?}"),
         (Some(_), Some(status)) if !status.success() => format!("{status:?}"),
-        (Some(_), Some(_)) => return report.count("ended in order"),
+        (Some(_), Some(_)) => return report.count("exited normally"),
         (Some(_), None) => return report.count("killed"),
     };
-    report.findings.push(Finding::Ended { host: exit.host, how });
+    report.findings.push(Finding::AbnormalExit { host: exit.host, how });
 }
--- a/crates/cli/tests/soak/defect_relay.rs
+++ b/crates/cli/tests/soak/defect_relay.rs
@@ -1,89 +1,94 @@
-//! A relay between clients and a host that breaks a rule once, for the audit to find.
+//! A relay between clients and a host with a seeded defect, for the audit to find.
 
-use crate::plan::Plant;
-use crate::rig::{accept, listen};
+use crate::run_config::Defect;
+use crate::support::loopback::{accept, listen};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
+use std::time::Duration;
 
-/// Pieces that pass before the break.
-const PASSES: u64 = 40;
+/// Messages that are forwarded before the defect.
+const FORWARDED_BEFORE_DEFECT: u64 = 40;
+/// How long a lost request's connection stays open, as it would at a host that forgot the request.
+const LOST_REQUEST_HOLD: Duration = Duration::from_secs(1);
 
-/// A relay before one host.
-pub struct Relay {
+/// A relay in front of one host.
+pub struct DefectRelay {
     pub address: SocketAddr,
 }
 
 #[derive(Default)]
-struct Shared {
+struct Counters {
     requests: AtomicU64,
-    answers: AtomicU64,
-    /// An answer that was passed on.
-    kept: Mutex<Vec<u8>>,
+    responses: AtomicU64,
+    /// A response that was forwarded.
+    earlier_response: Mutex<Vec<u8>>,
 }
 
-impl Relay {
-    pub fn before(host: SocketAddr, plant: Plant) -> Relay {
+impl DefectRelay {
+    pub fn start(host: SocketAddr, defect: Defect) -> DefectRelay {
         let (listener, address) = listen();
-        let shared = Arc::new(Shared::default());
-        accept(listener, move |client| _ = carry(&client, host, plant, &shared));
-        Relay { address }
+        let counters = Arc::new(Counters::default());
+        accept(listener, move |client| _ = carry(&client, host, defect, &counters));
+        DefectRelay { address }
     }
 }
 
-fn carry(client: &TcpStream, host: SocketAddr, plant: Plant, shared: &Arc<Shared>) -> Option<()> {
+fn carry(client: &TcpStream, host: SocketAddr, defect: Defect, counters: &Arc<Counters>) -> Option<()> {
     let host = TcpStream::connect(host).ok()?;
     _ = (client.set_nodelay(true), host.set_nodelay(true));
-    let (back_from, back_to, counts) = (host.try_clone().ok()?, client.try_clone().ok()?, shared.clone());
+    let (back_from, back_to) = (host.try_clone().ok()?, client.try_clone().ok()?);
+    let response_counters = counters.clone();
     std::thread::spawn(move || {
         pump(&back_from, &back_to, |piece| {
-            if plant == Plant::SwappedAnswer {
-                counts.swap(piece);
+            if defect == Defect::SwappedResponse {
+                response_counters.swap(piece);
             }
             true
         });
     });
-    pump(client, &host, |piece| plant != Plant::SwallowedRequest || !shared.swallows(piece));
+    pump(client, &host, |piece| defect != Defect::LostRequest || !counters.loses(piece));
     Some(())
 }
 
-impl Shared {
-    /// Puts an earlier answer in the place of one.
+impl Counters {
+    /// Replaces one response with an earlier one.
     fn swap(&self, piece: &mut Vec<u8>) {
         if !piece.starts_with(b"HTTP/1.1 200") {
             return;
         }
-        let mut kept = self.kept.lock().unwrap();
-        if self.answers.fetch_add(1, Ordering::SeqCst) == PASSES {
-            std::mem::swap(&mut *kept, piece);
-        } else if kept.is_empty() {
-            kept.clone_from(piece);
+        let mut earlier = self.earlier_response.lock().unwrap();
+        if self.responses.fetch_add(1, Ordering::SeqCst) == FORWARDED_BEFORE_DEFECT {
+            std::mem::swap(&mut *earlier, piece);
+        } else if earlier.is_empty() {
+            earlier.clone_from(piece);
         }
     }
 
-    /// Whether this request is to go nowhere.
-    fn swallows(&self, piece: &[u8]) -> bool {
-        let begins = piece.starts_with(b"GET /api") || piece.starts_with(b"PUT /api");
-        begins && self.requests.fetch_add(1, Ordering::SeqCst) == PASSES
+    /// Whether this request is the one to lose.
+    fn loses(&self, piece: &[u8]) -> bool {
+        let is_request = piece.starts_with(b"GET /api") || piece.starts_with(b"PUT /api");
+        is_request && self.requests.fetch_add(1, Ordering::SeqCst) == FORWARDED_BEFORE_DEFECT
     }
 }
 
-/// Carries bytes one way until an end, or until a piece is not to be passed on.
-fn pump(mut from: &TcpStream, mut to: &TcpStream, mut passes: impl FnMut(&mut Vec<u8>) -> bool) {
+/// Copies bytes one way until either side ends, or until `forwards` is false.
+fn pump(mut from: &TcpStream, mut to: &TcpStream, mut forwards: impl FnMut(&mut Vec<u8>) -> bool) {
     let mut buffer = vec![0; 64 << 10];
     while let Ok(length) = from.read(&mut buffer) {
         let mut piece = buffer[..length].to_vec();
-        if length == 0 || !passes(&mut piece) && swallowed() || to.write_all(&piece).is_err() {
+        if length == 0 {
+            break;
+        }
+        if !forwards(&mut piece) {
+            std::thread::sleep(LOST_REQUEST_HOLD);
+            break;
+        }
+        if to.write_all(&piece).is_err() {
             break;
         }
     }
     _ = from.shutdown(Shutdown::Both);
     _ = to.shutdown(Shutdown::Both);
 }
-
-/// The client waits for a while before its connection ends, as it would at a host that forgot its request.
-fn swallowed() -> bool {
-    std::thread::sleep(std::time::Duration::from_secs(1));
-    true
-}
--- a/crates/cli/tests/soak/main.rs
+++ b/crates/cli/tests/soak/main.rs
@@ -1,38 +1,37 @@
-//! A soak of real processes on loopback: hosts under load are reloaded, held up, told to end and killed as early as
-//! the platform's page allows, while nodes send late copies, noise and cut answers and clients pipeline, split and
-//! abandon requests. Every request is audited from what its client and the nodes saw.
+//! A soak of real processes on loopback: hosts under load are reloaded, stopped, shut down and killed as early as the
+//! platform's page allows, while nodes send late duplicates, garbage and truncated responses and clients pipeline, split
+//! and cancel requests. Every request is audited from what its client and the nodes saw.
 //!
-//! A few seeds run by default; `SOAK_SEEDS=1..50` runs others, and tells of each.
+//! A few seeds run by default; `SOAK_SEEDS=1..50` runs others and reports each.
 
 mod audit;
 mod client;
-mod fleet;
-mod lateness;
+mod defect_relay;
 mod node;
-mod plan;
-mod relay;
-#[allow(dead_code)]
-#[path = "../platform/rig.rs"]
-mod rig;
+mod run;
+mod run_config;
+#[path = "../support/mod.rs"]
+mod support;
+mod test_delays;
 
 use audit::Finding;
-use plan::{Plan, Plant};
+use run_config::{Defect, RunConfig};
 
-/// The seeds that are run where none are named: few, and unlike each other.
-const USUAL: [u64; 5] = [1, 2, 3, 4, 5];
+/// The seeds of a run without `SOAK_SEEDS`: few, and unlike each other.
+const DEFAULT_SEEDS: [u64; 5] = [1, 2, 3, 4, 5];
 
 fn seeds() -> Vec<u64> {
-    let Ok(named) = std::env::var("SOAK_SEEDS") else { return USUAL.to_vec() };
-    let (first, last) = named.split_once("..").expect("SOAK_SEEDS is FIRST..LAST");
+    let Ok(range) = std::env::var("SOAK_SEEDS") else { return DEFAULT_SEEDS.to_vec() };
+    let (first, last) = range.split_once("..").expect("SOAK_SEEDS is FIRST..LAST");
     (first.parse().unwrap()..=last.parse().unwrap()).collect()
 }
 
-fn run(seed: u64, plant: Option<Plant>) -> Vec<Finding> {
-    let plan = Plan::drawn(seed, plant);
-    let (requests, attempts, exits) = fleet::play(&plan);
-    let report = audit::audit(&requests, &attempts, &exits);
-    let late = requests.lateness.most();
-    println!("seed {seed}: {} hosts, {}, the rig late by {late:?} at most", plan.hosts, report.summary());
+fn run_and_audit(seed: u64, defect: Option<Defect>) -> Vec<Finding> {
+    let config = RunConfig::from_seed(seed, defect);
+    let evidence = run::run(&config);
+    let report = audit::audit(&evidence);
+    let delay = evidence.test_delays.longest();
+    println!("seed {seed}: {} hosts, {}, the test late by {delay:?} at most", config.hosts, report.summary());
     for finding in &report.findings {
         println!("seed {seed}: {finding}");
     }
@@ -40,19 +39,20 @@
 }
 
 #[test]
-fn each_request_that_was_read_gets_exactly_one_answer_its_own() {
-    let broken: Vec<u64> = seeds().into_iter().filter(|seed| !run(*seed, None).is_empty()).collect();
+fn each_request_read_gets_exactly_its_own_response() {
+    let broken: Vec<u64> =
+        seeds().into_iter().filter(|seed| !run_and_audit(*seed, None).is_empty()).collect();
     assert!(broken.is_empty(), "seeds that broke a rule: {broken:?}");
 }
 
 #[test]
-fn a_swapped_answer_is_found() {
-    let found = run(101, Some(Plant::SwappedAnswer));
-    assert!(found.iter().any(|f| matches!(f, Finding::NotItsOwn { .. })), "{found:?}");
+fn a_swapped_response_is_found() {
+    let found = run_and_audit(101, Some(Defect::SwappedResponse));
+    assert!(found.iter().any(|f| matches!(f, Finding::ForeignResponse { .. })), "{found:?}");
 }
 
 #[test]
-fn a_swallowed_request_is_found() {
-    let found = run(102, Some(Plant::SwallowedRequest));
-    assert!(found.iter().any(|f| matches!(f, Finding::NoAnswer { .. })), "{found:?}");
+fn a_lost_request_is_found() {
+    let found = run_and_audit(102, Some(Defect::LostRequest));
+    assert!(found.iter().any(|f| matches!(f, Finding::NoResponse { .. })), "{found:?}");
 }
--- a/crates/cli/tests/soak/node.rs
+++ b/crates/cli/tests/soak/node.rs
@@ -1,16 +1,18 @@
-//! Nodes that send late copies, noise and cut answers, hang, turn requests away and break connections. What reaches
-//! them is kept for the audit.
-
-use crate::plan::Plan;
-use crate::rig::{accept, listen, Message, Seeded};
-use std::io::{BufReader, Write};
+//! Nodes that send late duplicates, garbage and truncated responses, hang, reject requests and reset connections. The
+//! attempts that reach them are recorded for the audit.
+
+use crate::run_config::RunConfig;
+use crate::support::http_message::HttpMessage;
+use crate::support::loopback::{accept, listen, reset_on_drop};
+use crate::support::random::SeededRandom;
+use std::io::{BufReader, ErrorKind, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a late copy is on its way.
-const NETWORK: Duration = Duration::from_millis(2);
+/// How long unsolicited bytes are under way.
+const NETWORK_DELAY: Duration = Duration::from_millis(2);
 
 /// An attempt as its node saw it.
 #[derive(Clone, Debug)]
@@ -19,58 +21,64 @@
     pub class: String,
     /// When its last byte was read.
     pub at: Instant,
-    /// The time that the node was told is left.
-    pub told: Duration,
+    /// The time left by the attempt's deadline field.
+    pub timeout: Duration,
     /// Whether it ran, or may have.
     pub ran: bool,
 }
 
-/// The answer's body that is made for a request, the same at each node: it begins with the request's id, and holds
-/// whatever bodies may hold.
-pub fn made_for(id: &str) -> Vec<u8> {
+/// The body of the response to a request, the same at each node: it begins with the request's id, and holds arbitrary
+/// bytes.
+pub fn expected_body(id: &str) -> Vec<u8> {
     let hash = id.bytes().fold(7u64, |sum, byte| sum.wrapping_mul(31).wrapping_add(u64::from(byte)));
-    let mut draw = Seeded::new(hash);
-    let length = if draw.below(50) == 0 { 30_000 } else { 16 + draw.below(900) as usize };
+    let mut random = SeededRandom::new(hash);
+    let length = if random.below(50) == 0 { 30_000 } else { 16 + random.below(900) as usize };
     let mut body = id.as_bytes().to_vec();
-    body.extend((0..length).map(|_| draw.below(256) as u8));
-    if draw.below(4) == 0 {
+    body.extend((0..length).map(|_| random.below(256) as u8));
+    if random.below(4) == 0 {
         body.extend_from_slice(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc");
     }
     body
 }
 
-/// What a node does beside serving, or instead of it.
-enum Deed {
-    Serves,
-    /// Writes its answer or a part of it once more, or noise, some time later where nothing else waits.
-    Late(Late),
-    /// Writes more than the answer at once.
-    Behind(Late),
-    InChunks,
-    WithoutLength,
-    Interim,
-    TurnsAway,
-    Fails,
-    Hangs,
-    Resets,
-    Noise,
-    StopsShort,
-    EndsShort,
+/// What a node does with a request.
+enum Behaviour {
+    Respond,
+    /// Responds, and sends unsolicited bytes some time later unless another request waits.
+    RespondThenSendLater(Unsolicited),
+    /// Responds with unsolicited bytes in the same write.
+    RespondWithExtra(Unsolicited),
+    RespondChunked,
+    /// Responds with a body that ends with the connection.
+    RespondUntilClose,
+    /// Sends an interim response first.
+    RespondAfterInterim,
+    /// Rejects the request without running it.
+    Reject,
+    Fail,
+    Hang,
+    Reset,
+    SendGarbage,
+    /// Responds without the last bytes and keeps the connection.
+    Truncate,
+    /// Responds without the last bytes and closes the connection.
+    TruncateAndClose,
 }
 
+/// Bytes that belong to no open exchange.
 #[derive(Clone, Copy)]
-enum Late {
-    Copy,
-    Part,
-    Noise,
+enum Unsolicited {
+    Duplicate,
+    TruncatedDuplicate,
+    Garbage,
 }
 
-impl Late {
-    fn bytes(self, answer: &[u8]) -> Vec<u8> {
+impl Unsolicited {
+    fn bytes(self, response: &[u8]) -> Vec<u8> {
         match self {
-            Late::Copy => answer.to_vec(),
-            Late::Part => answer[..answer.len() - answer.len() / 3 - 1].to_vec(),
-            Late::Noise => b"\x01\x02 noise".to_vec(),
+            Unsolicited::Duplicate => response.to_vec(),
+            Unsolicited::TruncatedDuplicate => response[..response.len() - response.len() / 3 - 1].to_vec(),
+            Unsolicited::Garbage => b"\x01\x02 noise".to_vec(),
         }
     }
 }
@@ -82,15 +90,15 @@
 }
 
 impl Node {
-    pub fn new(plan: &Plan, number: u64) -> Node {
+    pub fn start(config: &RunConfig, number: u64) -> Node {
         let (listener, address) = listen();
         let attempts = Arc::new(Mutex::new(Vec::new()));
-        let (kept, plan, connections) = (attempts.clone(), plan.clone(), Arc::new(AtomicU64::new(0)));
+        let (recorded, config, connections) = (attempts.clone(), config.clone(), Arc::new(AtomicU64::new(0)));
         accept(listener, move |stream| {
             let connection = connections.fetch_add(1, Ordering::SeqCst);
-            let draw = Seeded::new(plan.seed * 1_000_003 + number * 10_007 + connection);
+            let random = SeededRandom::new(config.seed * 1_000_003 + number * 10_007 + connection);
             _ = stream.set_nodelay(true);
-            _ = Serving { plan: plan.clone(), draw, attempts: kept.clone() }.serve(stream);
+            _ = NodeConnection { config: config.clone(), random, attempts: recorded.clone() }.serve(stream);
         });
         Node { address, attempts }
     }
@@ -100,124 +108,141 @@
     }
 }
 
-struct Serving {
-    plan: Plan,
-    draw: Seeded,
+/// A host's connection to a node, with a random source of its own.
+struct NodeConnection {
+    config: RunConfig,
+    random: SeededRandom,
     attempts: Arc<Mutex<Vec<Attempt>>>,
 }
 
-impl Serving {
-    fn late(&mut self) -> Late {
-        match self.draw.below(4) {
-            0 => Late::Part,
-            1 => Late::Noise,
-            _ => Late::Copy,
+impl NodeConnection {
+    fn next_behaviour(&mut self) -> Behaviour {
+        if self.random.below(100) < self.config.fault_percent {
+            return self.next_fault();
         }
-    }
-
-    fn next_deed(&mut self) -> Deed {
-        if self.draw.below(100) < self.plan.trouble {
-            return match self.draw.below(8) {
-                0 => Deed::TurnsAway,
-                1 => Deed::Fails,
-                2 => Deed::Hangs,
-                3 => Deed::Resets,
-                4 => Deed::Noise,
-                5 => Deed::StopsShort,
-                6 => Deed::EndsShort,
-                _ => Deed::WithoutLength,
+        if self.random.below(100) < self.config.unsolicited_percent {
+            let unsolicited = self.next_unsolicited();
+            return match self.random.below(4) {
+                0 => Behaviour::RespondWithExtra(unsolicited),
+                _ => Behaviour::RespondThenSendLater(unsolicited),
             };
         }
-        if self.draw.below(100) < self.plan.strays {
-            let late = self.late();
-            return match self.draw.below(4) {
-                0 => Deed::Behind(late),
-                _ => Deed::Late(late),
-            };
+        match self.random.below(12) {
+            0 => Behaviour::RespondChunked,
+            1 => Behaviour::RespondAfterInterim,
+            _ => Behaviour::Respond,
         }
-        match self.draw.below(12) {
-            0 => Deed::InChunks,
-            1 => Deed::Interim,
-            _ => Deed::Serves,
+    }
+
+    fn next_fault(&mut self) -> Behaviour {
+        match self.random.below(8) {
+            0 => Behaviour::Reject,
+            1 => Behaviour::Fail,
+            2 => Behaviour::Hang,
+            3 => Behaviour::Reset,
+            4 => Behaviour::SendGarbage,
+            5 => Behaviour::Truncate,
+            6 => Behaviour::TruncateAndClose,
+            _ => Behaviour::RespondUntilClose,
         }
     }
 
+    fn next_unsolicited(&mut self) -> Unsolicited {
+        match self.random.below(4) {
+            0 => Unsolicited::TruncatedDuplicate,
+            1 => Unsolicited::Garbage,
+            _ => Unsolicited::Duplicate,
+        }
+    }
+
+    /// Serves the connection; none once it has ended.
     fn serve(mut self, mut stream: TcpStream) -> Option<()> {
         let mut reader = BufReader::new(stream.try_clone().ok()?);
         loop {
-            let message = Message::read(&mut reader)?;
+            let message = HttpMessage::read(&mut reader)?;
             let at = Instant::now();
-            let deed = self.next_deed();
+            let behaviour = self.next_behaviour();
             let id = message.field("x-request-id")?.to_string();
             let class = message.field("x-class")?.to_string();
-            let told = message.field("x-deadline")?.trim_end_matches('m').parse().ok()?;
-            let (told, ran) = (Duration::from_millis(told), !matches!(deed, Deed::TurnsAway));
-            let body = made_for(&id);
-            self.attempts.lock().unwrap().push(Attempt { id, class, at, told, ran });
-            std::thread::sleep(Duration::from_millis(1 + self.draw.below(12)));
-            self.does(&deed, &body, &mut stream)?;
+            let timeout_ms = message.field("x-deadline")?.trim_end_matches('m').parse().ok()?;
+            let timeout = Duration::from_millis(timeout_ms);
+            let ran = !matches!(behaviour, Behaviour::Reject);
+            let body = expected_body(&id);
+            self.attempts.lock().unwrap().push(Attempt { id, class, at, timeout, ran });
+            std::thread::sleep(Duration::from_millis(1 + self.random.below(12)));
+            self.respond(&behaviour, &body, &mut stream)?;
         }
     }
 
     /// None where the connection has ended.
-    fn does(&mut self, deed: &Deed, body: &[u8], stream: &mut TcpStream) -> Option<()> {
+    fn respond(&mut self, behaviour: &Behaviour, body: &[u8], stream: &mut TcpStream) -> Option<()> {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        let answer = [head.as_bytes(), body].concat();
-        match deed {
-            Deed::Serves => stream.write_all(&answer).ok(),
-            Deed::Late(late) => {
-                stream.write_all(&answer).ok()?;
-                let rest = Duration::from_millis(1 + self.draw.below(self.plan.lateness));
-                if rests(stream, rest) {
-                    // It is on its way while the next request may be, too.
-                    std::thread::sleep(NETWORK);
-                    return stream.write_all(&late.bytes(&answer)).ok();
-                }
-                Some(())
+        let response = [head.as_bytes(), body].concat();
+        let truncated = &response[..response.len() - 5];
+        match behaviour {
+            Behaviour::Respond => stream.write_all(&response).ok(),
+            Behaviour::RespondThenSendLater(unsolicited) => {
+                stream.write_all(&response).ok()?;
+                self.send_later(&unsolicited.bytes(&response), stream)
+            }
+            Behaviour::RespondWithExtra(unsolicited) => {
+                stream.write_all(&[&response[..], &unsolicited.bytes(&response)].concat()).ok()
             }
-            Deed::Behind(late) => stream.write_all(&[&answer[..], &late.bytes(&answer)].concat()).ok(),
-            Deed::Interim => stream.write_all(&[b"HTTP/1.1 100 Continue\r\n\r\n", &answer[..]].concat()).ok(),
-            Deed::InChunks => {
-                let (first, second) = body.split_at(body.len() / 2);
-                let chunk =
-                    |part: &[u8]| [format!("{:x}\r\n", part.len()).as_bytes(), part, b"\r\n"].concat();
-                let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                stream.write_all(&[&head[..], &chunk(first)].concat()).ok()?;
-                std::thread::sleep(Duration::from_millis(self.draw.below(5)));
-                stream.write_all(&[&chunk(second)[..], b"0\r\n\r\n"].concat()).ok()
+            Behaviour::RespondAfterInterim => {
+                stream.write_all(&[b"HTTP/1.1 100 Continue\r\n\r\n", &response[..]].concat()).ok()
             }
-            Deed::WithoutLength => {
+            Behaviour::RespondChunked => self.respond_chunked(body, stream),
+            Behaviour::RespondUntilClose => {
                 stream.write_all(&[b"HTTP/1.1 200 OK\r\n\r\n", body].concat()).ok()?;
-                ends(stream)
+                close(stream)
             }
-            Deed::TurnsAway => {
+            Behaviour::Reject => {
                 stream.write_all(b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n").ok()
             }
-            Deed::Fails => stream.write_all(b"HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n").ok(),
-            Deed::Hangs => Some(()),
-            Deed::Resets => {
-                socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO)).ok()?;
+            Behaviour::Fail => stream.write_all(b"HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n").ok(),
+            Behaviour::Hang => Some(()),
+            Behaviour::Reset => {
+                reset_on_drop(stream);
                 None
             }
-            Deed::Noise => stream.write_all(b"\x01\x02\x03 no answer\r\n\r\n").ok(),
-            Deed::StopsShort => stream.write_all(&answer[..answer.len() - 5]).ok(),
-            Deed::EndsShort => {
-                stream.write_all(&answer[..answer.len() - 5]).ok()?;
-                ends(stream)
+            Behaviour::SendGarbage => stream.write_all(b"\x01\x02\x03 no answer\r\n\r\n").ok(),
+            Behaviour::Truncate => stream.write_all(truncated).ok(),
+            Behaviour::TruncateAndClose => {
+                stream.write_all(truncated).ok()?;
+                close(stream)
             }
         }
     }
+
+    fn send_later(&mut self, bytes: &[u8], stream: &mut TcpStream) -> Option<()> {
+        let delay = Duration::from_millis(1 + self.random.below(self.config.duplicate_delay_ms));
+        if stays_idle(stream, delay) {
+            // The bytes are under way while the next request may be, too.
+            std::thread::sleep(NETWORK_DELAY);
+            stream.write_all(bytes).ok()?;
+        }
+        Some(())
+    }
+
+    fn respond_chunked(&mut self, body: &[u8], stream: &mut TcpStream) -> Option<()> {
+        let (first, second) = body.split_at(body.len() / 2);
+        let chunk = |part: &[u8]| [format!("{:x}\r\n", part.len()).as_bytes(), part, b"\r\n"].concat();
+        let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        stream.write_all(&[&head[..], &chunk(first)].concat()).ok()?;
+        std::thread::sleep(Duration::from_millis(self.random.below(5)));
+        stream.write_all(&[&chunk(second)[..], b"0\r\n\r\n"].concat()).ok()
+    }
 }
 
-fn ends(stream: &TcpStream) -> Option<()> {
+fn close(stream: &TcpStream) -> Option<()> {
     _ = stream.shutdown(Shutdown::Both);
     None
 }
 
-/// Whether nothing comes on a connection for so long.
-fn rests(stream: &TcpStream, rest: Duration) -> bool {
-    _ = stream.set_read_timeout(Some(rest));
-    let came = stream.peek(&mut [0]);
+/// Whether nothing arrives on a connection for so long.
+fn stays_idle(stream: &TcpStream, time: Duration) -> bool {
+    _ = stream.set_read_timeout(Some(time));
+    let arrived = stream.peek(&mut [0]);
     _ = stream.set_read_timeout(None);
-    came.is_err_and(|e| matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut))
+    arrived.is_err_and(|e| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut))
 }
--- a/crates/cli/tests/soak/run_config.rs
+++ b/crates/cli/tests/soak/run_config.rs
@@ -1,67 +1,68 @@
-//! What a run of the soak plays, drawn from its seed.
+//! The configuration of a soak run, drawn from its seed.
 
-use crate::rig::Seeded;
+use crate::support::random::SeededRandom;
 use std::time::Duration;
 
-/// A break that is put into the traffic, which the audit must find.
+/// A defect seeded into the traffic, which the audit must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Plant {
-    /// A client gets the answer that was made for another request.
-    SwappedAnswer,
-    /// A request gets to no host, and its connection ends without an answer.
-    SwallowedRequest,
+pub enum Defect {
+    /// A client gets the response to another request.
+    SwappedResponse,
+    /// A request reaches no host, and its connection ends without a response.
+    LostRequest,
 }
 
-/// What a run plays.
+/// The configuration of a run.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct RunConfig {
     pub seed: u64,
     pub hosts: usize,
     pub shards: usize,
     /// Clients that send requests to each host.
     pub clients: usize,
-    /// Clients that connect to the first host and say nothing.
-    pub crowd: usize,
+    /// Connections to the first host that stay idle.
+    pub idle_connections: usize,
     /// The longest deadline of any class.
-    pub longest: Duration,
-    /// Out of a hundred answers, so many are followed or replaced by something that does not belong there.
-    pub strays: u64,
-    /// Out of a hundred requests, so many meet fault at their node.
-    pub trouble: u64,
-    /// Out of a hundred requests, so many are abandoned by their client.
-    pub abandoned: u64,
-    /// The time between an answer and its late copy is below this.
-    pub lateness: u64,
-    /// A client rests for less than so many milliseconds between its pieces.
-    pub rest: u64,
-    /// Whether hosts are held up now and then, for 0.14 s.
-    pub stalls: bool,
-    pub plant: Option<Plant>,
+    pub longest_deadline: Duration,
+    /// Percentage of responses with unsolicited bytes behind them.
+    pub unsolicited_percent: u64,
+    /// Percentage of requests that meet a fault of their node.
+    pub fault_percent: u64,
+    /// Percentage of writes to a connection after which the client disconnects.
+    pub cancelled_percent: u64,
+    /// Bound of the delay between a response and unsolicited bytes behind it.
+    pub duplicate_delay_ms: u64,
+    /// Bound of a client's pause between writes.
+    pub pause_ms: u64,
+    /// Whether hosts are stopped now and then, for 0.14 s.
+    pub with_stalls: bool,
+    pub defect: Option<Defect>,
 }
 
-impl Plan {
-    pub fn drawn(seed: u64, plant: Option<Plant>) -> Plan {
-        let mut draw = Seeded::new(seed);
+impl RunConfig {
+    pub fn from_seed(seed: u64, defect: Option<Defect>) -> RunConfig {
+        let mut random = SeededRandom::new(seed);
         let hosts = match seed % 5 {
-            0 => 12 + draw.below(19) as usize,
+            0 => 12 + random.below(19) as usize,
             1 => 2,
-            _ => 2 + draw.below(6) as usize,
+            _ => 2 + random.below(6) as usize,
         };
-        let quiet = plant.is_some();
-        Plan {
+        // A run with a seeded defect has no other faults.
+        let quiet = defect.is_some();
+        RunConfig {
             seed,
             hosts: if quiet { 2 } else { hosts },
-            shards: 2 + draw.below(3) as usize,
+            shards: 2 + random.below(3) as usize,
             clients: if hosts > 8 { 3 } else { 6 },
-            crowd: if seed.is_multiple_of(3) { 300 } else { 0 },
-            longest: Duration::from_millis([600, 1200, 3000][draw.below(3) as usize]),
-            strays: if quiet { 0 } else { [0, 10, 33][draw.below(3) as usize] },
-            trouble: if quiet { 0 } else { [1, 5, 15][draw.below(3) as usize] },
-            abandoned: if quiet { 0 } else { [2, 10, 40][draw.below(3) as usize] },
-            lateness: [6, 25, 250][draw.below(3) as usize],
-            rest: [3, 40][draw.below(2) as usize],
-            stalls: !quiet && draw.below(2) == 0,
-            plant,
+            idle_connections: if seed.is_multiple_of(3) { 300 } else { 0 },
+            longest_deadline: Duration::from_millis([600, 1200, 3000][random.below(3) as usize]),
+            unsolicited_percent: if quiet { 0 } else { [0, 10, 33][random.below(3) as usize] },
+            fault_percent: if quiet { 0 } else { [1, 5, 15][random.below(3) as usize] },
+            cancelled_percent: if quiet { 0 } else { [2, 10, 40][random.below(3) as usize] },
+            duplicate_delay_ms: [6, 25, 250][random.below(3) as usize],
+            pause_ms: [3, 40][random.below(2) as usize],
+            with_stalls: !quiet && random.below(2) == 0,
+            defect,
         }
     }
 }
--- /dev/null
+++ b/crates/cli/tests/support/http_message.rs
@@ -0,0 +1,72 @@
+//! HTTP messages, read and written by hand.
+
+use std::io::BufRead;
+
+/// One HTTP message as it came: its start line, its fields and its body.
+#[derive(Clone, Debug)]
+pub struct HttpMessage {
+    pub start_line: String,
+    pub fields: Vec<(String, String)>,
+    pub body: Vec<u8>,
+}
+
+impl HttpMessage {
+    /// Reads the next message; none where the peer ended before it was whole.
+    pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
+        let mut line = String::new();
+        let mut next = |from: &mut dyn BufRead| {
+            line.clear();
+            from.read_line(&mut line).ok().filter(|n| *n > 0)?;
+            line.strip_suffix("\r\n").map(str::to_string)
+        };
+        let start_line = next(from)?;
+        let mut fields = Vec::new();
+        loop {
+            let field = next(from)?;
+            match field.split_once(": ") {
+                Some((name, value)) => fields.push((name.to_ascii_lowercase(), value.to_string())),
+                None => break,
+            }
+        }
+        let mut message = HttpMessage { start_line, fields, body: Vec::new() };
+        let length = message.field("content-length").map_or(0, |n| n.parse().unwrap());
+        message.body = vec![0; length];
+        from.read_exact(&mut message.body).ok()?;
+        Some(message)
+    }
+
+    /// The value of a field, named in lower case.
+    pub fn field(&self, name: &str) -> Option<&str> {
+        self.fields.iter().find(|f| f.0 == name).map(|f| f.1.as_str())
+    }
+
+    /// The status code of a response.
+    pub fn status(&self) -> u16 {
+        self.start_line.split(' ').nth(1).unwrap().parse().unwrap()
+    }
+}
+
+/// A request's bytes: its id, class, shard and client timeout in milliseconds. Reads have no body.
+pub fn request_bytes(id: &str, class: &str, shard: i32, timeout_ms: u32) -> Vec<u8> {
+    let object = id.bytes().fold(17u64, |sum, b| sum.wrapping_mul(31).wrapping_add(u64::from(b)));
+    let (method, body) = if class == "read" { ("GET", "") } else { ("PUT", "some bytes") };
+    let length = if class == "read" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+    format!(
+        "{method} /api/00000003b4d60021/{object:016x}?v=1 HTTP/1.1\r\nHost: backend.local\r\n\
+        X-Request-Id: {id}\r\nX-Class: {class}\r\nX-Qos-Policy: gold\r\nX-Deadline: {timeout_ms}m\r\n\
+        Idempotency-Key: key-{id}\r\n{length}X-Placement: units=2,shard={shard},hosts=1\r\n\r\n{body}"
+    )
+    .into_bytes()
+}
+
+/// The body with which a node answers a request: its id, padded.
+pub fn expected_body(id: &str) -> String {
+    format!("{id:-<24}")
+}
+
+/// Checks that a request was served with the response that belongs to it.
+pub fn assert_served(response: Option<HttpMessage>, id: &str) {
+    let response = response.unwrap_or_else(|| panic!("{id} has no answer"));
+    let body = String::from_utf8_lossy(&response.body);
+    assert_eq!((response.status(), body.as_ref()), (200, &*expected_body(id)));
+}
--- a/crates/cli/tests/support/proxy.rs
+++ b/crates/cli/tests/support/proxy.rs
@@ -1,94 +1,96 @@
-//! A TCP proxy on loopback that does harm to connections on a plan.
+//! A TCP proxy on loopback that injects faults into connections.
 
+use super::loopback::{listen, reset_on_drop};
 use std::io::{Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What happens to a connection through the proxy.
+/// What is wrong with a connection through the proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Harm {
+pub enum ConnectionFault {
     None,
-    /// The connection is reset as soon as it stands.
+    /// The connection is reset as soon as it is established.
     Reset,
-    /// Each piece of an answer is passed on so long after it came.
+    /// Each piece of a response is forwarded so long after it came.
     Delay(Duration),
-    /// What the caller sends is read, and nothing is ever answered.
-    Silence,
+    /// What the client sends is read, and nothing is ever answered.
+    Unresponsive,
 }
 
-type Plan = Box<dyn Fn(usize) -> Harm + Send>;
+/// The fault of each connection, by its number.
+type FaultPlan = Box<dyn Fn(usize) -> ConnectionFault + Send>;
 
-/// A proxy before one server. Connections are counted from 0 in the order in which they came.
+/// A proxy in front of one server. Connections are counted from 0 in the order in which they came.
 pub struct Proxy {
     pub address: SocketAddr,
-    plan: Arc<Mutex<Plan>>,
-    came: Arc<Mutex<Vec<Instant>>>,
-    callers: Arc<Mutex<Vec<TcpStream>>>,
+    plan: Arc<Mutex<FaultPlan>>,
+    connection_times: Arc<Mutex<Vec<Instant>>>,
+    clients: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Proxy {
-    pub fn before(server: SocketAddr, plan: impl Fn(usize) -> Harm + Send + 'static) -> Proxy {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = listener.local_addr().unwrap();
-        let plan: Arc<Mutex<Plan>> = Arc::new(Mutex::new(Box::new(plan)));
-        let (came, callers) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(Vec::new())));
-        let (planned, counted, kept) = (plan.clone(), came.clone(), callers.clone());
+    pub fn start(server: SocketAddr, plan: impl Fn(usize) -> ConnectionFault + Send + 'static) -> Proxy {
+        let (listener, address) = listen();
+        let plan: Arc<Mutex<FaultPlan>> = Arc::new(Mutex::new(Box::new(plan)));
+        let connection_times = Arc::new(Mutex::new(Vec::new()));
+        let clients = Arc::new(Mutex::new(Vec::new()));
+        let (current_plan, times, open) = (plan.clone(), connection_times.clone(), clients.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let number = {
-                    let mut came = counted.lock().unwrap();
-                    came.push(Instant::now());
-                    came.len() - 1
+                    let mut times = times.lock().unwrap();
+                    times.push(Instant::now());
+                    times.len() - 1
                 };
-                let harm = planned.lock().unwrap()(number);
-                if harm != Harm::Reset {
-                    kept.lock().unwrap().push(stream.try_clone().unwrap());
+                let fault = current_plan.lock().unwrap()(number);
+                if fault != ConnectionFault::Reset {
+                    open.lock().unwrap().push(stream.try_clone().unwrap());
                 }
-                std::thread::spawn(move || carry(stream, server, harm));
+                std::thread::spawn(move || carry(stream, server, fault));
             }
         });
-        Proxy { address, plan, came, callers }
+        Proxy { address, plan, connection_times, clients }
     }
 
-    /// Connections that come from now on are treated by another plan.
-    pub fn plans(&self, plan: impl Fn(usize) -> Harm + Send + 'static) {
+    /// Connections from now on follow another plan.
+    pub fn set_plan(&self, plan: impl Fn(usize) -> ConnectionFault + Send + 'static) {
         *self.plan.lock().unwrap() = Box::new(plan);
     }
 
-    /// Ends all connections that stand.
-    pub fn cuts(&self) {
-        for caller in self.callers.lock().unwrap().drain(..) {
-            _ = caller.shutdown(Shutdown::Both);
+    /// Closes all open connections.
+    pub fn close_all(&self) {
+        for client in self.clients.lock().unwrap().drain(..) {
+            _ = client.shutdown(Shutdown::Both);
         }
     }
 
     /// When each connection came.
-    pub fn came(&self) -> Vec<Instant> {
-        self.came.lock().unwrap().clone()
+    pub fn connection_times(&self) -> Vec<Instant> {
+        self.connection_times.lock().unwrap().clone()
     }
 }
 
-fn carry(caller: TcpStream, server: SocketAddr, harm: Harm) {
-    let delay = match harm {
-        Harm::Reset => {
-            socket2::SockRef::from(&caller).set_linger(Some(Duration::ZERO)).unwrap();
+fn carry(client: TcpStream, server: SocketAddr, fault: ConnectionFault) {
+    let delay = match fault {
+        ConnectionFault::Reset => {
+            reset_on_drop(&client);
             return;
         }
-        Harm::Silence => {
-            pump(&caller, None, Duration::ZERO);
+        ConnectionFault::Unresponsive => {
+            pump(&client, None, Duration::ZERO);
             return;
         }
-        Harm::None => Duration::ZERO,
-        Harm::Delay(delay) => delay,
+        ConnectionFault::None => Duration::ZERO,
+        ConnectionFault::Delay(delay) => delay,
     };
-    let Ok(served) = TcpStream::connect(server) else { return };
-    let (back_from, back_to) = (served.try_clone().unwrap(), caller.try_clone().unwrap());
+    let Ok(upstream) = TcpStream::connect(server) else { return };
+    let (back_from, back_to) = (upstream.try_clone().unwrap(), client.try_clone().unwrap());
     std::thread::spawn(move || pump(&back_from, Some(&back_to), delay));
-    pump(&caller, Some(&served), Duration::ZERO);
+    pump(&client, Some(&upstream), Duration::ZERO);
 }
 
-/// Carries bytes one way until an end.
+/// Copies bytes one way until either side ends.
 fn pump(mut from: &TcpStream, to: Option<&TcpStream>, delay: Duration) {
     let mut piece = [0; 16 << 10];
     loop {
--- a/crates/cli/tests/support/syscall_faults.c
+++ b/crates/cli/tests/support/syscall_faults.c
@@ -1,6 +1,6 @@
-/* Has socket calls of a process fail now and then, loaded by LD_PRELOAD.
+/* Makes socket calls of a process fail at intervals, loaded by LD_PRELOAD.
  *
- * SHIM_FAULTS names what fails: "accept4=103/4,connect=101/3" has every fourth accept4 fail with errno 103 and every
+ * SYSCALL_FAULTS names what fails: "accept4=103/4,connect=101/3" has every fourth accept4 fail with errno 103 and every
  * third connect with errno 101. Calls are counted from 1 for each function. A call that fails does nothing else, but
  * for accept4, which takes the connection and ends it where the errno is ECONNABORTED.
  */
@@ -16,7 +16,7 @@
 
 /* The errno with which this call of a function is to fail, or 0. */
 static int fault(const char *function, atomic_uint *calls) {
-    const char *faults = getenv("SHIM_FAULTS");
+    const char *faults = getenv("SYSCALL_FAULTS");
     const char *named = faults ? strstr(faults, function) : NULL;
     int number;
     unsigned every;
