--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,6 +1,6 @@
 //! Why a subcommand failed, and the exit codes that `docs/operators.md` lists.
 
-use magpiewick_hcl_settings::Faults;
+use magpiewick_hcl_settings::SettingsErrors;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -30,7 +30,7 @@
 #[derive(Debug, Error)]
 pub enum Error {
     #[error(transparent)]
-    Settings(#[from] Faults),
+    Settings(#[from] SettingsErrors),
     #[error("{}: the block {block} is missing; this command needs it", file.display())]
     BlockMissing { file: PathBuf, block: &'static str },
     #[error("{}: no node {number} in the block standin", file.display())]
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,12 +1,12 @@
 //! Reads a settings file as a whole, so that all its errors are reported at once.
 
-use magpiewick_hcl_settings::{read_file, Faults};
+use magpiewick_hcl_settings::{read_file, SettingsErrors};
 use magpiewick_scenario::{read_all, Sheet};
 use std::hash::{BuildHasher, Hasher};
 use std::path::Path;
 
 /// Reads the file; a host without a seed of its own gets a fresh one.
-pub fn read(path: &Path) -> Result<Sheet, Faults> {
+pub fn read(path: &Path) -> Result<Sheet, SettingsErrors> {
     let settings = read_file(path, |root| read_all(root, fresh_number()))?;
     // A file without the block `host` has that error, so there is a value where there is no error.
     Ok(settings.expect("a file without an error has a host"))
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::Ms;
 use magpiewick_extents::Pace;
-use magpiewick_hcl_settings::Part;
+use magpiewick_hcl_settings::SettingsBlock;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// How a node that has just started does its work.
@@ -75,69 +75,69 @@
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Reads the block `standin` of a file, where it has one.
-pub fn fleet(root: &Part) -> Option<EmulatorConfig> {
-    let p = root.part("standin")?;
-    let cores = p.field("cores").whole_or(1..=1024, 2);
-    let speed = p.field("speed").number_or(1.0);
+pub fn fleet(root: &SettingsBlock) -> Option<EmulatorConfig> {
+    let p = root.optional_block("standin")?;
+    let cores = p.attribute("cores").integer_or(1..=1024, 2);
+    let speed = p.attribute("speed").number_or(1.0);
     if speed <= 0.0 {
-        p.fault_at("speed", "a speed of 0: nothing would ever be done");
+        p.report_attribute_error("speed", "a speed of 0: nothing would ever be done");
     }
-    let nodes = p.labelled("node").iter().map(|n| node(n, cores, speed)).collect::<Vec<_>>();
+    let nodes = p.labelled_blocks("node").iter().map(|n| node(n, cores, speed)).collect::<Vec<_>>();
     if nodes.is_empty() {
-        p.fault("no node; expected at least one block node \"number\"");
+        p.report_error("no node; expected at least one block node \"number\"");
     }
-    let classes = p.field("fingerprinted");
-    let fingerprinted = if classes.given() { classes.wholes() } else { Vec::new() };
+    let classes = p.attribute("fingerprinted");
+    let fingerprinted = if classes.is_present() { classes.integers() } else { Vec::new() };
     Some(EmulatorConfig {
-        seed: p.field("seed").whole_or(0..=u64::MAX, 1),
-        list: p.field("list").address_or(ANY),
-        list_late: p.field("list_late").time_or(0.0),
-        unit_work: p.field("unit_work").time_or(1.0),
-        command_work: p.field("command_work").time_or(0.0),
-        block: p.field("block").whole_or(8..=1 << 20, 64) as usize,
-        queue: p.field("queue").whole_or(1..=1 << 20, 256) as usize,
-        cold: cold(p.part("cold")),
+        seed: p.attribute("seed").integer_or(0..=u64::MAX, 1),
+        list: p.attribute("list").address_or(ANY),
+        list_late: p.attribute("list_late").duration_ms_or(0.0),
+        unit_work: p.attribute("unit_work").duration_ms_or(1.0),
+        command_work: p.attribute("command_work").duration_ms_or(0.0),
+        block: p.attribute("block").integer_or(8..=1 << 20, 64) as usize,
+        queue: p.attribute("queue").integer_or(1..=1 << 20, 256) as usize,
+        cold: cold(p.optional_block("cold")),
         fingerprinted: fingerprinted.into_iter().map(|class| class as u16).collect(),
-        group: p.field("group").one_of_or(&SCOPES, DeduplicationScope::Shard),
-        memory: p.field("memory").time_or(0.0),
-        put_off: p.field("put_off").part_or(0.0),
-        put_off_every: p.field("put_off_every").time_or(1000.0),
+        group: p.attribute("group").one_of_or(&SCOPES, DeduplicationScope::Shard),
+        memory: p.attribute("memory").duration_ms_or(0.0),
+        put_off: p.attribute("put_off").fraction_or(0.0),
+        put_off_every: p.attribute("put_off_every").duration_ms_or(1000.0),
         nodes,
-        extents: p.field("extents").whole_or(0..=1 << 20, 0),
-        keys: p.field("keys").whole_or(1..=1 << 40, 1 << 20),
-        move_step: p.field("move_step").time_or(20.0),
+        extents: p.attribute("extents").integer_or(0..=1 << 20, 0),
+        keys: p.attribute("keys").integer_or(1..=1 << 40, 1 << 20),
+        move_step: p.attribute("move_step").duration_ms_or(20.0),
         pace: Pace {
-            at_once: p.field("moves").whole_or(1..=1000, 4) as usize,
-            a_shard: p.field("moves_a_shard").whole_or(1..=1000, 2) as usize,
-            queue: p.field("moves_queue").whole_or(1..=1 << 20, 64) as usize,
+            at_once: p.attribute("moves").integer_or(1..=1000, 4) as usize,
+            a_shard: p.attribute("moves_a_shard").integer_or(1..=1000, 2) as usize,
+            queue: p.attribute("moves_queue").integer_or(1..=1 << 20, 64) as usize,
         },
         volumes: Vec::new(),
     })
 }
 
-fn cold(part: Option<Part>) -> Cold {
+fn cold(part: Option<SettingsBlock>) -> Cold {
     let warm = Cold { share: 1.0, time: 0.0, fall_multiple: 1.0, fall_time: 0.0, units: f64::INFINITY };
     part.map_or(warm, |p| Cold {
-        share: p.field("share").part_or(1.0),
-        time: p.field("time").time(),
-        fall_multiple: p.field("fall_multiple").number(),
-        fall_time: p.field("fall_time").time(),
-        units: p.field("units").number_or(0.0),
+        share: p.attribute("share").fraction_or(1.0),
+        time: p.attribute("time").duration_ms(),
+        fall_multiple: p.attribute("fall_multiple").number(),
+        fall_time: p.attribute("fall_time").duration_ms(),
+        units: p.attribute("units").number_or(0.0),
     })
 }
 
-fn node(p: &Part, cores: u64, speed: f64) -> NodeConfig {
+fn node(p: &SettingsBlock, cores: u64, speed: f64) -> NodeConfig {
     let number = p.label().parse().unwrap_or_else(|_| {
-        p.fault(format!("the label {:?} of a node is not its number", p.label()));
+        p.report_error(format!("the label {:?} of a node is not its number", p.label()));
         0
     });
     NodeConfig {
         number,
-        listen: p.field("listen").address_or(ANY),
-        zone: p.field("zone").whole_or(0..=u64::from(u16::MAX), 0) as u16,
-        shard: p.field("shard").whole(0..=u64::from(u16::MAX)) as u32,
-        cores: p.field("cores").whole_or(1..=1024, cores) as usize,
-        speed: p.field("speed").number_or(speed),
-        spare: p.field("spare").flag_or(false),
+        listen: p.attribute("listen").address_or(ANY),
+        zone: p.attribute("zone").integer_or(0..=u64::from(u16::MAX), 0) as u16,
+        shard: p.attribute("shard").integer(0..=u64::from(u16::MAX)) as u32,
+        cores: p.attribute("cores").integer_or(1..=1024, cores) as usize,
+        speed: p.attribute("speed").number_or(speed),
+        spare: p.attribute("spare").bool_or(false),
     }
 }
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{Fleet, Handle};
 use crate::Ms;
-use magpiewick_hcl_settings::Part;
+use magpiewick_hcl_settings::SettingsBlock;
 use magpiewick_transport::Clock;
 use std::time::Duration;
 
@@ -108,33 +108,33 @@
 }
 
 /// Reads the blocks `fault` of a file.
-pub fn read_troubles(root: &Part) -> Vec<Trouble> {
-    root.repeated("trouble").iter().filter_map(read_trouble).collect()
+pub fn read_troubles(root: &SettingsBlock) -> Vec<Trouble> {
+    root.repeated_blocks("trouble").iter().filter_map(read_trouble).collect()
 }
 
-fn read_trouble(p: &Part) -> Option<Trouble> {
+fn read_trouble(p: &SettingsBlock) -> Option<Trouble> {
     let kind = KINDS.iter().find(|(name, _)| *name == p.label()).map(|k| k.1);
     if kind.is_none() {
         let known: Vec<&str> = KINDS.iter().map(|k| k.0).collect();
-        p.fault(format!("unknown trouble {:?}; known: {}", p.label(), known.join(", ")));
+        p.report_error(format!("unknown trouble {:?}; known: {}", p.label(), known.join(", ")));
     }
-    let (from, to) = (p.field("from").time(), p.field("to").time_or(f64::INFINITY));
+    let (from, to) = (p.attribute("from").duration_ms(), p.attribute("to").duration_ms_or(f64::INFINITY));
     if to <= from {
-        p.fault_at("to", "a trouble that ends before it begins");
+        p.report_attribute_error("to", "a trouble that ends before it begins");
     }
-    let successors = p.field("successors");
-    let lists = ["nodes", "zones", "hosts", "volumes"].map(|name| p.field(name));
-    let whom = lists.iter().find(|l| l.given()).map_or(Vec::new(), |l| l.wholes());
+    let successors = p.attribute("successors");
+    let lists = ["nodes", "zones", "hosts", "volumes"].map(|name| p.attribute(name));
+    let whom = lists.iter().find(|l| l.is_present()).map_or(Vec::new(), |l| l.integers());
     Some(Trouble {
         name: p.label().to_string(),
         kind: kind?,
         whom,
         from,
         to,
-        extent: p.field("extent").whole_or(0..=1 << 20, 0) as usize,
-        shard: p.field("shard").whole_or(0..=u64::from(u16::MAX), 0) as u32,
-        amount: p.field("amount").number_or(1.0),
-        successors: if successors.given() { successors.wholes() } else { Vec::new() },
+        extent: p.attribute("extent").integer_or(0..=1 << 20, 0) as usize,
+        shard: p.attribute("shard").integer_or(0..=u64::from(u16::MAX), 0) as u32,
+        amount: p.attribute("amount").number_or(1.0),
+        successors: if successors.is_present() { successors.integers() } else { Vec::new() },
     })
 }
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,7 +3,7 @@
 use magpiewick::{
     DeduplicationScope, Idempotency, Ms, QosPolicy, RequestClass, RetryBudget, SchedulerConfig,
 };
-use magpiewick_hcl_settings::Part;
+use magpiewick_hcl_settings::SettingsBlock;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -116,70 +116,73 @@
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// Reads a host's part of a file. `seed` is used where the file states none.
-pub fn host(root: &Part, seed: u64) -> Option<HostConfig> {
-    let part = root.must("host");
-    let list = root.part("list").map(|p| list(&p));
-    let round = part.as_ref().map_or(2.0, |p| p.field("round").time_or(2.0));
+pub fn host(root: &SettingsBlock, seed: u64) -> Option<HostConfig> {
+    let part = root.required_block("host");
+    let list = root.optional_block("list").map(|p| list(&p));
+    let round = part.as_ref().map_or(2.0, |p| p.attribute("round").duration_ms_or(2.0));
     let (classes, class_names) = classes(root, round);
     let (plans, plan_names) = plans(root);
-    let hosts = part.as_ref().map_or(1, |p| p.field("hosts").whole_or(1..=10_000, 1)) as f64;
+    let hosts = part.as_ref().map_or(1, |p| p.attribute("hosts").integer_or(1..=10_000, 1)) as f64;
     let volumes = volumes(root, &plan_names, hosts);
-    let log = log(root.part("log"));
+    let log = log(root.optional_block("log"));
     let part = part?;
-    let units = part.field("most_units").number_or(1.0);
-    let mean = part.field("mean_units").number_or(units);
+    let units = part.attribute("most_units").number_or(1.0);
+    let mean = part.attribute("mean_units").number_or(units);
     if mean > units || units <= 0.0 {
-        part.fault_at("mean_units", format!("mean_units {mean} must lie within most_units {units}"));
+        part.report_attribute_error(
+            "mean_units",
+            format!("mean_units {mean} must lie within most_units {units}"),
+        );
     }
     let max_poll_interval = list.as_ref().and_then(|(_, within)| *within);
     let mut start = SchedulerConfig {
-        seed: part.field("seed").whole_or(0..=u64::MAX, seed),
+        seed: part.attribute("seed").integer_or(0..=u64::MAX, seed),
         hosts,
         classes,
         plans,
         round,
-        max_attempts: part.field("hand_offs").whole_or(1..=100, 3) as u32,
-        can_cancel: part.field("cancels").flag_or(true),
-        max_retry_after: part.field("longest_back").time_or(500.0),
+        max_attempts: part.attribute("hand_offs").integer_or(1..=100, 3) as u32,
+        can_cancel: part.attribute("cancels").bool_or(true),
+        max_retry_after: part.attribute("longest_back").duration_ms_or(500.0),
         max_poll_interval,
         slow_start_share: 1.0,
         slow_start_duration: 0.0,
         slow_start_units: 0.0,
         overload_window: 0.0,
         overload_multiple: 1.0,
-        ordering_quiet_period: part.field("order_rest").time_or(0.0),
+        ordering_quiet_period: part.attribute("order_rest").duration_ms_or(0.0),
         budget: None,
         max_units: units,
         mean_units: mean,
         max_batch_units: units,
-        share_weight: part.field("share_payoff").part_or(0.35),
-        counts_remote_service: part.field("counts_others").flag_or(true),
+        share_weight: part.attribute("share_payoff").fraction_or(0.35),
+        counts_remote_service: part.attribute("counts_others").bool_or(true),
         peer: None,
     };
-    if let Some(p) = root.part("cold") {
+    if let Some(p) = root.optional_block("cold") {
         cold(&p, &mut start);
     }
-    start.budget = root.part("budget").map(|p| budget(&p));
+    start.budget = root.optional_block("budget").map(|p| budget(&p));
     if start.max_attempts > 1 && start.classes.iter().all(|b| b.idempotency == Idempotency::NonIdempotent) {
         let message = "hand_offs to spare, where every band is binding; a second one is never allowed after \
             the first may have run";
-        part.fault_at("hand_offs", message);
+        part.report_attribute_error("hand_offs", message);
     }
     capacity(root, &start, &volumes);
     let bounds = Bounds {
-        connect_within: part.field("connect_within").time_or(250.0),
-        frame_within: part.field("frame_within").time_or(10_000.0),
-        most_clients: part.field("most_clients").whole_or(1..=1_000_000, 4096) as usize,
-        most_in_hand: part.field("most_in_hand").whole_or(1..=10_000_000, 50_000) as usize,
-        client_buffer: part.field("client_buffer").whole_or(1024..=1 << 30, 4 << 20) as usize,
+        connect_within: part.attribute("connect_within").duration_ms_or(250.0),
+        frame_within: part.attribute("frame_within").duration_ms_or(10_000.0),
+        most_clients: part.attribute("most_clients").integer_or(1..=1_000_000, 4096) as usize,
+        most_in_hand: part.attribute("most_in_hand").integer_or(1..=10_000_000, 50_000) as usize,
+        client_buffer: part.attribute("client_buffer").integer_or(1024..=1 << 30, 4 << 20) as usize,
     };
-    let merge = merge(root.part("merge"), units);
+    let merge = merge(root.optional_block("merge"), units);
     if merge.parts > 1 {
         start.max_batch_units = merge.units.max(units);
     }
     Some(HostConfig {
-        number: part.field("number").whole_or(0..=u64::from(u32::MAX), 0) as u32,
-        listen: part.field("listen").address_or(LOOPBACK),
+        number: part.attribute("number").integer_or(0..=u64::from(u32::MAX), 0) as u32,
+        listen: part.attribute("listen").address_or(LOOPBACK),
         list: list.map_or(
             ListSource { address: LOOPBACK, asked: false, map: false, remember: None },
             |(source, _)| source,
@@ -191,17 +194,17 @@
         bounds,
         log,
         merge,
-        split: split(root.part("split")),
+        split: split(root.optional_block("split")),
     })
 }
 
-fn list(p: &Part) -> (ListSource, Option<Ms>) {
-    let asked = p.field("mode").one_of_or(&MODES, false);
-    let within = p.field("ask_within");
-    let max_poll_interval = match (asked, within.given()) {
-        (true, _) => Some(within.time()),
+fn list(p: &SettingsBlock) -> (ListSource, Option<Ms>) {
+    let asked = p.attribute("mode").one_of_or(&MODES, false);
+    let within = p.attribute("ask_within");
+    let max_poll_interval = match (asked, within.is_present()) {
+        (true, _) => Some(within.duration_ms()),
         (false, true) => {
-            p.fault_at(
+            p.report_attribute_error(
                 "ask_within",
                 "ask_within goes with mode = \"ask\"; a list that is pushed is not asked for",
             );
@@ -209,95 +212,101 @@
         }
         (false, false) => None,
     };
-    let remember = p.field("remember");
-    let remember = remember.given().then(|| PathBuf::from(remember.text()));
-    let (address, map) = (p.field("address").address_or(LOOPBACK), p.field("map").flag_or(false));
+    let remember = p.attribute("remember");
+    let remember = remember.is_present().then(|| PathBuf::from(remember.string()));
+    let (address, map) = (p.attribute("address").address_or(LOOPBACK), p.attribute("map").bool_or(false));
     let source = ListSource { address, asked, map, remember };
     (source, max_poll_interval)
 }
 
 /// Without the block a batch weighs at most two of the largest requests.
-fn merge(part: Option<Part>, max_units: f64) -> magpiewick_coalescing::Bounds {
+fn merge(part: Option<SettingsBlock>, max_units: f64) -> magpiewick_coalescing::Bounds {
     let (parts, units, bytes, reach) = (8, 2.0 * max_units, 64 << 10, 64);
     part.map_or(magpiewick_coalescing::Bounds { parts, units, bytes, reach }, |p| {
         magpiewick_coalescing::Bounds {
-            parts: p.field("parts").whole_or(1..=256, parts as u64) as usize,
-            units: p.field("units").number_or(units),
-            bytes: p.field("bytes").whole_or(1..=512 << 10, bytes as u64) as usize,
-            reach: p.field("reach").whole_or(0..=1 << 40, reach),
+            parts: p.attribute("parts").integer_or(1..=256, parts as u64) as usize,
+            units: p.attribute("units").number_or(units),
+            bytes: p.attribute("bytes").integer_or(1..=512 << 10, bytes as u64) as usize,
+            reach: p.attribute("reach").integer_or(0..=1 << 40, reach),
         }
     })
 }
 
-fn split(part: Option<Part>) -> Split {
+fn split(part: Option<SettingsBlock>) -> Split {
     let (blocks, at_once) = (64, 4);
     part.map_or(Split { blocks, at_once }, |p| Split {
-        blocks: p.field("blocks").whole_or(1..=1 << 30, blocks),
-        at_once: p.field("at_once").whole_or(1..=256, at_once as u64) as usize,
+        blocks: p.attribute("blocks").integer_or(1..=1 << 30, blocks),
+        at_once: p.attribute("at_once").integer_or(1..=256, at_once as u64) as usize,
     })
 }
 
-fn classes(root: &Part, round: Ms) -> (Vec<RequestClass>, Vec<String>) {
-    let parts = root.labelled("band");
+fn classes(root: &SettingsBlock, round: Ms) -> (Vec<RequestClass>, Vec<String>) {
+    let parts = root.labelled_blocks("band");
     if parts.is_empty() {
-        root.fault("no band; expected at least one block band \"name\"");
+        root.report_error("no band; expected at least one block band \"name\"");
     }
-    let read = |p: &Part| {
-        let idempotency = p.field("repeats").one_of(&REPEATS).unwrap_or(Idempotency::NonIdempotent);
-        let (deduplication_scope, deduplication_window) = (p.field("group"), p.field("memory"));
+    let read = |p: &SettingsBlock| {
+        let idempotency = p.attribute("repeats").one_of(&REPEATS).unwrap_or(Idempotency::NonIdempotent);
+        let (deduplication_scope, deduplication_window) = (p.attribute("group"), p.attribute("memory"));
         let fingerprinted = idempotency == Idempotency::IdempotentWithKey;
         for (name, given) in
-            [("group", deduplication_scope.given()), ("memory", deduplication_window.given())]
+            [("group", deduplication_scope.is_present()), ("memory", deduplication_window.is_present())]
         {
             if given && !fingerprinted {
-                p.fault_at(name, format!("{name} goes with repeats = \"fingerprinted\" only"));
+                p.report_attribute_error(name, format!("{name} goes with repeats = \"fingerprinted\" only"));
             }
         }
         let class = RequestClass {
-            latency_objective: p.field("soft_limit").time(),
-            client_timeout: p.field("time_limit").time(),
-            priority_weight: p.field("payoff").number_or(1.0),
+            latency_objective: p.attribute("soft_limit").duration_ms(),
+            client_timeout: p.attribute("time_limit").duration_ms(),
+            priority_weight: p.attribute("payoff").number_or(1.0),
             idempotency,
             deduplication_scope: deduplication_scope.one_of_or(&SCOPES, DeduplicationScope::Shard),
-            deduplication_window: if fingerprinted { deduplication_window.time() } else { 0.0 },
-            ordered: p.field("in_order").flag_or(false),
+            deduplication_window: if fingerprinted { deduplication_window.duration_ms() } else { 0.0 },
+            ordered: p.attribute("in_order").bool_or(false),
         };
         if class.latency_objective > class.client_timeout {
             let (soft, most) = (class.latency_objective, class.client_timeout);
-            p.fault_at(
+            p.report_attribute_error(
                 "soft_limit",
                 format!("soft_limit of {soft}ms lies beyond the time_limit of {most}ms"),
             );
         }
-        if class.client_timeout <= 4.0 * round && p.field("time_limit").given() {
-            p.fault_at("time_limit", format!("time_limit leaves no time beside a round of {round}ms"));
+        if class.client_timeout <= 4.0 * round && p.attribute("time_limit").is_present() {
+            p.report_attribute_error(
+                "time_limit",
+                format!("time_limit leaves no time beside a round of {round}ms"),
+            );
         }
         class
     };
     (parts.iter().map(read).collect(), parts.iter().map(|p| p.label().to_string()).collect())
 }
 
-fn plans(root: &Part) -> (Vec<QosPolicy>, Vec<String>) {
-    let parts = root.labelled("plan");
+fn plans(root: &SettingsBlock) -> (Vec<QosPolicy>, Vec<String>) {
+    let parts = root.labelled_blocks("plan");
     if parts.is_empty() {
-        root.fault("no plan; expected at least one block plan \"name\"");
+        root.report_error("no plan; expected at least one block plan \"name\"");
     }
-    let read = |p: &Part| {
-        let rate = p.field("rate").number();
+    let read = |p: &SettingsBlock| {
+        let rate = p.attribute("rate").number();
         let plan = QosPolicy {
-            price: p.field("price").number_or(1.0),
-            weight: p.field("weight").number_or(1.0),
+            price: p.attribute("price").number_or(1.0),
+            weight: p.attribute("weight").number_or(1.0),
             rate,
-            reserve: p.field("reserve").number_or(0.0),
-            limit_rate: p.field("limit_rate").number_or(0.0),
-            limit_burst: p.field("limit_store").number_or(0.0),
+            reserve: p.attribute("reserve").number_or(0.0),
+            limit_rate: p.attribute("limit_rate").number_or(0.0),
+            limit_burst: p.attribute("limit_store").number_or(0.0),
         };
         if plan.limit_rate > 0.0 && plan.reserve > plan.limit_rate {
             let (reserve, limit) = (plan.reserve, plan.limit_rate);
-            p.fault_at("reserve", format!("a reserve of {reserve} lies beyond the limit_rate of {limit}"));
+            p.report_attribute_error(
+                "reserve",
+                format!("a reserve of {reserve} lies beyond the limit_rate of {limit}"),
+            );
         }
         if (plan.limit_rate > 0.0) != (plan.limit_burst > 0.0) {
-            p.fault_at(
+            p.report_attribute_error(
                 "limit_store",
                 "limit_rate and limit_store go together: a rate and what may come at once",
             );
@@ -307,23 +316,26 @@
     (parts.iter().map(read).collect(), parts.iter().map(|p| p.label().to_string()).collect())
 }
 
-fn volumes(root: &Part, plans: &[String], hosts: f64) -> BTreeMap<u64, Volume> {
+fn volumes(root: &SettingsBlock, plans: &[String], hosts: f64) -> BTreeMap<u64, Volume> {
     let mut volumes = BTreeMap::new();
-    for p in root.labelled("volume") {
-        let id = p.field("id").whole(0..=u64::MAX);
+    for p in root.labelled_blocks("volume") {
+        let id = p.attribute("id").integer(0..=u64::MAX);
         let names: Vec<(&str, usize)> = plans.iter().map(String::as_str).zip(0..).collect();
-        let plan = p.field("plan").one_of(&names).unwrap_or(0);
-        let shards: Vec<usize> = p.field("shards").wholes().iter().map(|s| *s as usize).collect();
-        if p.field("shards").given() && shards.is_empty() {
-            p.fault_at("shards", "shards is empty; a volume's data lies on one at least");
+        let plan = p.attribute("plan").one_of(&names).unwrap_or(0);
+        let shards: Vec<usize> = p.attribute("shards").integers().iter().map(|s| *s as usize).collect();
+        if p.attribute("shards").is_present() && shards.is_empty() {
+            p.report_attribute_error("shards", "shards is empty; a volume's data lies on one at least");
         }
-        let through = p.field("hosts").number_or(hosts);
+        let through = p.attribute("hosts").number_or(hosts);
         if through < 1.0 || through > hosts {
-            p.fault_at("hosts", format!("a volume comes through 1 to {hosts} hosts, not {through}"));
+            p.report_attribute_error(
+                "hosts",
+                format!("a volume comes through 1 to {hosts} hosts, not {through}"),
+            );
         }
         let volume = Volume { name: p.label().to_string(), plan, shards, hosts: through };
         if volumes.insert(id, volume).is_some() {
-            p.fault_at("id", format!("a second volume with the id {id}"));
+            p.report_attribute_error("id", format!("a second volume with the id {id}"));
         }
     }
     volumes
@@ -331,54 +343,77 @@
 
 /// The hosts that tell each other; all of them state each other in the same words, so each can be given the same
 /// file. Which of them this one is stands in its number, which may be given at its start.
-fn peers(root: &Part, hosts: usize) -> BTreeMap<usize, SocketAddr> {
+fn peers(root: &SettingsBlock, hosts: usize) -> BTreeMap<usize, SocketAddr> {
     let mut peers = BTreeMap::new();
-    for p in root.labelled("peer") {
+    for p in root.labelled_blocks("peer") {
         let number: Option<usize> = p.label().parse().ok().filter(|number| *number < hosts);
-        let Some(address) = p.field("address").address() else { continue };
+        let Some(address) = p.attribute("address").address() else { continue };
         if address.port() == 0 {
-            p.fault_at("address", "an address without a port; expected one that other hosts can send to");
+            p.report_attribute_error(
+                "address",
+                "an address without a port; expected one that other hosts can send to",
+            );
         }
         if peers.values().any(|other| *other == address) {
-            p.fault_at("address", format!("a second peer at {address}"));
+            p.report_attribute_error("address", format!("a second peer at {address}"));
         }
         match number {
             Some(number) if number.to_string() == p.label() => _ = peers.insert(number, address),
-            _ => p.fault(format!("a peer {:?}; expected a host's number, 0 to {}", p.label(), hosts - 1)),
+            _ => p.report_error(format!(
+                "a peer {:?}; expected a host's number, 0 to {}",
+                p.label(),
+                hosts - 1
+            )),
         }
     }
     peers
 }
 
-fn cold(p: &Part, start: &mut SchedulerConfig) {
-    start.slow_start_share = p.field("share").part_or(1.0);
-    start.slow_start_duration = p.field("time").time();
-    start.slow_start_units = p.field("units").number_or(0.0);
-    start.overload_window = p.field("fall_time").time();
-    start.overload_multiple = p.field("fall_multiple").number();
+fn cold(p: &SettingsBlock, start: &mut SchedulerConfig) {
+    start.slow_start_share = p.attribute("share").fraction_or(1.0);
+    start.slow_start_duration = p.attribute("time").duration_ms();
+    start.slow_start_units = p.attribute("units").number_or(0.0);
+    start.overload_window = p.attribute("fall_time").duration_ms();
+    start.overload_multiple = p.attribute("fall_multiple").number();
     if start.slow_start_share <= 0.0 {
-        p.fault_at("share", "a share of 0: a node that can do nothing at its start is never warm");
+        p.report_attribute_error(
+            "share",
+            "a share of 0: a node that can do nothing at its start is never warm",
+        );
     }
-    if start.overload_window <= 0.0 && p.field("fall_time").given() {
-        p.fault_at("fall_time", "a fall_time of 0; expected the time over which a cold node is pushed over");
+    if start.overload_window <= 0.0 && p.attribute("fall_time").is_present() {
+        p.report_attribute_error(
+            "fall_time",
+            "a fall_time of 0; expected the time over which a cold node is pushed over",
+        );
     }
-    if start.overload_multiple < 1.0 && p.field("fall_multiple").given() {
-        p.fault_at("fall_multiple", "a fall_multiple under 1: a cold node could not be sent what it can do");
+    if start.overload_multiple < 1.0 && p.attribute("fall_multiple").is_present() {
+        p.report_attribute_error(
+            "fall_multiple",
+            "a fall_multiple under 1: a cold node could not be sent what it can do",
+        );
     }
 }
 
-fn budget(p: &Part) -> RetryBudget {
-    let window = p.field("window").time();
-    if window <= 0.0 && p.field("window").given() {
-        p.fault_at("window", "a window of 0; expected the time over which further hand-offs are counted");
+fn budget(p: &SettingsBlock) -> RetryBudget {
+    let window = p.attribute("window").duration_ms();
+    if window <= 0.0 && p.attribute("window").is_present() {
+        p.report_attribute_error(
+            "window",
+            "a window of 0; expected the time over which further hand-offs are counted",
+        );
+    }
+    RetryBudget {
+        free: p.attribute("free").number_or(0.0),
+        share: p.attribute("share").number_or(0.0),
+        window,
     }
-    RetryBudget { free: p.field("free").number_or(0.0), share: p.field("share").number_or(0.0), window }
 }
 
 /// Checks what is reserved, and what a store may let out, against what the shards can do, where that is stated.
-fn capacity(root: &Part, start: &SchedulerConfig, volumes: &BTreeMap<u64, Volume>) {
-    let Some(p) = root.part("capacity") else { return };
-    let a_shard = p.field("units_a_second").number();
+fn capacity(root: &SettingsBlock, start: &SchedulerConfig, volumes: &BTreeMap<u64, Volume>) {
+    let Some(p) = root.optional_block("capacity") else { return };
+    let a_shard = p.attribute("units_a_second").number();
     let mut reserved: BTreeMap<usize, f64> = BTreeMap::new();
     for volume in volumes.values() {
         for shard in &volume.shards {
@@ -387,7 +422,7 @@
         }
     }
     for (shard, reserved) in reserved.into_iter().filter(|(_, reserved)| *reserved > a_shard) {
-        p.fault(format!(
+        p.report_error(format!(
             "the reserves on shard {shard} come to {reserved} units a second; it can do {a_shard}"
         ));
     }
@@ -399,11 +434,11 @@
     }
 }
 
-fn log(part: Option<Part>) -> LogConfig {
+fn log(part: Option<SettingsBlock>) -> LogConfig {
     part.map_or_else(LogConfig::default, |p| LogConfig {
-        level: p.field("level").one_of_or(&LEVELS, "info").to_string(),
-        format: p.field("format").one_of_or(&FORMATS, LogFormat::Text),
-        requests: p.field("commands").flag_or(false),
+        level: p.attribute("level").one_of_or(&LEVELS, "info").to_string(),
+        format: p.attribute("format").one_of_or(&FORMATS, LogFormat::Text),
+        requests: p.attribute("commands").bool_or(false),
     })
 }
 
--- a/crates/scenario/src/config.rs
+++ b/crates/scenario/src/config.rs
@@ -2,7 +2,7 @@
 
 use magpiewick_emulator::{read_fleet, read_troubles, EmulatorConfig, Trouble};
 use magpiewick_gateway::config::{host, HostConfig, Volume};
-use magpiewick_hcl_settings::Part;
+use magpiewick_hcl_settings::SettingsBlock;
 
 type Ms = f64;
 
@@ -96,70 +96,72 @@
 }
 
 /// Reads the blocks `scenario`, `traffic` and `fault` of a file, where it has a `traffic` block.
-pub fn read(root: &Part, host: &HostConfig) -> Option<ScenarioConfig> {
+pub fn read(root: &SettingsBlock, host: &HostConfig) -> Option<ScenarioConfig> {
     let troubles = read_troubles(root);
-    let drill = root.part("drill");
-    let traffic = root.part("traffic");
-    let number = |name, absent| drill.as_ref().map_or(absent, |p: &Part| p.field(name).time_or(absent));
+    let drill = root.optional_block("drill");
+    let traffic = root.optional_block("traffic");
+    let number = |name, absent| {
+        drill.as_ref().map_or(absent, |p: &SettingsBlock| p.attribute(name).duration_ms_or(absent))
+    };
     let (time, drain_within, noise) =
         (number("time", 10_000.0), number("drain_within", 250.0), number("noise", 60.0));
-    let alone = drill.as_ref().map(|p| p.field("alone")).filter(|f| f.given());
-    let alone = alone.map_or(Vec::new(), |f| f.wholes());
+    let alone = drill.as_ref().map(|p| p.attribute("alone")).filter(|f| f.is_present());
+    let alone = alone.map_or(Vec::new(), |f| f.integers());
     let traffic = traffic.map(|p| read_traffic(&p, host));
-    let storm = root.part("storm").map(|p| Storm {
-        ceiling: p.field("ceiling").number(),
-        quiet: p.field("quiet").time(),
-        recovers_to: p.field("recovers_to").part_or(0.9),
-        recovers_in: p.field("recovers_in").time_or(10_000.0),
+    let storm = root.optional_block("storm").map(|p| Storm {
+        ceiling: p.attribute("ceiling").number(),
+        quiet: p.attribute("quiet").duration_ms(),
+        recovers_to: p.attribute("recovers_to").fraction_or(0.9),
+        recovers_in: p.attribute("recovers_in").duration_ms_or(10_000.0),
     });
     if traffic.is_none() && drill.is_some() {
-        root.fault("the block traffic is missing; a drill needs clients");
+        root.report_error("the block traffic is missing; a drill needs clients");
     }
     Some(ScenarioConfig { time, drain_within, noise, alone, traffic: traffic?, troubles, storm })
 }
 
-fn read_traffic(p: &Part, host: &HostConfig) -> Traffic {
+fn read_traffic(p: &SettingsBlock, host: &HostConfig) -> Traffic {
     let classes: Vec<(&str, u16)> = host.classes.iter().map(String::as_str).zip(0..).collect();
-    let mixes = p.labelled("mix");
+    let mixes = p.labelled_blocks("mix");
     let mixes = mixes.iter().filter_map(|m| {
         let class = classes.iter().find(|(name, _)| *name == m.label());
         if class.is_none() {
-            m.fault(format!("a mix of the unknown band {:?}", m.label()));
+            m.report_error(format!("a mix of the unknown band {:?}", m.label()));
         }
         Some(Mix {
-            share: m.field("share").number(),
-            write: m.field("write").flag_or(false),
-            units: m.field("units").whole_or(1..=host.start.max_units.max(1.0) as u64, 1),
-            blocks: m.field("blocks").whole_or(0..=1 << 16, 0),
-            payload: m.field("payload").whole_or(0..=1 << 20, 64) as usize,
+            share: m.attribute("share").number(),
+            write: m.attribute("write").bool_or(false),
+            units: m.attribute("units").integer_or(1..=host.start.max_units.max(1.0) as u64, 1),
+            blocks: m.attribute("blocks").integer_or(0..=1 << 16, 0),
+            payload: m.attribute("payload").integer_or(0..=1 << 20, 64) as usize,
             class: class?.1,
         })
     });
     let mixes: Vec<Mix> = mixes.collect();
     if mixes.iter().map(|m| m.share).sum::<f64>() <= 0.0 {
-        p.fault("no mix with a share; expected at least one block mix \"band\"");
+        p.report_error("no mix with a share; expected at least one block mix \"band\"");
     }
     Traffic {
-        rate: p.field("rate").number(),
-        clients: p.field("clients").whole_or(1..=10_000, 4) as usize,
-        keys: p.field("keys").whole_or(1..=1_000_000, 100),
-        run: p.field("run").whole_or(1..=1_000_000, 1),
-        retries: p.field("retries").flag_or(true),
+        rate: p.attribute("rate").number(),
+        clients: p.attribute("clients").integer_or(1..=10_000, 4) as usize,
+        keys: p.attribute("keys").integer_or(1..=1_000_000, 100),
+        run: p.attribute("run").integer_or(1..=1_000_000, 1),
+        retries: p.attribute("retries").bool_or(true),
         mixes,
-        habits: p.labelled("habit").iter().map(read_habit).collect(),
+        habits: p.labelled_blocks("habit").iter().map(read_habit).collect(),
     }
 }
 
 const AGAIN: [(&str, Again); 3] =
     [("at-once", Again::AtOnce), ("fixed", Again::Fixed), ("exponential", Again::Exponential)];
 
-fn read_habit(p: &Part) -> Habit {
+fn read_habit(p: &SettingsBlock) -> Habit {
     Habit {
-        share: p.field("share").number(),
-        again: p.field("again").one_of_or(&AGAIN, Again::Exponential),
-        wait: p.field("wait").time_or(50.0),
-        tries: p.field("tries").whole_or(1..=1000, 4) as u32,
-        heeds: p.field("heeds").part_or(1.0),
+        share: p.attribute("share").number(),
+        again: p.attribute("again").one_of_or(&AGAIN, Again::Exponential),
+        wait: p.attribute("wait").duration_ms_or(50.0),
+        tries: p.attribute("tries").integer_or(1..=1000, 4) as u32,
+        heeds: p.attribute("heeds").fraction_or(1.0),
     }
 }
 
@@ -171,7 +173,7 @@
 }
 
 /// Reads a whole file; none where it has no host, which is a fault of the file.
-pub fn read_all(root: &Part, seed: u64) -> Option<Sheet> {
+pub fn read_all(root: &SettingsBlock, seed: u64) -> Option<Sheet> {
     let host = host(root, seed);
     let mut fleet = read_fleet(root);
     if let (Some(fleet), Some(host)) = (&mut fleet, &host) {
