--- a/deploy/quickstart.hcl
+++ b/deploy/quickstart.hcl
@@ -1,5 +1,6 @@
-# One host with embedded stand-in nodes: nothing else is needed.
+# One host with emulated nodes: nothing else is needed.
 #   cargo run --release -- serve deploy/quickstart.hcl
+# docs/settings.md explains each key, docs/vocabulary.md the words.
 host {
   listen     = "127.0.0.1:7400"
   hand_offs  = 3
