--- a/crates/cli/tests/platform/bad_clients.rs
+++ b/crates/cli/tests/platform/bad_clients.rs
@@ -105,8 +105,8 @@
     let mut stream = client.stream.try_clone().unwrap();
     // The client sends as fast as it can until the host closes.
     let sender = std::thread::spawn(move || {
-        let piece = [7; 1 << 16];
-        (0..60_000_000 / piece.len()).all(|_| stream.write_all(&piece).is_ok())
+        let chunk = [7; 1 << 16];
+        (0..60_000_000 / chunk.len()).all(|_| stream.write_all(&chunk).is_ok())
     });
     let answer = client.receive();
     assert!(answer.is_none_or(|a| a.status() == 413));
--- a/crates/cli/tests/platform/endpoint_list_age.rs
+++ b/crates/cli/tests/platform/endpoint_list_age.rs
@@ -30,9 +30,9 @@
 /// Sends requests until some time after a change; how long after it the first node got its last one.
 fn last_attempt_after(cluster: &TestCluster, change: Instant, until: Duration) -> Duration {
     let mut last = Duration::ZERO;
-    for ask in 0.. {
+    for attempt in 0.. {
         let before = cluster.nodes[0].request_count();
-        send_read(cluster, &format!("r{ask}"));
+        send_read(cluster, &format!("r{attempt}"));
         if cluster.nodes[0].request_count() > before {
             last = change.elapsed();
         }
--- a/crates/cli/tests/platform/response_matching.rs
+++ b/crates/cli/tests/platform/response_matching.rs
@@ -118,12 +118,12 @@
     let mut answers = Vec::new();
     for batch in 0.. {
         let [first, second, third] = ["a", "b", "c"].map(|part| format!("{name}-{batch}-{part}"));
-        let piece = [
+        let requests = [
             request_bytes(&first, "read", 0, 2500),
             immediate_request(form, &second),
             request_bytes(&third, "read", 0, 2500),
         ];
-        client.send(&piece.concat());
+        client.send(&requests.concat());
         let came = (0..3).map_while(|_| client.receive()).count();
         answers.push(came);
         if came < 3 || client.is_closed() {
--- a/crates/cli/tests/platform/termination_races.rs
+++ b/crates/cli/tests/platform/termination_races.rs
@@ -28,11 +28,11 @@
 }
 
 fn read_request_head(stream: &mut TcpStream) -> String {
-    let (mut text, mut piece) = (String::new(), [0; 4096]);
+    let (mut text, mut buffer) = (String::new(), [0; 4096]);
     while !text.contains("\r\n\r\n") {
-        let n = stream.read(&mut piece).unwrap();
+        let n = stream.read(&mut buffer).unwrap();
         assert!(n > 0, "it ended after {text:?}");
-        text.push_str(std::str::from_utf8(&piece[..n]).unwrap());
+        text.push_str(std::str::from_utf8(&buffer[..n]).unwrap());
     }
     text
 }
@@ -144,9 +144,9 @@
         };
         cluster.discovery.publish(vec![at(from, "DRAINING"), at(to, "SERVING")]);
         let (published, before) = (Instant::now(), cluster.nodes[to].request_count());
-        for ask in 0.. {
+        for attempt in 0.. {
             let answer =
-                cluster.client().request(&request_bytes(&format!("{id}-{ask}"), "read", 0, 900)).unwrap();
+                cluster.client().request(&request_bytes(&format!("{id}-{attempt}"), "read", 0, 900)).unwrap();
             if answer.status() == 200 && cluster.nodes[to].request_count() > before {
                 break;
             }
--- a/crates/cli/tests/soak/defect_relay.rs
+++ b/crates/cli/tests/soak/defect_relay.rs
@@ -41,34 +41,34 @@
     let (back_from, back_to) = (host.try_clone().ok()?, client.try_clone().ok()?);
     let response_counters = counters.clone();
     std::thread::spawn(move || {
-        pump(&back_from, &back_to, |piece| {
+        pump(&back_from, &back_to, |bytes| {
             if defect == Defect::SwappedResponse {
-                response_counters.swap(piece);
+                response_counters.swap(bytes);
             }
             true
         });
     });
-    pump(client, &host, |piece| defect != Defect::LostRequest || !counters.loses(piece));
+    pump(client, &host, |bytes| defect != Defect::LostRequest || !counters.loses(bytes));
     Some(())
 }
 
 impl Counters {
     /// Replaces one response with an earlier one.
-    fn swap(&self, piece: &mut Vec<u8>) {
-        if !piece.starts_with(b"HTTP/1.1 200") {
+    fn swap(&self, bytes: &mut Vec<u8>) {
+        if !bytes.starts_with(b"HTTP/1.1 200") {
             return;
         }
         let mut earlier = self.earlier_response.lock().unwrap();
         if self.responses.fetch_add(1, Ordering::SeqCst) == FORWARDED_BEFORE_DEFECT {
-            std::mem::swap(&mut *earlier, piece);
+            std::mem::swap(&mut *earlier, bytes);
         } else if earlier.is_empty() {
-            earlier.clone_from(piece);
+            earlier.clone_from(bytes);
         }
     }
 
     /// Whether this request is the one to lose.
-    fn loses(&self, piece: &[u8]) -> bool {
-        let is_request = piece.starts_with(b"GET /api") || piece.starts_with(b"PUT /api");
+    fn loses(&self, bytes: &[u8]) -> bool {
+        let is_request = bytes.starts_with(b"GET /api") || bytes.starts_with(b"PUT /api");
         is_request && self.requests.fetch_add(1, Ordering::SeqCst) == FORWARDED_BEFORE_DEFECT
     }
 }
@@ -77,15 +77,15 @@
 fn pump(mut from: &TcpStream, mut to: &TcpStream, mut forwards: impl FnMut(&mut Vec<u8>) -> bool) {
     let mut buffer = vec![0; 64 << 10];
     while let Ok(length) = from.read(&mut buffer) {
-        let mut piece = buffer[..length].to_vec();
+        let mut bytes = buffer[..length].to_vec();
         if length == 0 {
             break;
         }
-        if !forwards(&mut piece) {
+        if !forwards(&mut bytes) {
             std::thread::sleep(LOST_REQUEST_HOLD);
             break;
         }
-        if to.write_all(&piece).is_err() {
+        if to.write_all(&bytes).is_err() {
             break;
         }
     }
--- a/crates/cli/tests/support/discovery.rs
+++ b/crates/cli/tests/support/discovery.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Status and body of the response to a call, after the wait that it asks for; none without a response.
+    /// Status and body of the response to a call, after the wait that it requests; none without a response.
     fn response(&self, target: String) -> Option<(u16, String)> {
         let parameter =
             |name: &str| target.split(['?', '&']).find_map(|p| p.strip_prefix(name)?.parse().ok());
--- a/crates/cli/tests/support/proxy.rs
+++ b/crates/cli/tests/support/proxy.rs
@@ -12,7 +12,7 @@
     None,
     /// The connection is reset as soon as it is established.
     Reset,
-    /// Each piece of a response is forwarded so long after it came.
+    /// Each part of a response is forwarded so long after it came.
     Delay(Duration),
     /// What the client sends is read, and nothing is ever answered.
     Unresponsive,
@@ -92,14 +92,14 @@
 
 /// Copies bytes one way until either side ends.
 fn pump(mut from: &TcpStream, to: Option<&TcpStream>, delay: Duration) {
-    let mut piece = [0; 16 << 10];
+    let mut buffer = [0; 16 << 10];
     loop {
-        let length = match from.read(&mut piece) {
+        let length = match from.read(&mut buffer) {
             Ok(0) | Err(_) => break,
             Ok(length) => length,
         };
         std::thread::sleep(delay);
-        if to.is_some_and(|mut to| to.write_all(&piece[..length]).is_err()) {
+        if to.is_some_and(|mut to| to.write_all(&buffer[..length]).is_err()) {
             break;
         }
     }
