--- a/crates/cli/src/commands/scenario/request_records.rs
+++ b/crates/cli/src/commands/scenario/request_records.rs
@@ -1,5 +1,6 @@
 //! The file of request records: one JSON object per line, for each attempt of a client and for each final answer.
 
+use magpiewick_node_protocol::FinalCode;
 use magpiewick_scenario::{Said, ScenarioReport, Try};
 use serde_json::{json, Value};
 use std::fs::File;
@@ -19,7 +20,7 @@
     match event {
         Said::Took(request) => request_record(at_ms, request),
         Said::Answered { number, verdict, back } => json!({
-            "at_ms": at_ms, "try": number, "answer": format!("{verdict:?}").to_lowercase(), "back_ms": back
+            "at_ms": at_ms, "try": number, "answer": answer_word(*verdict), "back_ms": back
         }),
         Said::Found { number, block, mark } => json!({
             "at_ms": at_ms, "try": number, "block": block, "found": mark
@@ -36,3 +37,12 @@
         "later": request.later
     })
 }
+
+/// The word of a final answer in the file, in which it stays whatever the code is called.
+fn answer_word(code: FinalCode) -> &'static str {
+    match code {
+        FinalCode::Succeeded => "settled",
+        FinalCode::Rejected => "bounced",
+        FinalCode::Failed => "scrapped",
+    }
+}
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -80,6 +80,20 @@
     }
 }
 
+#[test]
+fn records_keep_the_words_of_their_first_version() {
+    let path = std::env::temp_dir().join(format!("magpiewick-{}-records.jsonl", std::process::id()));
+    let (code, report) = run_scenario("plants.hcl", &["--seed", "6", "--records", path.to_str().unwrap()]);
+    assert_eq!(code, Some(0), "{report:#}");
+    let records = std::fs::read_to_string(&path).unwrap();
+    std::fs::remove_file(&path).unwrap();
+    let count = |word: &str| records.matches(&format!("\"answer\":\"{word}\"")).count() as u64;
+    for word in ["settled", "bounced", "scrapped"] {
+        assert_eq!(count(word), report[word].as_u64().unwrap(), "{word}");
+    }
+    assert!(count("settled") > 0 && count("bounced") > 0, "{report:#}");
+}
+
 #[test]
 fn a_former_owner_that_keeps_serving_and_an_ignored_rejection_are_found() {
     for defect in ["data", "moved"] {
