--- /dev/null
+++ b/crates/cli/tests/platform/syscall_faults.rs
@@ -0,0 +1,77 @@
+//! Failing system calls: each errno has the effect that it stands for and no other.
+
+use crate::support::http_client::HttpClient;
+use crate::support::http_message::{assert_served, request_bytes};
+use crate::support::node::{Behaviour, OK_RESPONSE};
+use crate::support::test_cluster::TestCluster;
+use std::time::Duration;
+
+const ENETUNREACH: i32 = 101;
+const ECONNABORTED: i32 = 103;
+const ENOBUFS: i32 = 105;
+const ECONNREFUSED: i32 = 111;
+const EADDRNOTAVAIL: i32 = 99;
+const EPROTO: i32 = 71;
+const EINTR: i32 = 4;
+
+/// Sends requests over new connections; how many were served.
+fn served_count(cluster: &TestCluster, requests: usize) -> usize {
+    let is_served = |i| {
+        let bytes = request_bytes(&format!("r{i}"), "read", 0, 900);
+        HttpClient::connect(cluster.host_address)
+            .ok()?
+            .request(&bytes)
+            .filter(|answer| answer.status() == 200)
+    };
+    (0..requests).filter_map(is_served).count()
+}
+
+#[test]
+fn failing_accepts_close_no_idle_client() {
+    for errno in [ECONNABORTED, ENOBUFS, EPROTO] {
+        let cluster = TestCluster::with_syscall_faults(1, &format!("accept4={errno}/4"));
+        let mut idle: Vec<HttpClient> = (0..8).map(|_| cluster.client()).collect();
+        let mut served: Vec<usize> = Vec::new();
+        for (i, client) in idle.iter_mut().enumerate() {
+            if client
+                .request(&request_bytes(&format!("s{i}"), "read", 0, 900))
+                .is_some_and(|a| a.status() == 200)
+            {
+                served.push(i);
+            }
+        }
+        assert!(served.len() >= 4, "errno {errno}: {served:?}");
+        served_count(&cluster, 40);
+        std::thread::sleep(Duration::from_millis(400));
+        served_count(&cluster, 40);
+        let ended: Vec<&usize> = served.iter().filter(|i| idle[**i].is_closed()).collect();
+        assert!(ended.is_empty(), "errno {errno}: the connections of {ended:?} were ended");
+    }
+}
+
+#[test]
+fn socket_exhaustion_is_not_taken_for_a_faulty_endpoint() {
+    // Each request needs a connection of its own, as its node ends the one before.
+    for fault in ["socket=105/3", "connect=99/3", "connect=4/3"] {
+        let cluster = TestCluster::with_syscall_faults(1, fault);
+        cluster.nodes[0].set_default(Behaviour::WriteThenClose(OK_RESPONSE));
+        let mut client = cluster.client();
+        for i in 0..30 {
+            let id = format!("r{i}");
+            assert_served(client.request(&request_bytes(&id, "read", 0, 900)), &id);
+        }
+    }
+}
+
+#[test]
+fn failing_connects_close_no_idle_client() {
+    for errno in [ENETUNREACH, ECONNREFUSED, EADDRNOTAVAIL, EINTR] {
+        let cluster = TestCluster::with_syscall_faults(1, &format!("connect={errno}/2"));
+        cluster.nodes[0].set_default(Behaviour::WriteThenClose(OK_RESPONSE));
+        let mut idle = cluster.client();
+        assert_served(idle.request(&request_bytes("first", "read", 0, 2900)), "first");
+        std::thread::sleep(Duration::from_millis(400));
+        served_count(&cluster, 20);
+        assert!(!idle.is_closed(), "errno {errno}");
+    }
+}
--- /dev/null
+++ b/crates/cli/tests/soak/run.rs
@@ -0,0 +1,222 @@
+//! A run of the soak: hosts as processes, their nodes, discoveries and clients, and the faults injected into them.
+
+use crate::client::{Client, ClientRecord, Request};
+use crate::defect_relay::DefectRelay;
+use crate::node::{Attempt, Node};
+use crate::run_config::RunConfig;
+use crate::support::discovery::{instance, Discovery};
+use crate::support::host_process::{unique_host_address, HostProcess};
+use crate::support::host_settings::{default_settings, Limits};
+use crate::support::random::SeededRandom;
+use crate::support::{POLL_INTERVAL, WAIT_TIMEOUT};
+use crate::test_delays::TestDelays;
+use serde_json::{json, Value};
+use std::net::{SocketAddr, TcpStream};
+use std::process::ExitStatus;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, Instant};
+
+/// The kill comes so long after the longest deadline, of which the platform's page counts so much.
+const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
+const LONGEST_DEADLINE_COUNTED: Duration = Duration::from_secs(3);
+/// How long hosts serve before the first gets SIGTERM, and how much later the next one gets it.
+const SERVING_TIME: Duration = Duration::from_millis(1200);
+const SHUTDOWN_STAGGER: Duration = Duration::from_millis(250);
+const STALL: Duration = Duration::from_millis(140);
+/// How long a restarted host must run.
+const RUNS_AFTER_RESTART: Duration = Duration::from_millis(400);
+
+/// How a process of a host ended.
+#[derive(Clone, Debug)]
+pub struct Exit {
+    pub host: usize,
+    /// When it got SIGTERM; none where it got none.
+    pub signalled: Option<Instant>,
+    pub at: Instant,
+    /// Its exit status; none where it was killed.
+    pub status: Option<ExitStatus>,
+}
+
+struct Host {
+    number: usize,
+    address: SocketAddr,
+    process: HostProcess,
+}
+
+impl Host {
+    fn start(config: &RunConfig, number: usize, discovery: SocketAddr, cached: &[Value]) -> Host {
+        let address = unique_host_address();
+        let mut settings = default_settings();
+        settings["balancers"] = json!(config.hosts);
+        for profile in settings["profiles"].as_array_mut().unwrap() {
+            let longest_deadline = config.longest_deadline.as_nanos() as u64;
+            profile["hard_limit_ns"] = json!(longest_deadline);
+            profile["slo_ns"] = json!(longest_deadline / 2);
+        }
+        let limits = Limits::default();
+        let settings = json!({
+            "name": format!("n{number}"), "listen": address.to_string(), "discovery": discovery.to_string(),
+            "seed": format!("{:016x}", config.seed * 64 + number as u64 + 1),
+            "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
+            "known": {"generation": 1, "reset": true, "instances": cached}, "settings": settings,
+        });
+        let host = Host { number, address, process: HostProcess::start(settings, limits.descriptors, None) };
+        host.wait_until_ready();
+        host
+    }
+
+    fn wait_until_ready(&self) {
+        let until = Instant::now() + WAIT_TIMEOUT;
+        while TcpStream::connect(self.address).is_err() {
+            assert!(Instant::now() < until, "host {} is not ready", self.number);
+            std::thread::sleep(POLL_INTERVAL);
+        }
+    }
+
+    /// Waits until the process exits, and kills it at a given time where it has not.
+    fn wait_or_kill(&mut self, signalled: Instant, kill: Instant) -> Exit {
+        let signalled = Some(signalled);
+        while Instant::now() < kill {
+            if let Some(status) = self.process.exit_status() {
+                return Exit { host: self.number, signalled, at: Instant::now(), status: Some(status) };
+            }
+            std::thread::sleep(Duration::from_millis(2));
+        }
+        self.process.kill();
+        Exit { host: self.number, signalled, at: Instant::now(), status: None }
+    }
+
+    fn restart(&mut self) {
+        self.process.restart();
+        self.wait_until_ready();
+    }
+}
+
+/// What a run leaves for the audit.
+pub struct Evidence {
+    /// Requests as their clients saw them.
+    pub requests: Vec<Request>,
+    /// How often clients got more than the responses to their requests.
+    pub unsolicited_count: u64,
+    pub test_delays: TestDelays,
+    /// Attempts as the nodes saw them.
+    pub attempts: Vec<Attempt>,
+    pub exits: Vec<Exit>,
+}
+
+/// Runs hosts under load and faults to their end.
+pub fn run(config: &RunConfig) -> Evidence {
+    let nodes: Vec<Node> = (0..config.shards).map(|shard| Node::start(config, shard as u64)).collect();
+    let list =
+        |(shard, node): (usize, &Node)| instance(&format!("s-{shard}"), node.address, shard, "SERVING");
+    let instances: Vec<Value> = nodes.iter().enumerate().map(list).collect();
+    let discoveries: Vec<SocketAddr> = (0..2).map(|_| Discovery::start(instances.clone()).1).collect();
+    let start = |number| Host::start(config, number, discoveries[0], &instances);
+    let mut hosts: Vec<Host> = (0..config.hosts).map(start).collect();
+    let relays: Vec<Option<DefectRelay>> = hosts
+        .iter()
+        .map(|host| config.defect.map(|defect| DefectRelay::start(host.address, defect)))
+        .collect();
+    let idle_connections: Vec<TcpStream> =
+        (0..config.idle_connections).map_while(|_| TcpStream::connect(hosts[0].address).ok()).collect();
+    let over = AtomicBool::new(false);
+    std::thread::scope(|scope| {
+        let delays = scope.spawn(|| TestDelays::measure(&over));
+        let mut clients = Vec::new();
+        for host in &hosts {
+            let address = relays[host.number].as_ref().map_or(host.address, |relay| relay.address);
+            for number in 0..config.clients {
+                let client = client(config, host.number, number, address, &over);
+                clients.push(scope.spawn(move || client.run()));
+            }
+        }
+        let exits = inject_faults(config, &mut hosts, &discoveries);
+        over.store(true, Ordering::SeqCst);
+        let test_delays = delays.join().unwrap();
+        let records: Vec<ClientRecord> = clients.into_iter().map(|client| client.join().unwrap()).collect();
+        drop(idle_connections);
+        Evidence {
+            unsolicited_count: records.iter().map(|record| record.unsolicited_count).sum(),
+            requests: records.into_iter().flat_map(|record| record.requests).collect(),
+            test_delays,
+            attempts: nodes.iter().flat_map(Node::attempts).collect(),
+            exits,
+        }
+    })
+}
+
+fn client<'a>(
+    config: &'a RunConfig,
+    host: usize,
+    number: usize,
+    address: SocketAddr,
+    over: &'a AtomicBool,
+) -> Client<'a> {
+    Client {
+        config,
+        name: format!("h{host}c{number}"),
+        host,
+        address,
+        random: SeededRandom::new(config.seed * 7919 + (host * 100 + number) as u64),
+        over,
+        request_count: 0,
+        unsolicited_count: 0,
+        requests: Vec::new(),
+    }
+}
+
+/// Reloads, stalls and shutdowns, one host after the other, each killed as early as the platform's page allows.
+fn inject_faults(config: &RunConfig, hosts: &mut [Host], discoveries: &[SocketAddr]) -> Vec<Exit> {
+    std::thread::sleep(SERVING_TIME);
+    std::thread::scope(|scope| {
+        let ending: Vec<_> = hosts
+            .iter_mut()
+            .enumerate()
+            .map(|(place, host)| {
+                let delay = SHUTDOWN_STAGGER * (place % 6) as u32;
+                scope.spawn(move || shut_down_and_restart(config, host, discoveries, delay))
+            })
+            .collect();
+        ending.into_iter().flat_map(|host| host.join().unwrap()).collect()
+    })
+}
+
+fn shut_down_and_restart(
+    config: &RunConfig,
+    host: &mut Host,
+    discoveries: &[SocketAddr],
+    delay: Duration,
+) -> Vec<Exit> {
+    let mut random = SeededRandom::new(config.seed * 31 + host.number as u64);
+    std::thread::sleep(delay);
+    for _ in 0..random.below(3) {
+        host.process.reload_with_discovery(discoveries[random.below(2) as usize]);
+        std::thread::sleep(Duration::from_millis(random.below(60)));
+    }
+    host.process.signal("TERM");
+    let signalled = Instant::now();
+    let kill = signalled + config.longest_deadline.min(LONGEST_DEADLINE_COUNTED) + KILL_AFTER_DEADLINE;
+    for _ in 0..random.below(3) {
+        std::thread::sleep(Duration::from_millis(random.below(400)));
+        match random.below(3) {
+            0 => host.process.signal("TERM"),
+            1 => host.process.reload_with_discovery(discoveries[random.below(2) as usize]),
+            _ if config.with_stalls => {
+                host.process.signal("STOP");
+                std::thread::sleep(STALL);
+                host.process.signal("CONT");
+            }
+            _ => {}
+        }
+    }
+    let exit = host.wait_or_kill(signalled, kill);
+    host.restart();
+    std::thread::sleep(RUNS_AFTER_RESTART);
+    let crash = host.process.exit_status().map(|status| Exit {
+        host: host.number,
+        signalled: None,
+        at: Instant::now(),
+        status: Some(status),
+    });
+    [Some(exit), crash].into_iter().flatten().collect()
+}
