--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -277,8 +277,8 @@
             logs::start(&LogConfig::default());
             match magpiewick_platform::run() {
                 Ok(()) => Ok(0),
-                Err(magpiewick_platform::Fault::System(e)) => Err(e),
-                Err(magpiewick_platform::Fault::Told(why)) => {
+                Err(magpiewick_platform::Error::System(e)) => Err(e),
+                Err(magpiewick_platform::Error::Config(why)) => {
                     eprintln!("magpiewick: {why}");
                     Ok(USAGE)
                 }
--- a/crates/exchange/src/endpoint_trust/tests.rs
+++ b/crates/exchange/src/endpoint_trust/tests.rs
@@ -4,7 +4,7 @@
 fn an_endpoint_that_sent_too_much_once_is_not_trusted_while_it_is_listed() {
     let mut trust = EndpointTrust::default();
     assert!(trust.may_reuse(1, 200) && !trust.may_reuse(1, 503) && !trust.may_reuse(1, 500));
-    trust.unexpected(1, 3.0);
+    trust.on_unsolicited_bytes(1, 3.0);
     assert!(!trust.may_reuse(1, 200) && trust.may_reuse(2, 200));
     trust.forget(1);
     assert!(trust.may_reuse(1, 200));
@@ -13,14 +13,14 @@
 #[test]
 fn how_late_bytes_came_from_one_endpoint_is_held_against_all() {
     let mut trust = EndpointTrust::default();
-    trust.unexpected(1, 3.0);
-    assert_eq!(trust.quiet(), 100.0, "no shorter than what the network is allowed");
-    trust.unexpected(1, 100.0);
-    assert_eq!(trust.quiet(), 400.0);
-    trust.unexpected(2, 10.0);
-    assert_eq!(trust.quiet(), 400.0);
-    trust.unexpected(2, 30_000.0);
-    assert_eq!(trust.quiet(), 400.0, "the last word of a connection that rested is no late answer");
-    trust.unexpected(2, 900.0);
-    assert_eq!(trust.quiet(), LONGEST_QUIET);
+    trust.on_unsolicited_bytes(1, 3.0);
+    assert_eq!(trust.min_idle(), 100.0, "no shorter than what the network is allowed");
+    trust.on_unsolicited_bytes(1, 100.0);
+    assert_eq!(trust.min_idle(), 400.0);
+    trust.on_unsolicited_bytes(2, 10.0);
+    assert_eq!(trust.min_idle(), 400.0);
+    trust.on_unsolicited_bytes(2, 30_000.0);
+    assert_eq!(trust.min_idle(), 400.0, "the last word of a connection that rested is no late answer");
+    trust.on_unsolicited_bytes(2, 900.0);
+    assert_eq!(trust.min_idle(), MAX_LEARNED_IDLE_MS);
 }
--- /dev/null
+++ b/crates/exchange/src/exchange_history/tests.rs
@@ -0,0 +1,74 @@
+use super::*;
+use quickcheck::quickcheck;
+
+fn arrived<'a>(body: &'a [u8], trailing: &'a [u8]) -> ReceivedResponse<'a> {
+    ReceivedResponse { status: 200, body, trailing, names: None }
+}
+
+fn used(bodies: &[&[u8]]) -> ExchangeHistory {
+    let mut upstream = ExchangeHistory::default();
+    bodies.iter().for_each(|body| upstream.record(0.0, &arrived(body, b"")));
+    upstream
+}
+
+#[test]
+fn on_a_fresh_connection_an_answer_is_its_requests_own_whatever_it_holds() {
+    let fresh = ExchangeHistory::default();
+    assert_eq!(fresh.verify(&arrived(b"HTTP/1.1 200 OK", b"HTTP/1.1 200 OK"), "a"), Ok(()));
+    assert_eq!((fresh.exchanges(), used(&[b"a"]).exchanges()), (0, 1));
+}
+
+#[test]
+fn an_answer_that_names_another_request_is_nobodys() {
+    let answer = ReceivedResponse { names: Some("b"), ..arrived(b"body", b"") };
+    assert_eq!(ExchangeHistory::default().verify(&answer, "a"), Err(ResponseMismatch::DifferentRequestId));
+    assert_eq!(ExchangeHistory::default().verify(&answer, "b"), Ok(()));
+}
+
+#[test]
+fn a_copy_of_any_remembered_answer_is_found() {
+    let upstream = used(&[b"first", b"second"]);
+    assert_eq!(upstream.verify(&arrived(b"first", b""), "a"), Err(ResponseMismatch::DuplicateResponse));
+    assert_eq!(upstream.verify(&arrived(b"second", b"x"), "a"), Err(ResponseMismatch::DuplicateResponse));
+    assert_eq!(upstream.verify(&arrived(b"third", b"noise"), "a"), Ok(()));
+    // What was found to be no copy of the last has another status or another body.
+    let failed = ReceivedResponse { status: 500, ..arrived(b"first", b"") };
+    assert_eq!(upstream.verify(&failed, "a"), Ok(()));
+}
+
+quickcheck! {
+    /// Wherever a copy was cut, the body that is made of it and of the next answer is not consumed for one.
+    fn a_cut_copy_in_front_of_an_answer_is_found(first: Vec<u8>, second: Vec<u8>, cut: usize) -> bool {
+        if first.is_empty() {
+            return true;
+        }
+        // So many bytes of the copy's body came; the next answer fills it up.
+        let came = cut % first.len();
+        let next = [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n".as_slice(), &second].concat();
+        let stream = [&first[..came], &next].concat();
+        if stream.len() <= first.len() {
+            return true;
+        }
+        let (body, trailing) = stream.split_at(first.len());
+        used(&[&first]).verify(&arrived(body, trailing), "a").is_err()
+    }
+}
+
+#[test]
+fn a_body_alone_may_hold_anything() {
+    let upstream = used(&[b"0123456789"]);
+    assert_eq!(upstream.verify(&arrived(b"x HTTP/1.1 200 OK\r\n", b""), "a"), Ok(()));
+    assert_eq!(
+        upstream.verify(&arrived(b"x HTTP/1.1 200 OK\r\n", b"\r\n"), "a"),
+        Err(ResponseMismatch::ContainsAnotherResponse)
+    );
+    assert_eq!(
+        upstream.verify(&arrived(b"012345678H", b"TTP/1.1 200"), "a"),
+        Err(ResponseMismatch::ContainsAnotherResponse)
+    );
+    assert_eq!(
+        upstream.verify(&arrived(b"012345678H", b"TT"), "a"),
+        Err(ResponseMismatch::ContainsAnotherResponse)
+    );
+    assert_eq!(upstream.verify(&arrived(b"012345678H", b"noise"), "a"), Ok(()));
+}
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,17 +1,17 @@
 //! Exchanges on HTTP/1.1 connections, free of I/O.
 //!
 //! HTTP/1.1 ties an answer to its request by order alone. What keeps that order is decided here, on both sides of a
-//! host: [`Upstream`] and [`EndpointTrust`] say which bytes from a server may be the answer to an open request, and
+//! host: [`ExchangeHistory`] and [`EndpointTrust`] say which bytes from a server may be the answer to an open request, and
 //! when a connection may carry another exchange; [`RequestQueue`] holds what a client has sent until each request of
 //! it has its answer.
 
 mod endpoint_trust;
+mod exchange_history;
 mod request_queue;
-mod upstream;
 
 pub use endpoint_trust::EndpointTrust;
+pub use exchange_history::{ExchangeHistory, ReceivedResponse, ResponseMismatch};
 pub use request_queue::{Next, RequestQueue};
-pub use upstream::{Arrived, Doubt, Upstream};
 
 /// Milliseconds on a monotonic clock.
 pub type Ms = f64;
--- a/crates/exchange/src/request_queue.rs
+++ b/crates/exchange/src/request_queue.rs
@@ -1,11 +1,12 @@
 //! What a client has sent and is owed answers for.
 
-use magpiewick_http1::{begins_like_a_request, Refused, Requests, Whole};
+use magpiewick_http1::{may_begin_request, CompleteRequest, Rejection, RequestReader};
 
 /// A body whose length was wrong is seen by what stands behind it.
-const WRONG_LENGTH: Refused = Refused { status: 400, why: "the length is not that of the body" };
+const WRONG_CONTENT_LENGTH: Rejection =
+    Rejection { status: 400, reason: "the length is not that of the body" };
 /// Used input is given back when there is so much of it.
-const COMPACT_AT: usize = 64 << 10;
+const COMPACT_THRESHOLD_BYTES: usize = 64 << 10;
 
 /// What is next in a client's queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -14,27 +15,27 @@
     Empty,
     /// A part of a request.
     Partial,
-    Request(Whole),
+    Request(CompleteRequest),
     /// A request was whole but came behind too much: it is refused in its turn.
     Overflowed,
     /// No request, and nothing behind it can be read as one either.
-    Refused(Refused),
+    Rejected(Rejection),
 }
 
 /// Requests that came behind more than is kept.
 #[derive(Clone, Debug, Default)]
 struct Overflow {
-    requests: Requests,
-    /// Whole requests so far.
+    requests: RequestReader,
+    /// CompleteRequest requests so far.
     refused: usize,
     /// The part of a request behind them.
     rest: Vec<u8>,
-    spoilt: Option<Refused>,
+    malformed: Option<Rejection>,
 }
 
 impl Overflow {
     fn push(&mut self, input: &[u8]) {
-        if self.spoilt.is_some() {
+        if self.malformed.is_some() {
             return;
         }
         self.rest.extend_from_slice(input);
@@ -55,7 +56,7 @@
         if outcome.is_some() {
             self.rest = Vec::new();
         }
-        self.spoilt = outcome;
+        self.malformed = outcome;
     }
 }
 
@@ -66,7 +67,7 @@
     input: Vec<u8>,
     /// How much of the input was used.
     used: usize,
-    requests: Requests,
+    requests: RequestReader,
     overflow: Option<Overflow>,
 }
 
@@ -84,13 +85,13 @@
 
     /// Whether nothing came that has no answer.
     pub fn is_empty(&self) -> bool {
-        self.buffered() == 0 && !self.requests.begun() && self.overflow.is_none()
+        self.buffered() == 0 && !self.requests.in_progress() && self.overflow.is_none()
     }
 
     /// The memory that it takes.
-    pub fn held(&self) -> usize {
-        let overflow = self.overflow.as_ref().map_or(0, |o| o.rest.capacity() + o.requests.held());
-        self.input.capacity() + self.requests.held() + overflow
+    pub fn memory_bytes(&self) -> usize {
+        let overflow = self.overflow.as_ref().map_or(0, |o| o.rest.capacity() + o.requests.memory_bytes());
+        self.input.capacity() + self.requests.memory_bytes() + overflow
     }
 
     /// Bytes that came and were not used.
@@ -99,25 +100,25 @@
     }
 
     /// What comes behind the next answers cannot be read as requests: nothing more of it is of use.
-    pub fn spoilt(&self) -> bool {
-        self.overflow.as_ref().is_some_and(|overflow| overflow.spoilt.is_some())
+    pub fn is_malformed(&self) -> bool {
+        self.overflow.as_ref().is_some_and(|overflow| overflow.malformed.is_some())
     }
 
     /// Whether the client waits for a word before it sends the body; said once.
-    pub fn expects(&mut self) -> bool {
-        self.requests.expects()
+    pub fn expects_continue(&mut self) -> bool {
+        self.requests.expects_continue()
     }
 
     /// Keeps whole requests of so many bytes at most; those behind them are counted and will be refused in their turn.
     /// Guards against clients that send on without end; it could harm one whose requests would have been served.
-    pub fn bound(&mut self, most: usize) {
-        if self.overflow.is_some() || self.buffered() <= most {
+    pub fn bound(&mut self, limit: usize) {
+        if self.overflow.is_some() || self.buffered() <= limit {
             return;
         }
         let mut scan = self.requests.clone();
         let mut end = self.used;
         while let Ok((read, Some(_))) = scan.read(&self.input[end..]) {
-            if end + read - self.used > most {
+            if end + read - self.used > limit {
                 break;
             }
             end += read;
@@ -143,8 +144,8 @@
         self.used += read;
         self.compact();
         if let Some(whole) = whole {
-            if !begins_like_a_request(&self.input[self.used..]) {
-                return self.refuse(WRONG_LENGTH);
+            if !may_begin_request(&self.input[self.used..]) {
+                return self.refuse(WRONG_CONTENT_LENGTH);
             }
             return Next::Request(whole);
         }
@@ -166,23 +167,23 @@
             return Some(Next::Overflowed);
         }
         let overflow = self.overflow.take()?;
-        if let Some(refused) = overflow.spoilt {
+        if let Some(refused) = overflow.malformed {
             return Some(self.refuse(refused));
         }
         (self.input, self.used, self.requests) = (overflow.rest, 0, overflow.requests);
         None
     }
 
-    fn refuse(&mut self, refused: Refused) -> Next {
+    fn refuse(&mut self, refused: Rejection) -> Next {
         *self = RequestQueue::default();
-        Next::Refused(refused)
+        Next::Rejected(refused)
     }
 
     fn compact(&mut self) {
         if self.used == self.input.len() {
             // A burst's room is not kept for ever by a connection that went idle.
             (self.input, self.used) = (Vec::new(), 0);
-        } else if self.used >= COMPACT_AT {
+        } else if self.used >= COMPACT_THRESHOLD_BYTES {
             self.input.drain(..self.used);
             self.used = 0;
         }
--- a/crates/exchange/src/request_queue/tests.rs
+++ b/crates/exchange/src/request_queue/tests.rs
@@ -6,7 +6,7 @@
     format!("PUT /r{number} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-fn named(whole: &Whole) -> String {
+fn named(whole: &CompleteRequest) -> String {
     String::from_utf8_lossy(&whole.head).split(' ').nth(1).unwrap_or_default().to_string()
 }
 
@@ -18,7 +18,7 @@
             Next::Request(whole) => all.push(Some(named(&whole))),
             Next::Overflowed => all.push(None),
             Next::Empty | Next::Partial => return all,
-            Next::Refused(refused) => panic!("{refused:?}"),
+            Next::Rejected(refused) => panic!("{refused:?}"),
         }
     }
 }
@@ -70,9 +70,9 @@
     queue.push([request(0), request(1), b"\x01\x02\r\n\r\n".to_vec()].concat());
     queue.bound(1);
     queue.push(b"more".to_vec());
-    assert!(queue.spoilt());
+    assert!(queue.is_malformed());
     assert_eq!((queue.take_next(), queue.take_next()), (Next::Overflowed, Next::Overflowed));
-    assert!(matches!(queue.take_next(), Next::Refused(_)) && queue.is_empty());
+    assert!(matches!(queue.take_next(), Next::Rejected(_)) && queue.is_empty());
 }
 
 #[test]
--- a/crates/exchange/tests/interleavings.rs
+++ b/crates/exchange/tests/interleavings.rs
@@ -1,8 +1,8 @@
 //! A search over what may come in front of an answer on a connection, and over how the bytes are cut into reads: no
 //! body reaches a request for which it was not made.
 
-use magpiewick_exchange::{Arrived, Upstream};
-use magpiewick_http1::Answers;
+use magpiewick_exchange::{ExchangeHistory, ReceivedResponse};
+use magpiewick_http1::ResponseReader;
 
 /// Bodies of one connection's exchanges, unlike each other in length and in what they hold.
 const BODIES: [&[u8]; 4] = [
@@ -32,7 +32,7 @@
 }
 
 /// What may be left of the exchanges before this one: copies, each cut at each byte, noise and interim answers.
-fn strays(before: &[Vec<u8>]) -> Vec<Vec<u8>> {
+fn unsolicited_prefixes(before: &[Vec<u8>]) -> Vec<Vec<u8>> {
     let mut all =
         vec![b"\x01\x02noise".to_vec(), b"\r\n".to_vec(), b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()];
     for answer in before {
@@ -42,15 +42,15 @@
 }
 
 /// The body that a request is given of what comes in these reads; none where it gets none, or not yet.
-fn given(upstream: &Upstream, reads: &[&[u8]]) -> Option<Vec<u8>> {
-    let (mut answers, mut input) = (Answers::default(), Vec::new());
+fn given(upstream: &ExchangeHistory, reads: &[&[u8]]) -> Option<Vec<u8>> {
+    let (mut answers, mut input) = (ResponseReader::default(), Vec::new());
     for read in reads {
         input.extend_from_slice(read);
         let (used, answer) = answers.read(&input).ok()?;
         if let Some(answer) = answer {
-            let (status, body, behind) = (answer.status, &answer.body[..], &input[used..]);
-            let arrived = Arrived { status, body, behind, names: None };
-            return upstream.judge(&arrived, "request").is_ok().then_some(answer.body);
+            let (status, body, trailing) = (answer.status, &answer.body[..], &input[used..]);
+            let arrived = ReceivedResponse { status, body, trailing, names: None };
+            return upstream.verify(&arrived, "request").is_ok().then_some(answer.body);
         }
         input.drain(..used);
     }
@@ -63,21 +63,21 @@
     for form in [with_length, in_chunks] {
         let answers: Vec<Vec<u8>> = BODIES.iter().map(|body| form(body)).collect();
         for now in 1..BODIES.len() {
-            let mut upstream = Upstream::default();
+            let mut upstream = ExchangeHistory::default();
             for body in &BODIES[..now] {
-                upstream.ended(0.0, &Arrived { status: 200, body, behind: b"", names: None });
+                upstream.record(0.0, &ReceivedResponse { status: 200, body, trailing: b"", names: None });
             }
-            for stray in strays(&answers[..now]) {
-                let together = [&stray[..], &answers[now]].concat();
-                let mut readings: Vec<Vec<&[u8]>> = vec![vec![&together], vec![&stray, &answers[now]]];
-                // The stray comes in two reads, and the answer whole behind it.
-                readings.extend((1..stray.len()).map(|cut| vec![&stray[..cut], &together[cut..]]));
+            for prefix in unsolicited_prefixes(&answers[..now]) {
+                let together = [&prefix[..], &answers[now]].concat();
+                let mut readings: Vec<Vec<&[u8]>> = vec![vec![&together], vec![&prefix, &answers[now]]];
+                // The prefix comes in two reads, and the answer whole behind it.
+                readings.extend((1..prefix.len()).map(|cut| vec![&prefix[..cut], &together[cut..]]));
                 for reads in readings {
                     searched += 1;
                     let body = given(&upstream, &reads);
                     assert!(
                         body.as_ref().is_none_or(|body| body == BODIES[now]),
-                        "{stray:?} in front of answer {now}: {body:?}"
+                        "{prefix:?} in front of answer {now}: {body:?}"
                     );
                 }
             }
@@ -92,7 +92,7 @@
         let (body, bytes) = answer;
         for cut in 0..bytes.len() {
             let (first, second) = bytes.split_at(cut);
-            assert_eq!(given(&Upstream::default(), &[first, second]).as_deref(), Some(body));
+            assert_eq!(given(&ExchangeHistory::default(), &[first, second]).as_deref(), Some(body));
         }
     }
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,20 +1,23 @@
 //! HTTP/1.1 without I/O. What is read comes as a slice of all bytes that were not used yet; every bound is hard,
 //! and what a message promises is never allocated. Strict: what two readers could frame in two ways is refused,
-//! so that nothing hidden in a body is ever taken for a message of its own.
+//! so that nothing hidden in a body is ever consumed for a message of its own.
 
-mod answer;
-mod chunks;
+mod chunked_body;
 mod head;
 mod request;
+mod response;
 mod write;
 
-pub use answer::{Answer, Answers, Spoilt};
-pub use head::{Ambiguous, BadHead, Fields, Heads};
-pub use request::{begins_like_a_request, request, Framing, Refused, Request, Requests, Whole};
-pub use write::{write_answer, write_request_head, CONTINUE};
+pub use head::{AmbiguousHeader, HeadError, HeadReader, Headers};
+pub use request::{
+    may_begin_request, parse_request_head, BodyFraming, CompleteRequest, Rejection, RequestHead,
+    RequestReader,
+};
+pub use response::{MalformedResponse, Response, ResponseReader};
+pub use write::{write_request_head, write_response, CONTINUE_RESPONSE};
 
-/// The longest head of a message, and the longest body of a request and of an answer. Requests keep to what the
+/// The longest head of a message, and the longest body of a request and of an answer. RequestReader keep to what the
 /// platform's pages say of every body; nodes were met whose good answers had some 260 KB.
-pub const MOST_HEAD: usize = 16 << 10;
-pub const MOST_BODY: usize = 64 << 10;
-pub const MOST_ANSWER: usize = 1 << 20;
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 << 10;
+pub const MAX_RESPONSE_BODY_BYTES: usize = 1 << 20;
--- a/crates/http1/src/answer.rs
+++ b/crates/http1/src/response.rs
@@ -1,15 +1,15 @@
-//! Answers as their bytes come: 1xx are passed over, a body counts only when it is whole.
+//! Responses as their bytes come: 1xx are passed over, a body counts only when it is whole.
 
-use crate::chunks::Chunks;
-use crate::head::{BadHead, Fields, Heads, MOST_FIELDS};
-use crate::MOST_ANSWER;
+use crate::chunked_body::ChunkedBodyReader;
+use crate::head::{HeadError, HeadReader, Headers, MAX_HEADERS};
+use crate::MAX_RESPONSE_BODY_BYTES;
 
 /// How many 1xx may come before an answer.
-const MOST_INTERIM: u32 = 16;
+const MAX_INTERIM_RESPONSES: u32 = 16;
 
 /// A whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub fields: Vec<(String, Vec<u8>)>,
     pub body: Vec<u8>,
@@ -17,7 +17,7 @@
     pub close: bool,
 }
 
-impl Answer {
+impl Response {
     /// A field's value as text; none where it is absent, doubled or not text.
     pub fn field(&self, name: &str) -> Option<&str> {
         let mut all = self.fields.iter().filter(|f| f.0.eq_ignore_ascii_case(name));
@@ -29,13 +29,13 @@
     }
 }
 
-/// Bytes that are no answer, however they go on: spoilt.
+/// Bytes that are no answer, however they go on: malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spoilt;
+pub struct MalformedResponse;
 
-impl From<BadHead> for Spoilt {
-    fn from(_: BadHead) -> Spoilt {
-        Spoilt
+impl From<HeadError> for MalformedResponse {
+    fn from(_: HeadError) -> MalformedResponse {
+        MalformedResponse
     }
 }
 
@@ -43,46 +43,46 @@
 enum Stage {
     #[default]
     Head,
-    Length(Answer, usize),
-    Chunks(Answer, Chunks),
+    SizedBody(Response, usize),
+    ChunkedBodyReader(Response, ChunkedBodyReader),
     /// A body that ends with its connection.
-    ToEnd(Answer),
+    UntilClose(Response),
 }
 
 /// Reads the answers of one connection, one at a time.
 #[derive(Clone, Debug, Default)]
-pub struct Answers {
-    heads: Heads,
+pub struct ResponseReader {
+    heads: HeadReader,
     interim: u32,
     stage: Stage,
 }
 
-impl Answers {
+impl ResponseReader {
     /// The memory that an answer takes that is not whole yet.
-    pub fn held(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         match &self.stage {
-            Stage::Chunks(_, chunks) => chunks.body.capacity(),
-            Stage::ToEnd(answer) => answer.body.capacity(),
-            Stage::Head | Stage::Length(..) => 0,
+            Stage::ChunkedBodyReader(_, chunks) => chunks.body.capacity(),
+            Stage::UntilClose(answer) => answer.body.capacity(),
+            Stage::Head | Stage::SizedBody(..) => 0,
         }
     }
 
     /// Whether the head of an answer was read whose end is still to come.
-    pub fn begun(&self) -> bool {
+    pub fn in_progress(&self) -> bool {
         !matches!(self.stage, Stage::Head)
     }
 
     /// The peer ended its side in order, and all that came was read: the answer whose body that ends. Only an end in
     /// order is one; a connection that broke says nothing of how much was to come.
-    pub fn ended(&mut self) -> Option<Answer> {
+    pub fn on_end_of_stream(&mut self) -> Option<Response> {
         match std::mem::take(&mut self.stage) {
-            Stage::ToEnd(answer) => Some(answer),
+            Stage::UntilClose(answer) => Some(answer),
             _ => None,
         }
     }
 
     /// Uses what it can of the input: how many bytes, and an answer where one is whole.
-    pub fn read(&mut self, input: &[u8]) -> Result<(usize, Option<Answer>), Spoilt> {
+    pub fn read(&mut self, input: &[u8]) -> Result<(usize, Option<Response>), MalformedResponse> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
@@ -91,33 +91,33 @@
                     let Some(length) = self.heads.end(rest)? else { return Ok((used, None)) };
                     used += length;
                     match head(&rest[..length])? {
-                        None if self.interim == MOST_INTERIM => return Err(Spoilt),
+                        None if self.interim == MAX_INTERIM_RESPONSES => return Err(MalformedResponse),
                         None => self.interim += 1,
                         Some(stage) => self.stage = stage,
                     }
                 }
-                Stage::Length(mut answer, length) if rest.len() >= length => {
+                Stage::SizedBody(mut answer, length) if rest.len() >= length => {
                     answer.body = rest[..length].to_vec();
                     self.interim = 0;
                     return Ok((used + length, Some(answer)));
                 }
-                Stage::Chunks(mut answer, mut chunks) => {
-                    let (taken, whole) = chunks.read(rest, MOST_ANSWER)?;
-                    used += taken;
+                Stage::ChunkedBodyReader(mut answer, mut chunks) => {
+                    let (consumed, whole) = chunks.read(rest, MAX_RESPONSE_BODY_BYTES)?;
+                    used += consumed;
                     if whole {
                         answer.body = chunks.body;
                         self.interim = 0;
                         return Ok((used, Some(answer)));
                     }
-                    self.stage = Stage::Chunks(answer, chunks);
+                    self.stage = Stage::ChunkedBodyReader(answer, chunks);
                     return Ok((used, None));
                 }
-                Stage::ToEnd(mut answer) => {
-                    if answer.body.len() + rest.len() > MOST_ANSWER {
-                        return Err(Spoilt);
+                Stage::UntilClose(mut answer) => {
+                    if answer.body.len() + rest.len() > MAX_RESPONSE_BODY_BYTES {
+                        return Err(MalformedResponse);
                     }
                     answer.body.extend_from_slice(rest);
-                    self.stage = Stage::ToEnd(answer);
+                    self.stage = Stage::UntilClose(answer);
                     return Ok((input.len(), None));
                 }
                 stage => {
@@ -130,39 +130,39 @@
 }
 
 /// How the body behind a head is framed; none for a 1xx.
-fn head(head: &[u8]) -> Result<Option<Stage>, Spoilt> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+fn head(head: &[u8]) -> Result<Option<Stage>, MalformedResponse> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut fields);
     match parsed.parse(head) {
         Ok(httparse::Status::Complete(used)) if used == head.len() => {}
-        _ => return Err(Spoilt),
+        _ => return Err(MalformedResponse),
     }
-    let (Some(status), Some(1)) = (parsed.code, parsed.version) else { return Err(Spoilt) };
-    let fields = Fields::of(parsed.headers);
+    let (Some(status), Some(1)) = (parsed.code, parsed.version) else { return Err(MalformedResponse) };
+    let headers = Headers::from_parsed(parsed.headers);
     // Nobody asked to change protocols.
     if !(100..=599).contains(&status) || status == 101 {
-        return Err(Spoilt);
+        return Err(MalformedResponse);
     }
     if status < 200 {
         return Ok(None);
     }
-    let length = fields.length().map_err(|_| Spoilt)?;
-    let codings: Vec<&[u8]> = fields.all("transfer-encoding").collect();
-    let answer = Answer {
+    let length = headers.content_length().map_err(|_| MalformedResponse)?;
+    let codings: Vec<&[u8]> = headers.all("transfer-encoding").collect();
+    let answer = Response {
         status,
         fields: parsed.headers.iter().map(|h| (h.name.to_string(), h.value.to_vec())).collect(),
         body: Vec::new(),
-        close: fields.says("connection", "close"),
+        close: headers.has_token("connection", "close"),
     };
     match (codings.as_slice(), length) {
-        ([], Some(length)) if length <= MOST_ANSWER as u64 => {
-            Ok(Some(Stage::Length(answer, length as usize)))
+        ([], Some(length)) if length <= MAX_RESPONSE_BODY_BYTES as u64 => {
+            Ok(Some(Stage::SizedBody(answer, length as usize)))
         }
-        ([], None) if matches!(status, 204 | 304) => Ok(Some(Stage::Length(answer, 0))),
+        ([], None) if matches!(status, 204 | 304) => Ok(Some(Stage::SizedBody(answer, 0))),
         ([coding], None) if coding.eq_ignore_ascii_case(b"chunked") => {
-            Ok(Some(Stage::Chunks(answer, Chunks::default())))
+            Ok(Some(Stage::ChunkedBodyReader(answer, ChunkedBodyReader::default())))
         }
-        ([], None) => Ok(Some(Stage::ToEnd(Answer { close: true, ..answer }))),
-        _ => Err(Spoilt),
+        ([], None) => Ok(Some(Stage::UntilClose(Response { close: true, ..answer }))),
+        _ => Err(MalformedResponse),
     }
 }
--- a/crates/http1/src/write.rs
+++ b/crates/http1/src/write.rs
@@ -1,7 +1,7 @@
 //! Messages as bytes. Their parts are the caller's, who has checked them: a line's end in one would frame anew.
 
 /// The reason that goes with a status.
-fn phrase(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -34,8 +34,8 @@
     }
 }
 
-pub fn write_answer(out: &mut Vec<u8>, status: u16, named: &[(&str, &[u8])], content: &[u8], close: bool) {
-    put(out, &[b"HTTP/1.1 ", status.to_string().as_bytes(), b" ", phrase(status).as_bytes(), b"\r\n"]);
+pub fn write_response(out: &mut Vec<u8>, status: u16, named: &[(&str, &[u8])], content: &[u8], close: bool) {
+    put(out, &[b"HTTP/1.1 ", status.to_string().as_bytes(), b" ", reason_phrase(status).as_bytes(), b"\r\n"]);
     fields(out, named);
     if close {
         fields(out, &[("Connection", b"close")]);
@@ -51,4 +51,4 @@
 }
 
 /// The word to a client that keeps its body back until it has one.
-pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+pub const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -2,20 +2,21 @@
 //! panic or make the reader hold more than its bounds.
 
 use magpiewick_http1::{
-    begins_like_a_request, request, write_answer, write_request_head, Answer, Answers, Framing, Heads,
-    Requests, Spoilt, Whole, MOST_ANSWER, MOST_BODY, MOST_HEAD,
+    may_begin_request, parse_request_head, write_request_head, write_response, BodyFraming, CompleteRequest,
+    HeadReader, MalformedResponse, RequestReader, Response, ResponseReader, MAX_HEAD_BYTES,
+    MAX_REQUEST_BODY_BYTES, MAX_RESPONSE_BODY_BYTES,
 };
 use quickcheck::quickcheck;
 
 /// The status that a request's head is refused with; 0: it is good.
 fn refused(head: &str) -> u16 {
-    let end = match Heads::default().end(head.as_bytes()) {
+    let end = match HeadReader::default().end(head.as_bytes()) {
         Ok(Some(end)) => end,
         Ok(None) => panic!("{head:?} has no end"),
-        Err(bad) => return magpiewick_http1::Refused::from(bad).status,
+        Err(bad) => return magpiewick_http1::Rejection::from(bad).status,
     };
     assert_eq!(end, head.len());
-    request(head.as_bytes()).map_or_else(|r| r.status, |_| 0)
+    parse_request_head(head.as_bytes()).map_or_else(|r| r.status, |_| 0)
 }
 
 fn put(fields: &str) -> String {
@@ -79,9 +80,9 @@
 
 #[test]
 fn a_head_without_end_is_refused_at_its_bound() {
-    let mut heads = Heads::default();
-    let endless = vec![b'a'; MOST_HEAD + 1];
-    assert!(heads.end(&endless[..MOST_HEAD - 1]).unwrap().is_none());
+    let mut heads = HeadReader::default();
+    let endless = vec![b'a'; MAX_HEAD_BYTES + 1];
+    assert!(heads.end(&endless[..MAX_HEAD_BYTES - 1]).unwrap().is_none());
     assert!(heads.end(&endless).is_err());
 }
 
@@ -105,18 +106,18 @@
         ("\r\n\0", false),
         ("\rGET /x", false),
     ] {
-        assert_eq!(begins_like_a_request(bytes.as_bytes()), good, "{bytes:?}");
+        assert_eq!(may_begin_request(bytes.as_bytes()), good, "{bytes:?}");
     }
 }
 
 /// All answers in some bytes that come in pieces, and whether they went bad at last.
-fn answers(pieces: &[&[u8]]) -> (Vec<Answer>, bool) {
-    let (mut reader, mut input, mut found) = (Answers::default(), Vec::new(), Vec::new());
+fn answers(pieces: &[&[u8]]) -> (Vec<Response>, bool) {
+    let (mut reader, mut input, mut found) = (ResponseReader::default(), Vec::new(), Vec::new());
     for piece in pieces {
         input.extend_from_slice(piece);
         loop {
             match reader.read(&input) {
-                Err(Spoilt) => return (found, true),
+                Err(MalformedResponse) => return (found, true),
                 Ok((used, answer)) => {
                     input.drain(..used);
                     match answer {
@@ -139,7 +140,7 @@
     cuts.into_iter().map(|c| &bytes[std::mem::replace(&mut at, c)..c]).collect()
 }
 
-fn split(bytes: &[u8], cuts: &[u16]) -> (Vec<Answer>, bool) {
+fn split(bytes: &[u8], cuts: &[u16]) -> (Vec<Response>, bool) {
     answers(&pieces(bytes, cuts))
 }
 
@@ -152,8 +153,8 @@
 
 #[test]
 fn good_answers_are_read_whole() {
-    let (found, spoilt) = answers(&[GOOD]);
-    assert!(!spoilt);
+    let (found, malformed) = answers(&[GOOD]);
+    assert!(!malformed);
     let plain: Vec<(u16, &[u8], bool)> =
         found.iter().map(|a| (a.status, a.body.as_slice(), a.close)).collect();
     assert_eq!(
@@ -167,9 +168,9 @@
 fn an_answer_may_be_longer_than_a_request_within_its_own_bound() {
     let body = vec![7; 260_000];
     let mut bytes = Vec::new();
-    write_answer(&mut bytes, 200, &[], &body, false);
+    write_response(&mut bytes, 200, &[], &body, false);
     assert_eq!(answers(&[&bytes]).0[0].body, body);
-    let long = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", MOST_ANSWER + 1);
+    let long = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", MAX_RESPONSE_BODY_BYTES + 1);
     assert_eq!(answers(&[long.as_bytes()]), (vec![], true));
 }
 
@@ -198,27 +199,27 @@
 
 #[test]
 fn an_answer_without_a_length_is_whole_when_its_connection_ends_in_order() {
-    let mut reader = Answers::default();
+    let mut reader = ResponseReader::default();
     for piece in ["HTTP/1.1 200 OK\r\nX-Rho: 3\r\n\r\n", "hel", "", "lo"] {
         assert_eq!(reader.read(piece.as_bytes()), Ok((piece.len(), None)), "{piece:?}");
     }
-    let answer = reader.ended().unwrap();
+    let answer = reader.on_end_of_stream().unwrap();
     assert_eq!((answer.status, answer.body.as_slice(), answer.close), (200, &b"hello"[..], true));
-    assert!(reader.ended().is_none(), "it is given once");
+    assert!(reader.on_end_of_stream().is_none(), "it is given once");
     for short in ["", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell"] {
-        let mut reader = Answers::default();
+        let mut reader = ResponseReader::default();
         assert!(reader.read(short.as_bytes()).is_ok_and(|(_, answer)| answer.is_none()), "{short:?}");
-        assert!(reader.ended().is_none(), "an end is no end of {short:?}");
+        assert!(reader.on_end_of_stream().is_none(), "an end is no end of {short:?}");
     }
-    let mut reader = Answers::default();
+    let mut reader = ResponseReader::default();
     assert!(reader.read(b"HTTP/1.1 200 OK\r\n\r\n").is_ok());
-    assert!(reader.read(&vec![7; MOST_ANSWER]).is_ok());
-    assert_eq!(reader.read(&[7]), Err(Spoilt), "it is bounded as any other");
+    assert!(reader.read(&vec![7; MAX_RESPONSE_BODY_BYTES]).is_ok());
+    assert_eq!(reader.read(&[7]), Err(MalformedResponse), "it is bounded as any other");
 }
 
 /// All requests in some bytes that come in pieces, and the status that the first bad one is refused with.
-fn requests(pieces: &[&[u8]]) -> (Vec<Whole>, u16) {
-    let (mut reader, mut input, mut found) = (Requests::default(), Vec::new(), Vec::new());
+fn requests(pieces: &[&[u8]]) -> (Vec<CompleteRequest>, u16) {
+    let (mut reader, mut input, mut found) = (RequestReader::default(), Vec::new(), Vec::new());
     for piece in pieces {
         input.extend_from_slice(piece);
         loop {
@@ -250,13 +251,13 @@
     let (found, status) = requests(&[ASKED]);
     let bodies: Vec<&[u8]> = found.iter().map(|r| r.body.as_slice()).collect();
     assert_eq!((bodies, status), (vec![&b""[..], b"hello", b"abcde", b"hi", b"", b""], 0));
-    assert!(found.iter().all(|r| request(&r.head).is_ok()));
+    assert!(found.iter().all(|r| parse_request_head(&r.head).is_ok()));
 }
 
 #[test]
 fn bad_chunks_are_refused_from_their_first_bad_byte_and_a_body_is_bounded() {
-    let long = format!("{:x}\r\n", MOST_BODY + 1);
-    let twice = format!("{:x}\r\n{}\r\n1\r\n", MOST_BODY, "x".repeat(MOST_BODY));
+    let long = format!("{:x}\r\n", MAX_REQUEST_BODY_BYTES + 1);
+    let twice = format!("{:x}\r\n{}\r\n1\r\n", MAX_REQUEST_BODY_BYTES, "x".repeat(MAX_REQUEST_BODY_BYTES));
     for chunks in ["zz\r\n", "-1\r\n", "\r\n", "3\r\nabcde", "ffffffffff\r\n", "3\n", &long, &twice] {
         let bytes = put("Transfer-Encoding: chunked\r\n") + chunks;
         assert_eq!(requests(&[bytes.as_bytes()]), (vec![], 400), "{:?}", &chunks[..chunks.len().min(20)]);
@@ -266,12 +267,12 @@
 #[test]
 fn a_client_that_keeps_its_body_back_is_owed_a_word_once_and_only_before_the_body() {
     let head = put("Content-Length: 4\r\nExpect: 100-continue\r\n");
-    let mut reader = Requests::default();
+    let mut reader = RequestReader::default();
     assert_eq!(reader.read(head.as_bytes()), Ok((head.len(), None)));
-    assert!(reader.expects() && !reader.expects() && reader.begun());
-    assert!(reader.read(b"body").unwrap().1.is_some_and(|r| r.body == b"body") && !reader.begun());
+    assert!(reader.expects_continue() && !reader.expects_continue() && reader.in_progress());
+    assert!(reader.read(b"body").unwrap().1.is_some_and(|r| r.body == b"body") && !reader.in_progress());
     let whole = head + "body";
-    assert!(reader.read(whole.as_bytes()).unwrap().1.is_some() && !reader.expects());
+    assert!(reader.read(whole.as_bytes()).unwrap().1.is_some() && !reader.expects_continue());
 }
 
 quickcheck! {
@@ -298,16 +299,16 @@
     }
 
     fn arbitrary_bytes_never_panic(bytes: Vec<u8>, cuts: Vec<u16>) -> bool {
-        let held: usize = split(&bytes, &cuts).0.iter().map(|a| a.body.len()).sum();
-        _ = request(&bytes);
-        _ = begins_like_a_request(&bytes);
-        held <= bytes.len() && held <= MOST_ANSWER
+        let memory_bytes: usize = split(&bytes, &cuts).0.iter().map(|a| a.body.len()).sum();
+        _ = parse_request_head(&bytes);
+        _ = may_begin_request(&bytes);
+        memory_bytes <= bytes.len() && memory_bytes <= MAX_RESPONSE_BODY_BYTES
     }
 
     fn a_head_ends_at_the_same_byte_in_any_split(fields: Vec<u8>, cuts: Vec<u8>) -> bool {
         let text: String = fields.iter().map(|f| format!("X{f}: {f}\r\n")).collect();
         let head = format!("GET / HTTP/1.1\r\n{text}\r\nrest");
-        let (mut heads, mut end, mut to) = (Heads::default(), None, 0);
+        let (mut heads, mut end, mut to) = (HeadReader::default(), None, 0);
         for cut in cuts {
             to = (to + usize::from(cut)).min(head.len());
             if end.is_none() {
@@ -325,10 +326,10 @@
     fn what_is_written_is_read_back(status: u16, body: Vec<u8>, close: bool) -> bool {
         let status = 200 + status % 300;
         let mut bytes = Vec::new();
-        write_answer(&mut bytes, status, &[("X-A", b"b")], &body, close);
-        let (found, spoilt) = answers(&[&bytes]);
+        write_response(&mut bytes, status, &[("X-A", b"b")], &body, close);
+        let (found, malformed) = answers(&[&bytes]);
         let [answer] = found.as_slice() else { return false };
-        !spoilt && answer.status == status && answer.body == body && answer.close == close
+        !malformed && answer.status == status && answer.body == body && answer.close == close
             && answer.field("x-a") == Some("b")
     }
 }
@@ -338,8 +339,8 @@
     let mut bytes = Vec::new();
     write_request_head(&mut bytes, "PUT", "/a?b", &[("Host", b"h"), ("Content-Length", b"3")]);
     bytes.extend_from_slice(b"\r\n");
-    let read = request(&bytes).unwrap();
-    let framing = Framing::Length(3);
+    let read = parse_request_head(&bytes).unwrap();
+    let framing = BodyFraming::Length(3);
     assert_eq!((read.method, read.target, read.framing, read.close), ("PUT", "/a?b", framing, false));
-    assert_eq!(read.fields.one("HOST"), Ok(Some(&b"h"[..])));
+    assert_eq!(read.headers.single("HOST"), Ok(Some(&b"h"[..])));
 }
--- a/crates/platform/src/outcome/tests.rs
+++ b/crates/platform/src/attempt_end/tests.rs
@@ -3,7 +3,7 @@
 /// Each row of the platform's table, and what it says of whether the request has run.
 #[test]
 fn only_what_the_platform_names_proves_that_nothing_ran() {
-    let answer = |status, not_run| Sign::Answer { status, not_run };
+    let answer = |status, not_run| AttemptEnd::Response { status, not_run };
     for (sign, written, meant, never_ran) in [
         (answer(200, false), true, Outcome::Succeeded, false),
         (answer(200, true), true, Outcome::Succeeded, false),
@@ -14,15 +14,15 @@
         (answer(503, false), true, Outcome::Error, false),
         (answer(504, false), false, Outcome::Error, false),
         (answer(429, true), true, Outcome::Error, false),
-        (Sign::Broke, false, Outcome::ConnectFailed, true),
-        (Sign::Broke, true, Outcome::Reset, false),
-        (Sign::Spoilt, true, Outcome::Reset, false),
-        (Sign::Late, false, Outcome::ConnectFailed, true),
-        (Sign::Late, true, Outcome::TimedOut, false),
-        (Sign::GivenUp, false, Outcome::ConnectFailed, true),
-        (Sign::GivenUp, true, Outcome::Cancelled, false),
-        (Sign::TakenBack, false, Outcome::DeadlineExceeded, true),
-        (Sign::TakenBack, true, Outcome::Cancelled, false),
+        (AttemptEnd::ConnectionLost, false, Outcome::ConnectFailed, true),
+        (AttemptEnd::ConnectionLost, true, Outcome::Reset, false),
+        (AttemptEnd::MalformedResponse, true, Outcome::Reset, false),
+        (AttemptEnd::TimedOut, false, Outcome::ConnectFailed, true),
+        (AttemptEnd::TimedOut, true, Outcome::TimedOut, false),
+        (AttemptEnd::Cancelled, false, Outcome::ConnectFailed, true),
+        (AttemptEnd::Cancelled, true, Outcome::Cancelled, false),
+        (AttemptEnd::Withdrawn, false, Outcome::DeadlineExceeded, true),
+        (AttemptEnd::Withdrawn, true, Outcome::Cancelled, false),
     ] {
         let found = outcome(sign, written);
         assert_eq!((found, found.never_ran()), (meant, never_ran), "{sign:?}, written: {written}");
--- a/crates/platform/src/discovery_log.rs
+++ b/crates/platform/src/discovery_log.rs
@@ -12,16 +12,16 @@
 
 /// Why a call to discovery ended without a list that could be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallFailure {
+pub enum CallError {
     /// No connection could be begun; the system's error.
     Connect(String),
     /// The connection ended or broke before an answer was whole.
-    Broke(String),
+    ConnectionLost(String),
     Status(u16),
     /// Bytes that are no HTTP answer.
-    Spoilt,
+    MalformedResponse,
     /// A body that is no list.
-    Malformed(String),
+    MalformedList(String),
     /// Changes that do not follow what is known.
     Gap,
     /// What is known is newer.
@@ -29,35 +29,35 @@
     TooLarge,
 }
 
-impl CallFailure {
+impl CallError {
     /// The name under which it is counted.
     pub fn kind(&self) -> &'static str {
         match self {
-            CallFailure::Connect(_) => "connect",
-            CallFailure::Broke(_) => "broke",
-            CallFailure::Status(_) => "status",
-            CallFailure::Spoilt => "spoilt",
-            CallFailure::Malformed(_) => "malformed",
-            CallFailure::Gap => "gap",
-            CallFailure::Outdated => "outdated",
-            CallFailure::TooLarge => "too-large",
+            CallError::Connect(_) => "connect_failed",
+            CallError::ConnectionLost(_) => "connection_lost",
+            CallError::Status(_) => "status",
+            CallError::MalformedResponse => "malformed_response",
+            CallError::MalformedList(_) => "malformed_list",
+            CallError::Gap => "generation_gap",
+            CallError::Outdated => "outdated",
+            CallError::TooLarge => "too_large",
         }
     }
 }
 
-impl fmt::Display for CallFailure {
+impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            CallFailure::Connect(error) => write!(f, "no connection: {error}"),
-            CallFailure::Broke(error) => {
+            CallError::Connect(error) => write!(f, "no connection: {error}"),
+            CallError::ConnectionLost(error) => {
                 write!(f, "the connection ended before an answer was whole: {error}")
             }
-            CallFailure::Status(status) => write!(f, "status {status}"),
-            CallFailure::Spoilt => write!(f, "the answer is not HTTP"),
-            CallFailure::Malformed(why) => write!(f, "the body is not a list: {why}"),
-            CallFailure::Gap => write!(f, "changes to a list that is not known"),
-            CallFailure::Outdated => write!(f, "a list older than the known one"),
-            CallFailure::TooLarge => write!(f, "the answer is too large for the memory"),
+            CallError::Status(status) => write!(f, "status {status}"),
+            CallError::MalformedResponse => write!(f, "the answer is not HTTP"),
+            CallError::MalformedList(why) => write!(f, "the body is not a list: {why}"),
+            CallError::Gap => write!(f, "changes to a list that is not known"),
+            CallError::Outdated => write!(f, "a list older than the known one"),
+            CallError::TooLarge => write!(f, "the answer is too large for the memory"),
         }
     }
 }
@@ -90,7 +90,7 @@
 pub struct DiscoveryLog {
     limit: LogLimit,
     pub counts: DiscoveryCounts,
-    /// The last call failed: the next answer is told at the default level.
+    /// The last call failed: the next answer is config at the default level.
     failing: bool,
 }
 
@@ -115,23 +115,23 @@
 }
 
 impl DiscoveryLog {
-    /// A call begins, beside some that are late. Routine calls, those that follow an answer, are told at debug level
+    /// A call begins, beside some that are late. Routine calls, those that follow an answer, are config at debug level
     /// alone.
     pub fn called(&mut self, now: Ms, call: u64, late: usize, address: SocketAddr, target: &str) {
         self.counts.calls += 1;
         if self.failing || late > 0 {
-            limited!(self, now, call, late, %address, target, "discovery call");
+            limited!(self, now, call, late, %address, target, "endpoint_list_poll_started");
         } else {
-            tracing::debug!(call, %address, target, "discovery call");
+            tracing::debug!(call, %address, target, "endpoint_list_poll_started");
         }
     }
 
     /// The connection that a call goes over stands.
     pub fn connected(&self, call: u64, address: SocketAddr, took_ms: Ms) {
-        tracing::debug!(call, %address, took_ms, "discovery connected");
+        tracing::debug!(call, %address, took_ms, "discovery_connected");
     }
 
-    /// An answer was taken in; `present`: it came from the address that is named now.
+    /// An answer was taken in; `present`: it came from the address that is labels now.
     pub fn answered(
         &mut self,
         now: Ms,
@@ -143,33 +143,33 @@
     ) {
         if !present {
             self.counts.answers_of_former += 1;
-            limited!(self, now, call, generation, lines, took_ms, "the former discovery answered");
+            limited!(self, now, call, generation, lines, took_ms, "former_discovery_answered");
             return;
         }
         self.counts.answers += 1;
         if std::mem::take(&mut self.failing) || lines > 0 {
-            limited!(self, now, call, generation, lines, took_ms, "discovery answered");
+            limited!(self, now, call, generation, lines, took_ms, "endpoint_list_received");
         } else {
-            tracing::debug!(call, generation, lines, took_ms, "discovery answered");
+            tracing::debug!(call, generation, lines, took_ms, "endpoint_list_received");
         }
     }
 
     /// A call to an address before the last reload ended without a list that was taken in.
-    pub fn former_ended(&mut self, now: Ms, call: u64, why: &CallFailure) {
-        limited!(self, now, call, %why, "the call to the former discovery ended");
+    pub fn former_ended(&mut self, now: Ms, call: u64, why: &CallError) {
+        limited!(self, now, call, %why, "former_discovery_poll_failed");
     }
 
     /// A call was ended as its answer is not wanted any more.
     pub fn dropped(&mut self, now: Ms, call: u64) {
         self.counts.dropped += 1;
-        limited!(self, now, call, "discovery call dropped");
+        limited!(self, now, call, "endpoint_list_poll_cancelled");
     }
 
     /// A call failed; the next one is due after `next_in_ms`.
-    pub fn failed(&mut self, now: Ms, call: u64, why: &CallFailure, next_in_ms: Ms) {
+    pub fn failed(&mut self, now: Ms, call: u64, why: &CallError, next_in_ms: Ms) {
         *self.counts.failures.entry(why.kind()).or_default() += 1;
         self.failing = true;
-        limited!(self, now, call, %why, next_in_ms, "discovery call failed");
+        limited!(self, now, call, %why, next_in_ms, "endpoint_list_poll_failed");
     }
 
     /// The configuration file was read anew.
@@ -181,30 +181,26 @@
         self.failing = true;
     }
 
-    /// The configuration file could not be used: what was told before stays until it can be.
+    /// The configuration file could not be used: what was config before stays until it can be.
     pub fn reload_refused(&mut self, now: Ms, why: &str, discovery: SocketAddr, retry_in_ms: Option<Ms>) {
         self.counts.reloads_refused += 1;
         if let Some(suppressed) = self.limit.admit(now) {
             let kept = discovery;
-            tracing::error!(suppressed, why, %kept, retry_in_ms, "the new configuration is refused for now");
+            tracing::error!(suppressed, why, %kept, retry_in_ms, "config_reload_failed");
         }
     }
 
     /// What the list is worth changed.
     pub fn validity_changed(&mut self, before: Validity, after: Validity, age_ms: Ms) {
         match after {
-            Validity::Valid => tracing::info!(?before, age_ms, "the list of nodes is valid"),
+            Validity::Valid => tracing::info!(?before, age_ms, "endpoint_list_valid"),
             Validity::ServiceDown => {
                 self.counts.service_down += 1;
-                tracing::warn!(?before, age_ms, "the list is old and discovery is down: it stays in use");
+                tracing::warn!(?before, age_ms, "endpoint_list_kept_without_discovery");
             }
             Validity::Expired => {
                 self.counts.expired += 1;
-                tracing::warn!(
-                    ?before,
-                    age_ms,
-                    "the list has expired: nothing new is sent until discovery answers"
-                );
+                tracing::warn!(?before, age_ms, "endpoint_list_expired");
             }
         }
     }
--- a/crates/platform/src/discovery/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn one(instance: &str) -> Result<Listing, String> {
+fn one(instance: &str) -> Result<EndpointList, String> {
     parsed(format!(r#"{{"generation":4,"reset":true,"instances":[{instance}]}}"#).as_bytes())
 }
 
--- a/crates/platform/src/floor.rs
+++ b/crates/platform/src/host.rs
@@ -1,22 +1,22 @@
 //! What the engine's wishes come to on sockets: connections to clients, nodes and discovery, and the requests that
 //! travel between them. Every decision on a request is the engine's.
 
+use crate::attempt_end::AttemptEnd;
 use crate::client_connection::Client;
-use crate::clients::Room;
-use crate::config::Told;
-use crate::discovery::{Line, Listing};
+use crate::client_policy::ConnectionLimits;
+use crate::config::HostConfig;
 use crate::discovery_log::DiscoveryLog;
-use crate::memory::{self, Holder};
-use crate::nodes::{Numbers, Pool};
-use crate::outcome::Sign;
-use crate::request_log::{Named, RequestLog, UpstreamClosed};
-use crate::shutdown::Shutdown;
-use crate::upstream::Link;
+use crate::endpoint_list::{EndpointList, EndpointRecord};
+use crate::graceful_shutdown::GracefulShutdown;
+use crate::idle_pool::{EndpointNumbers, IdlePool};
+use crate::memory_limit::{self, BufferOwner};
+use crate::request_log::{RequestLabels, RequestLog, UpstreamCloseReason};
+use crate::upstream_connection::UpstreamConnection;
 use crate::wall_clock::WallClock;
 use magpiewick::{Answer, Endpoint, EndpointClient, EndpointState, FinalStatus, Ms, Outcome};
 use magpiewick_engine::{AttemptRef, Environment, Reason};
-use magpiewick_exchange::{EndpointTrust, Upstream};
-use magpiewick_http1::Answers;
+use magpiewick_exchange::{EndpointTrust, ExchangeHistory};
+use magpiewick_http1::ResponseReader;
 use magpiewick_instance_settings::PlatformSettings;
 use magpiewick_transport::{Clock, Poll, Stream, Timers};
 use slab::Slab;
@@ -24,13 +24,13 @@
 use std::net::SocketAddr;
 
 /// Keys below belong to the loop itself.
-pub const FIRST_KEY: usize = 8;
+pub const FIRST_CONNECTION_KEY: usize = 8;
 /// Descriptors that are not for clients nor nodes: the standard ones, the poller's, signals, listener, discovery,
 /// a file that is read anew.
-const OWN_SOCKETS: usize = 20;
+const RESERVED_DESCRIPTORS: usize = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Timed {
+pub enum Timer {
     /// A connection to a node is to stand by now.
     Dial(usize, u64),
     /// An answer that has begun is to have gone on by now.
@@ -44,35 +44,35 @@
 }
 
 /// A connection to discovery.
-pub struct Call {
+pub struct DiscoveryConnection {
     pub stream: Stream,
-    pub answers: Answers,
+    pub answers: ResponseReader,
     pub address: SocketAddr,
-    /// The call that is out on it, when that began, and how long the service may wait for news.
+    /// The call that is out on it, when that started_at, and how long the service may wait for news.
     pub call: Option<u64>,
-    pub began: Ms,
+    pub started_at: Ms,
     pub wait: Ms,
-    pub exchanges: Upstream,
+    pub exchanges: ExchangeHistory,
 }
 
-pub enum Peer {
+pub enum Connection {
     Client(Client),
-    Link(Link),
-    Call(Call),
+    Upstream(UpstreamConnection),
+    Discovery(DiscoveryConnection),
 }
 
-impl Peer {
+impl Connection {
     pub fn held(&self) -> usize {
         match self {
-            Peer::Client(c) => c.held(),
-            Peer::Link(l) => l.stream.held() + l.answers.held(),
-            Peer::Call(c) => c.stream.held() + c.answers.held(),
+            Connection::Client(c) => c.held(),
+            Connection::Upstream(l) => l.stream.held() + l.answers.memory_bytes(),
+            Connection::Discovery(c) => c.stream.held() + c.answers.memory_bytes(),
         }
     }
 }
 
 /// A request until its answer is given and none of its attempts is out.
-pub struct Open {
+pub struct OpenRequest {
     pub client: Option<usize>,
     pub id: String,
     pub head: Vec<u8>,
@@ -86,65 +86,65 @@
 }
 
 /// A node as the list names it.
-pub struct Node {
+pub struct KnownEndpoint {
     pub id: String,
     pub address: Option<SocketAddr>,
     pub state: EndpointState,
-    /// When it started: as the list told it, and by the loop's clock.
-    told: Option<u64>,
+    /// When it started: as the list config it, and by the loop's clock.
+    config: Option<u64>,
     started: Option<Ms>,
 }
 
 /// Counters for the log.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct Metrics {
     pub taken: u64,
-    pub settled: u64,
-    pub bounced: u64,
-    pub scrapped: u64,
+    pub succeeded: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub gone: u64,
     /// By what was wrong.
     pub refused: BTreeMap<&'static str, u64>,
     pub evicted: u64,
     /// Connections that ended because too many bytes waited.
-    pub crowded: u64,
+    pub closed_over_memory: u64,
     pub sent: u64,
     pub opened: u64,
-    pub lists: u64,
-    pub lists_failed: u64,
+    pub endpoint_lists_applied: u64,
+    pub endpoint_list_poll_failures: u64,
     pub outcomes: BTreeMap<&'static str, u64>,
 }
 
-pub struct Floor {
+pub struct Host {
     pub poll: Poll,
     pub clock: Clock,
     pub now: Ms,
     /// What came in may be that old.
     pub age: Ms,
-    pub door: PlatformSettings,
-    pub peers: Slab<Peer>,
-    pub requests: HashMap<u64, Open>,
+    pub settings: PlatformSettings,
+    pub connections: Slab<Connection>,
+    pub requests: HashMap<u64, OpenRequest>,
     pub ids: HashMap<String, u64>,
-    pub nodes: BTreeMap<u32, Node>,
-    numbers: Numbers,
-    pub pool: Pool,
-    pub timers: Timers<Timed>,
+    pub nodes: BTreeMap<u32, KnownEndpoint>,
+    numbers: EndpointNumbers,
+    pub pool: IdlePool,
+    pub timers: Timers<Timer>,
     /// Outcomes that are owed to the engine.
     pub owed: Vec<(u64, Answer)>,
-    pub wakes_at: Ms,
+    pub wake_at: Ms,
     pub endpoint_client: EndpointClient,
     pub discovery: SocketAddr,
     /// The connection to discovery on which the last call was answered.
-    pub resting_call: Option<usize>,
-    pub shutdown: Shutdown,
-    pub counts: Counts,
+    pub idle_connection: Option<usize>,
+    pub shutdown: GracefulShutdown,
+    pub counts: Metrics,
     pub discovery_log: DiscoveryLog,
     pub request_log: RequestLog,
-    pub room: Room,
+    pub limits: ConnectionLimits,
     /// How many bytes may wait in memory.
-    pub most_held: usize,
+    pub buffer_limit: usize,
     pub clients: usize,
-    pub links: usize,
+    pub upstream_count: usize,
     serial: u64,
     wall_clock: WallClock,
     /// What was learned of nodes that sent more than they were asked for.
@@ -155,38 +155,38 @@
     pub gone: Vec<usize>,
 }
 
-impl Floor {
-    pub fn new(poll: Poll, clock: Clock, wall_clock: WallClock, told: &Told) -> Floor {
-        let (door, sockets, discovery) = (told.door.clone(), told.sockets, told.discovery);
-        let longest = told.start.classes.iter().map(|b| b.client_timeout).fold(0.0, f64::max);
-        let shutdown = Shutdown::new(longest);
+impl Host {
+    pub fn new(poll: Poll, clock: Clock, wall_clock: WallClock, config: &HostConfig) -> Host {
+        let (settings, sockets, discovery) = (config.settings.clone(), config.sockets, config.discovery);
+        let longest = config.start.classes.iter().map(|b| b.client_timeout).fold(0.0, f64::max);
+        let shutdown = GracefulShutdown::new(longest);
         let now = clock.now();
-        Floor {
+        Host {
             poll,
             clock,
             now,
             age: 0.0,
-            pool: Pool::new(door.idle),
-            door,
-            peers: Slab::new(),
+            pool: IdlePool::new(settings.idle),
+            settings,
+            connections: Slab::new(),
             requests: HashMap::new(),
             ids: HashMap::new(),
             nodes: BTreeMap::new(),
-            numbers: Numbers::default(),
+            numbers: EndpointNumbers::default(),
             timers: Timers::default(),
             owed: Vec::new(),
-            wakes_at: 0.0,
-            endpoint_client: told.endpoint_client(now),
+            wake_at: 0.0,
+            endpoint_client: config.endpoint_client(now),
             discovery,
-            resting_call: None,
+            idle_connection: None,
             shutdown,
-            counts: Counts::default(),
+            counts: Metrics::default(),
             discovery_log: DiscoveryLog::default(),
             request_log: RequestLog::default(),
-            room: Room::new(sockets, sockets - OWN_SOCKETS),
-            most_held: memory::bound(told.memory_mb),
+            limits: ConnectionLimits::new(sockets, sockets - RESERVED_DESCRIPTORS),
+            buffer_limit: memory_limit::bound(config.memory_mb),
             clients: 0,
-            links: 0,
+            upstream_count: 0,
             serial: 0,
             wall_clock,
             trust: EndpointTrust::default(),
@@ -201,48 +201,51 @@
     }
 
     /// Puts a peer in its place; its stream is made under the key that it will have.
-    pub fn enter(
+    pub fn register_connection(
         &mut self,
-        make: impl FnOnce(&Poll, usize) -> std::io::Result<Peer>,
+        make: impl FnOnce(&Poll, usize) -> std::io::Result<Connection>,
     ) -> std::io::Result<usize> {
-        let place = self.peers.vacant_entry();
+        let place = self.connections.vacant_entry();
         let key = place.key();
-        place.insert(make(&self.poll, key + FIRST_KEY)?);
+        place.insert(make(&self.poll, key + FIRST_CONNECTION_KEY)?);
         Ok(key)
     }
 
     /// The memory that a connection takes, without the request that is open on it.
     pub fn held(&self, key: usize) -> usize {
-        self.peers.get(key).map_or(0, Peer::held)
+        self.connections.get(key).map_or(0, Connection::held)
     }
 
     /// Connections that give way, as too many bytes wait in memory.
-    pub fn too_large(&self) -> Vec<usize> {
+    pub fn connections_over_memory_limit(&self) -> Vec<usize> {
         let request_id = |id: &u64| self.requests.get(id).map_or(0, |open| open.head.len() + open.body.len());
-        memory::give_way(
-            self.most_held,
-            self.peers.iter().map(|(key, peer)| match peer {
-                Peer::Client(c) => {
+        memory_limit::select_to_close(
+            self.buffer_limit,
+            self.connections.iter().map(|(key, peer)| match peer {
+                Connection::Client(c) => {
                     // What it has asked, whether it is its turn or not, is owed an answer.
-                    let owed = c.open.is_some() || c.has_more();
-                    let kind = if owed { Holder::Owed } else { Holder::Written };
+                    let owed = c.open.is_some() || c.has_pipelined();
+                    let kind =
+                        if owed { BufferOwner::AwaitingResponse } else { BufferOwner::SendingResponse };
                     (kind, peer.held() + c.open.as_ref().map_or(0, request_id), key)
                 }
-                Peer::Link(_) | Peer::Call(_) => (Holder::Node, peer.held(), key),
+                Connection::Upstream(_) | Connection::Discovery(_) => {
+                    (BufferOwner::Upstream, peer.held(), key)
+                }
             }),
         )
     }
 
     pub fn log_client_gone(&mut self, request_id: u64) {
         if let Some(open) = self.requests.get(&request_id) {
-            let named = named(&self.nodes, open, self.now);
-            self.request_log.client_gone(self.now, &named);
+            let labels = labels(&self.nodes, open, self.now);
+            self.request_log.on_client_disconnect(self.now, &labels);
         }
     }
 
     /// Forgets a request that was answered and has nothing out.
     pub fn release(&mut self, request_id: u64) {
-        let over = |open: &Open| open.client.is_none() && open.out.is_none();
+        let over = |open: &OpenRequest| open.client.is_none() && open.out.is_none();
         if self.requests.get(&request_id).is_some_and(over) {
             if let Some(open) = self.requests.remove(&request_id) {
                 self.ids.remove(&open.id);
@@ -251,10 +254,10 @@
     }
 
     /// Passes a node's answer on to the client that asked, if it still waits.
-    pub fn settle(&mut self, request_id: u64, body: &[u8]) {
+    pub fn deliver_response(&mut self, request_id: u64, body: &[u8]) {
         if let Some(client) = self.end_request(request_id) {
-            self.counts.settled += 1;
-            self.reply(client, 200, &[], body, false);
+            self.counts.succeeded += 1;
+            self.send_response(client, 200, &[], body, false);
         }
     }
 
@@ -262,32 +265,33 @@
     /// more: an attempt that is not written whole is taken back.
     fn end_request(&mut self, request_id: u64) -> Option<usize> {
         let client = self.requests.get_mut(&request_id)?.client.take();
-        self.take_unwritten_back(request_id);
+        self.withdraw_if_unwritten(request_id);
         self.release(request_id);
         client
     }
 
     /// Takes a listing's lines in, read at this Unix time: the module's entries of them.
-    pub fn listed(&mut self, listing: &Listing, unix: f64) -> Vec<(u32, Endpoint)> {
+    pub fn listed(&mut self, listing: &EndpointList, unix: f64) -> Vec<(u32, Endpoint)> {
         self.wall_clock.read(unix, self.clock.now());
         if listing.whole {
-            let named: Vec<&str> = listing.lines.iter().map(|l| l.id.as_str()).collect();
-            let gone = self.nodes.iter().filter(|(_, n)| !named.contains(&n.id.as_str()));
+            let labels: Vec<&str> = listing.lines.iter().map(|l| l.id.as_str()).collect();
+            let gone = self.nodes.iter().filter(|(_, n)| !labels.contains(&n.id.as_str()));
             let gone: Vec<u32> = gone.map(|(node, _)| *node).collect();
             gone.into_iter().for_each(|node| self.forget_node(node));
         }
         listing.lines.iter().filter_map(|line| self.line(line)).collect()
     }
 
-    fn line(&mut self, line: &Line) -> Option<(u32, Endpoint)> {
+    fn line(&mut self, line: &EndpointRecord) -> Option<(u32, Endpoint)> {
         let number = match line.state {
             // Whatever was never known cannot go.
             EndpointState::Removed => self.numbers.known(&line.id)?,
             _ => self.numbers.of(self.now, &line.id),
         };
-        let zone = self.door.zones.iter().position(|z| *z == line.zone).unwrap_or(self.door.zones.len());
+        let zone =
+            self.settings.zones.iter().position(|z| *z == line.zone).unwrap_or(self.settings.zones.len());
         let before = self.nodes.get(&number);
-        let started = match before.filter(|node| node.told == line.started) {
+        let started = match before.filter(|node| node.config == line.started) {
             Some(node) => node.started,
             None => line.started.map(|at| self.wall_clock.latest(at as f64, self.now)),
         };
@@ -296,21 +300,21 @@
             self.forget_node(number);
             return Some((number, entry));
         }
-        let (id, told) = (line.id.clone(), line.started);
-        let node = Node { id, address: line.address, state: line.state, told, started };
+        let (id, config) = (line.id.clone(), line.started);
+        let node = KnownEndpoint { id, address: line.address, state: line.state, config, started };
         let before = self.nodes.insert(number, node);
         if line.state != EndpointState::Ready || before.is_some_and(|n| n.address != line.address) {
-            self.drop_resting(number, UpstreamClosed::EndpointLeft);
+            self.close_idle(number, UpstreamCloseReason::EndpointRemoved);
         }
         if line.state != EndpointState::Ready {
-            self.take_back(number);
+            self.withdraw_unwritten_from(number);
         }
         Some((number, entry))
     }
 
     fn forget_node(&mut self, number: u32) {
-        self.drop_resting(number, UpstreamClosed::EndpointLeft);
-        self.take_back(number);
+        self.close_idle(number, UpstreamCloseReason::EndpointRemoved);
+        self.withdraw_unwritten_from(number);
         self.trust.forget(number);
         if let Some(node) = self.nodes.remove(&number) {
             self.numbers.forget(self.now, &node.id);
@@ -319,9 +323,13 @@
 }
 
 /// An open request as the log names it.
-pub fn named<'a>(nodes: &'a BTreeMap<u32, Node>, open: &'a Open, now: Ms) -> Named<'a> {
+pub fn labels<'a>(
+    nodes: &'a BTreeMap<u32, KnownEndpoint>,
+    open: &'a OpenRequest,
+    now: Ms,
+) -> RequestLabels<'a> {
     let node = open.last.and_then(|(node, _)| nodes.get(&node));
-    Named {
+    RequestLabels {
         id: &open.id,
         attempts: open.attempts,
         age: now - open.taken_at,
@@ -329,25 +337,25 @@
     }
 }
 
-impl Environment for Floor {
+impl Environment for Host {
     fn send(&mut self, node: u32, parts: &[AttemptRef]) {
-        parts.iter().for_each(|part| self.begin_attempt(node, part));
+        parts.iter().for_each(|part| self.start_attempt(node, part));
     }
 
     fn cancel(&mut self, request_id: u64, attempt: u32) {
-        self.give_up(request_id, attempt, Sign::GivenUp);
+        self.end_attempt_early(request_id, attempt, AttemptEnd::Cancelled);
     }
 
     fn answer(&mut self, request_id: u64, ending: FinalStatus, reason: Reason) {
         let Some(open) = self.requests.get(&request_id) else { return };
         let status = if matches!(ending, FinalStatus::Failed) { 502 } else { 503 };
-        let named = named(&self.nodes, open, self.now);
-        self.request_log.answered(self.now, &named, status, reason);
+        let labels = labels(&self.nodes, open, self.now);
+        self.request_log.answered(self.now, &labels, status, reason);
         let Some(key) = self.end_request(request_id) else { return };
         let word = reason.word();
         let (back, count) = match ending {
-            FinalStatus::Rejected { retry_after } => (retry_after, &mut self.counts.bounced),
-            FinalStatus::Failed => (0.0, &mut self.counts.scrapped),
+            FinalStatus::Rejected { retry_after } => (retry_after, &mut self.counts.rejected),
+            FinalStatus::Failed => (0.0, &mut self.counts.failed),
         };
         *count += 1;
         let back = format!("{:.3}", back / 1000.0);
@@ -355,16 +363,16 @@
             "0.000" => &[],
             back => &[("Retry-After", back.as_bytes())],
         };
-        self.reply(key, status, fields, format!("{word}\n").as_bytes(), false);
+        self.send_response(key, status, fields, format!("{word}\n").as_bytes(), false);
     }
 
     /// The module judges nodes by their answers alone and asks for no probe.
     fn check_health(&mut self, _: u32) {}
 
-    /// The list client decides when the list is asked for; the module is not told that it may.
+    /// The list client decides when the list is asked for; the module is not config that it may.
     fn poll_endpoints(&mut self) {}
 
     fn wake(&mut self, at: Ms) {
-        self.wakes_at = at;
+        self.wake_at = at;
     }
 }
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/idle_pool.rs
@@ -1,6 +1,6 @@
 //! Which connection to a node an attempt takes, and which give way; free of I/O.
 //!
-//! A connection is named by the loop's key. It rests here from the end of an answer that was whole until it is
+//! A connection is labels by the loop's key. It rests here from the end of an answer that was whole until it is
 //! taken or retired; all others are the loop's.
 
 use magpiewick::Ms;
@@ -8,25 +8,25 @@
 
 /// A connection is retired when it has rested for this part of the time after which its node closes it: a
 /// process that stood still meanwhile would else write into one that is about to end.
-const RESTS: f64 = 0.7;
+const MAX_IDLE_SHARE: f64 = 0.7;
 
 /// An answer that has begun and of which nothing came for so long does not come whole any more: nodes write an answer
 /// at once, and 50 ms is what the platform's protocol allows the network in every limit of time. Of 5,000 pieces of
 /// answers in pieces none came more than 2.2 ms after the one before it, and with 1 s to wait none came later. Guards against answers that stop short on a
 /// connection that stays open, which would else be waited for as long as for a node's work; it could harm where the
 /// network loses packets or a node stops in the middle of an answer: an attempt that would have been answered.
-pub const STALLS: Ms = 50.0;
+pub const RESPONSE_STALL_MS: Ms = 50.0;
 
-pub struct Pool {
+pub struct IdlePool {
     /// By node: the keys of its resting connections, each with since when; the last one came last.
     resting: BTreeMap<u32, VecDeque<(usize, Ms)>>,
     idle: Option<Ms>,
 }
 
-impl Pool {
+impl IdlePool {
     /// `idle`: after how long a node closes a resting connection; none: never.
-    pub fn new(idle: Option<Ms>) -> Pool {
-        Pool { resting: BTreeMap::new(), idle: idle.map(|idle| idle * RESTS) }
+    pub fn new(idle: Option<Ms>) -> IdlePool {
+        IdlePool { resting: BTreeMap::new(), idle: idle.map(|idle| idle * MAX_IDLE_SHARE) }
     }
 
     pub fn rests(&mut self, now: Ms, node: u32, key: usize) {
@@ -38,8 +38,8 @@
     /// is left of its last exchange may still be on the way, and would be taken for the answer to what is asked next.
     pub fn take(&mut self, now: Ms, node: u32, quiet: Ms) -> Option<usize> {
         let resting = self.resting.get_mut(&node)?;
-        let settled = resting.iter().rposition(|r| now - r.1 >= quiet)?;
-        let taken = resting.remove(settled).map(|(key, _)| key);
+        let succeeded = resting.iter().rposition(|r| now - r.1 >= quiet)?;
+        let taken = resting.remove(succeeded).map(|(key, _)| key);
         if resting.is_empty() {
             self.resting.remove(&node);
         }
@@ -87,18 +87,18 @@
 
 /// A number is given out again when its node has been gone for so long: longer than any attempt there is out, and
 /// than it takes until the module, which forgets a node with the next news of the list, has forgotten it.
-const FORGOTTEN: Ms = 60_000.0;
+const NUMBER_REUSE_DELAY_MS: Ms = 60_000.0;
 
-/// Numbers of nodes by their ids. Guards against a list that names new nodes day after day: all that is kept by
+/// EndpointNumbers of nodes by their ids. Guards against a list that names new nodes day after day: all that is kept by
 /// number stays as large as the fleet. A number that comes back is a node that was never met.
 #[derive(Default)]
-pub struct Numbers {
+pub struct EndpointNumbers {
     by_id: HashMap<String, u32>,
     gone: VecDeque<(Ms, u32)>,
     next: u32,
 }
 
-impl Numbers {
+impl EndpointNumbers {
     pub fn known(&self, id: &str) -> Option<u32> {
         self.by_id.get(id).copied()
     }
@@ -107,7 +107,7 @@
         if let Some(number) = self.known(id) {
             return number;
         }
-        let free = self.gone.pop_front_if(|g| now - g.0 >= FORGOTTEN).map(|g| g.1);
+        let free = self.gone.pop_front_if(|g| now - g.0 >= NUMBER_REUSE_DELAY_MS).map(|g| g.1);
         let number = free.unwrap_or_else(|| {
             self.next += 1;
             self.next
--- a/crates/platform/src/nodes/tests.rs
+++ b/crates/platform/src/idle_pool/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn numbers_of_a_fleet_that_is_always_new_stay_few() {
-    let mut numbers = Numbers::default();
+    let mut numbers = EndpointNumbers::default();
     let mut highest = 0;
     for second in 0..10_000 {
         let now = f64::from(second) * 1000.0;
@@ -20,14 +20,14 @@
 quickcheck! {
     /// A plain model: one list of what rests, in the order in which it came.
     fn a_pool_is_a_list_of_what_rests(steps: Vec<(u8, u8)>) -> bool {
-        let (mut pool, mut plain): (Pool, Vec<(u32, usize, Ms)>) = (Pool::new(Some(40.0)), Vec::new());
+        let (mut pool, mut plain): (IdlePool, Vec<(u32, usize, Ms)>) = (IdlePool::new(Some(40.0)), Vec::new());
         steps.into_iter().enumerate().all(|(key, (what, node))| {
             let (now, node) = (key as f64, u32::from(node % 4));
             let taken = |plain: &mut Vec<(u32, usize, Ms)>, at: Option<usize>| at.map(|at| plain.remove(at).1);
             match what % 6 {
                 0 => {
-                    let settled = plain.iter().rposition(|r| r.0 == node && now - r.2 >= 10.0);
-                    pool.take(now, node, 10.0) == taken(&mut plain, settled)
+                    let succeeded = plain.iter().rposition(|r| r.0 == node && now - r.2 >= 10.0);
+                    pool.take(now, node, 10.0) == taken(&mut plain, succeeded)
                 }
                 1 => {
                     let first = (!plain.is_empty()).then_some(0);
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_connection_that_was_just_answered_on_is_not_asked_again() {
-    let mut pool = Pool::new(None);
+    let mut pool = IdlePool::new(None);
     pool.rests(0.0, 1, 7);
     pool.rests(100.0, 1, 8);
     pool.rests(195.0, 1, 9);
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/incoming_request.rs
@@ -2,32 +2,32 @@
 
 use magpiewick::Ms;
 use magpiewick_engine::IncomingRequest;
-use magpiewick_http1::{Refused, Request};
+use magpiewick_http1::{Rejection, RequestHead};
 use magpiewick_instance_settings::PlatformSettings;
 
 /// No client waits longer, and no volume comes through more hosts.
-const MOST_WAIT: Ms = 3_600_000.0;
-const MOST_HOSTS: f64 = 65_536.0;
+const MAX_CLIENT_TIMEOUT_MS: Ms = 3_600_000.0;
+const MAX_HOSTS: f64 = 65_536.0;
 /// Longer ids are none of the platform's.
-const MOST_ID: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 
-const MALFORMED: u16 = 400;
+const STATUS_BAD_REQUEST: u16 = 400;
 
-fn bad<T>(why: &'static str) -> Result<T, Refused> {
-    Err(Refused { status: MALFORMED, why })
+fn bad<T>(reason: &'static str) -> Result<T, Rejection> {
+    Err(Rejection { status: STATUS_BAD_REQUEST, reason })
 }
 
 /// The one value of a field that must stand there.
-fn needed<'a>(request: &Request<'a>, name: &str, why: &'static str) -> Result<&'a str, Refused> {
-    let Ok(Some(value)) = request.fields.one(name) else { return bad(why) };
-    std::str::from_utf8(value).or_else(|_| bad(why))
+fn needed<'a>(request: &RequestHead<'a>, name: &str, reason: &'static str) -> Result<&'a str, Rejection> {
+    let Ok(Some(value)) = request.headers.single(name) else { return bad(reason) };
+    std::str::from_utf8(value).or_else(|_| bad(reason))
 }
 
 /// The request's id, byte for byte.
-pub fn id<'a>(request: &Request<'a>) -> Result<&'a str, Refused> {
+pub fn id<'a>(request: &RequestHead<'a>) -> Result<&'a str, Rejection> {
     let id = needed(request, "x-request-id", "there must be one X-Request-Id")?;
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    match id.is_empty() || id.len() > MOST_ID || !id.bytes().all(plain) {
+    match id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(plain) {
         true => bad("the X-Request-Id is malformed"),
         false => Ok(id),
     }
@@ -61,25 +61,27 @@
         b'u' => (&text[..text.len() - 1], 0.001),
         _ => return None,
     };
-    number(digits).map(|n| n * unit).filter(|t| *t <= MOST_WAIT)
+    number(digits).map(|n| n * unit).filter(|t| *t <= MAX_CLIENT_TIMEOUT_MS)
 }
 
-fn shard_of(text: &str, door: &PlatformSettings) -> Option<usize> {
+fn shard_of(text: &str, settings: &PlatformSettings) -> Option<usize> {
     let number: u16 = Some(text).filter(|t| t.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()?;
-    Some(usize::from(number)).filter(|n| door.shards.is_none_or(|shards| *n < shards))
+    Some(usize::from(number)).filter(|n| settings.shards.is_none_or(|shards| *n < shards))
 }
 
 /// Size, shard (none for a new object) and number of hosts.
-fn placement(text: &str, door: &PlatformSettings) -> Option<(f64, Option<usize>, f64)> {
+fn placement(text: &str, settings: &PlatformSettings) -> Option<(f64, Option<usize>, f64)> {
     let (mut units, mut shard, mut hosts) = (None, None, None);
     for part in text.split(',') {
         let (name, value) = part.split_once('=')?;
         let value = value.trim();
         let before = match name.trim() {
-            "units" => units.replace(number(value).filter(|u| *u > 0.0 && *u <= door.max_units)?).is_some(),
+            "units" => {
+                units.replace(number(value).filter(|u| *u > 0.0 && *u <= settings.max_units)?).is_some()
+            }
             "shard" if value == "-1" => shard.replace(None).is_some(),
-            "shard" => shard.replace(Some(shard_of(value, door)?)).is_some(),
-            "hosts" => hosts.replace(number(value).filter(|h| (1.0..=MOST_HOSTS).contains(h))?).is_some(),
+            "shard" => shard.replace(Some(shard_of(value, settings)?)).is_some(),
+            "hosts" => hosts.replace(number(value).filter(|h| (1.0..=MAX_HOSTS).contains(h))?).is_some(),
             // What later versions of the platform add is left alone.
             _ => false,
         };
@@ -92,35 +94,35 @@
 
 /// The request that a request with a body of so many bytes asks for; `used` of its time is over already.
 pub fn request(
-    head: &Request,
+    head: &RequestHead,
     bytes: usize,
-    door: &PlatformSettings,
+    settings: &PlatformSettings,
     used: Ms,
     number: u64,
-) -> Result<IncomingRequest, Refused> {
+) -> Result<IncomingRequest, Rejection> {
     let Some((volume, key)) = place(head.target) else {
-        return Err(Refused { status: 404, why: "the path names no volume and piece" });
+        return Err(Rejection { status: 404, reason: "the path names no volume and piece" });
     };
     let class = needed(head, "x-class", "there must be one X-Class")?;
-    let Some(class) = door.classes.iter().position(|b| b.name == class) else {
+    let Some(class) = settings.classes.iter().position(|b| b.name == class) else {
         return bad("the X-Class is not known here");
     };
     let plan = needed(head, "x-qos-policy", "there must be one X-Qos-Policy")?;
-    let Some(plan) = door.plans.iter().position(|p| *p == plan) else {
+    let Some(plan) = settings.plans.iter().position(|p| *p == plan) else {
         return bad("the X-Qos-Policy is not known here");
     };
     let fits = match head.method {
-        "GET" => bytes == 0 && door.classes[class].writes != Some(true),
-        "PUT" => door.classes[class].writes != Some(false),
+        "GET" => bytes == 0 && settings.classes[class].writes != Some(true),
+        "PUT" => settings.classes[class].writes != Some(false),
         _ => false,
     };
     if !fits {
-        return Err(Refused { status: 405, why: "the method does not fit the X-Class" });
+        return Err(Rejection { status: 405, reason: "the method does not fit the X-Class" });
     }
     let limit = needed(head, "x-deadline", "there must be one X-Deadline")?;
     let Some(limit) = time(limit) else { return bad("the X-Deadline is no time") };
     let placed = needed(head, "x-placement", "there must be one X-Placement")?;
-    let Some((units, shard, hosts)) = placement(placed, door) else {
+    let Some((units, shard, hosts)) = placement(placed, settings) else {
         return bad("the X-Placement is malformed");
     };
     let request = magpiewick::Request {
@@ -133,7 +135,7 @@
         hosts,
         // Some clients name a little more than their class's time. One such would make the module, which knows
         // later tries by their shorter time, take every first try after it for a later one.
-        client_timeout: limit.min(door.classes[class].client_timeout) - used,
+        client_timeout: limit.min(settings.classes[class].client_timeout) - used,
         counts: 1.0,
         with: None,
     };
--- a/crates/platform/src/ask/tests.rs
+++ b/crates/platform/src/incoming_request/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use magpiewick_http1::Framing;
+use magpiewick_http1::BodyFraming;
 use magpiewick_instance_settings::ClassSettings;
 use quickcheck::quickcheck;
 
-fn door() -> PlatformSettings {
+fn settings() -> PlatformSettings {
     let class = |name: &str, writes| ClassSettings { name: name.to_string(), client_timeout: 1000.0, writes };
     PlatformSettings {
         classes: vec![class("read", Some(false)), class("write", Some(true))],
@@ -22,36 +22,37 @@
     Content-Length: 3\r\nX-Placement: units=2,shard=5,hosts=3\r\n\r\n";
 
 /// How long the body is that a request's head names.
-fn bytes(request: &Request) -> usize {
+fn bytes(request: &RequestHead) -> usize {
     match request.framing {
-        Framing::Length(length) => length,
-        Framing::Chunked => panic!("of unknown length"),
+        BodyFraming::Length(length) => length,
+        BodyFraming::Chunked => panic!("of unknown length"),
     }
 }
 
 /// The status that is given to a request; 0: it is a request.
 fn status(head: &str) -> u16 {
-    let read = magpiewick_http1::request(head.as_bytes()).unwrap_or_else(|r| panic!("{head}: {}", r.why));
-    let request = id(&read).and_then(|_| request(&read, bytes(&read), &door(), 0.0, 1));
+    let read = magpiewick_http1::parse_request_head(head.as_bytes())
+        .unwrap_or_else(|r| panic!("{head}: {}", r.reason));
+    let request = id(&read).and_then(|_| request(&read, bytes(&read), &settings(), 0.0, 1));
     request.map_or_else(|refused| refused.status, |_| 0)
 }
 
 #[test]
 fn a_command_is_what_the_fields_say() {
-    let read = magpiewick_http1::request(GOOD.as_bytes()).unwrap();
+    let read = magpiewick_http1::parse_request_head(GOOD.as_bytes()).unwrap();
     assert_eq!(id(&read), Ok("9b1f03aa5c7e2d41"));
-    let taken = request(&read, bytes(&read), &door(), 30.0, 9).unwrap();
+    let taken = request(&read, bytes(&read), &settings(), 30.0, 9).unwrap();
     assert_eq!((taken.id, taken.volume, taken.key), (9, 0x3b4d60021, 0x7f3a9c21e0b4d655));
     let c = taken.request;
     assert_eq!((c.class, c.plan, c.units, c.shard, c.hosts), (1, 1, 2.0, Some(5), 3.0));
     assert_eq!(c.client_timeout, 450.0, "what the client has waited is gone");
     let new = GOOD.replace("shard=5", "shard=-1").replace("480m", "480000u");
-    let read = magpiewick_http1::request(new.as_bytes()).unwrap();
-    let c = request(&read, bytes(&read), &door(), 0.0, 9).unwrap().request;
+    let read = magpiewick_http1::parse_request_head(new.as_bytes()).unwrap();
+    let c = request(&read, bytes(&read), &settings(), 0.0, 9).unwrap().request;
     assert_eq!((c.shard, c.client_timeout), (None, 480.0));
     let long = GOOD.replace("480m", "1009m");
-    let read = magpiewick_http1::request(long.as_bytes()).unwrap();
-    let c = request(&read, bytes(&read), &door(), 20.0, 9).unwrap().request;
+    let read = magpiewick_http1::parse_request_head(long.as_bytes()).unwrap();
+    let c = request(&read, bytes(&read), &settings(), 20.0, 9).unwrap().request;
     assert_eq!(c.client_timeout, 980.0, "no client waits longer than its band's time");
 }
 
@@ -109,9 +110,9 @@
 
 quickcheck! {
     fn no_text_makes_a_time_or_place_that_is_none(text: String) -> bool {
-        let good = |t: f64| (0.0..=MOST_WAIT).contains(&t);
+        let good = |t: f64| (0.0..=MAX_CLIENT_TIMEOUT_MS).contains(&t);
         time(&text).is_none_or(good) && time(&format!("{text}m")).is_none_or(good)
-            && placement(&text, &door()).is_none_or(|(u, s, h)| u > 0.0 && s.is_none_or(|s| s < 8) && h >= 1.0)
+            && placement(&text, &settings()).is_none_or(|(u, s, h)| u > 0.0 && s.is_none_or(|s| s < 8) && h >= 1.0)
             && (place(&text).is_none() || text.starts_with('/'))
     }
 }
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -3,8 +3,8 @@
 use magpiewick::{Backoff, Ms, RandomSource};
 
 /// Waits before a file that could not be used is read again: it may have been met half written.
-const FIRST_WAIT: Ms = 50.0;
-const LONGEST_WAIT: Ms = 1000.0;
+const FIRST_RETRY_MS: Ms = 50.0;
+const MAX_RETRY_MS: Ms = 1000.0;
 
 /// Whether a new configuration is pending that was announced and could not be read.
 pub struct Reload {
@@ -17,7 +17,7 @@
 
 impl Reload {
     pub fn new(seed: u64) -> Reload {
-        let backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let backoff = Backoff::new(FIRST_RETRY_MS, MAX_RETRY_MS);
         Reload { retry_at: None, new: false, backoff, rng: RandomSource::new(seed) }
     }
 
--- a/crates/platform/src/request_log.rs
+++ b/crates/platform/src/request_log.rs
@@ -1,8 +1,8 @@
 //! Why requests were refused, sent again or left without an answer, and why connections were closed: a log line for
 //! some of each kind, and counters for all.
 
+use crate::attempt_end::AttemptEnd;
 use crate::log_limit::LogLimit;
-use crate::outcome::Sign;
 use magpiewick::{Ms, Outcome};
 use magpiewick_engine::Reason;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 /// Why a client's connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closed {
+pub enum ClientCloseReason {
     /// The client ended or broke it.
     ByClient,
     /// Another client takes its place.
@@ -28,51 +28,51 @@
     Finished,
 }
 
-impl Closed {
+impl ClientCloseReason {
     pub fn word(self) -> &'static str {
         match self {
-            Closed::ByClient => "by-client",
-            Closed::Evicted => "evicted",
-            Closed::OverMemory => "over-memory",
-            Closed::Unread => "answer-not-read",
-            Closed::Idle => "idle",
-            Closed::Finished => "finished",
+            ClientCloseReason::ByClient => "client_disconnected",
+            ClientCloseReason::Evicted => "evicted",
+            ClientCloseReason::OverMemory => "memory_limit",
+            ClientCloseReason::Unread => "response_not_read",
+            ClientCloseReason::Idle => "idle",
+            ClientCloseReason::Finished => "finished",
         }
     }
 }
 
 /// Why a connection to a node ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UpstreamClosed {
+pub enum UpstreamCloseReason {
     /// It rested for too long.
     Retired,
-    /// It made room for another.
-    GaveWay,
+    /// It made limits for another.
+    Evicted,
     /// Its node drains or has gone, or is at another address.
-    EndpointLeft,
+    EndpointRemoved,
     /// Its node once sent more than it was asked for, or its last answer was a refusal or an error.
-    Distrusted,
+    NotReusable,
     /// Bytes came on it while it rested.
-    UnexpectedBytes,
+    UnsolicitedBytes,
     /// Its node ended it while it rested.
-    EndedAtRest,
+    ClosedWhileIdle,
     /// Its answer said so, ended with it, or came with bytes behind it or before its request was written whole.
-    AfterAnswer,
+    AfterResponse,
     /// The attempt on it ended without a whole answer.
-    Attempt(Sign),
+    Attempt(AttemptEnd),
 }
 
-impl UpstreamClosed {
+impl UpstreamCloseReason {
     pub fn word(self) -> &'static str {
         match self {
-            UpstreamClosed::Retired => "retired",
-            UpstreamClosed::GaveWay => "gave-way",
-            UpstreamClosed::EndpointLeft => "endpoint-left",
-            UpstreamClosed::Distrusted => "not-to-be-reused",
-            UpstreamClosed::UnexpectedBytes => "unexpected-bytes",
-            UpstreamClosed::EndedAtRest => "ended-at-rest",
-            UpstreamClosed::AfterAnswer => "after-answer",
-            UpstreamClosed::Attempt(sign) => sign.word(),
+            UpstreamCloseReason::Retired => "retired",
+            UpstreamCloseReason::Evicted => "evicted",
+            UpstreamCloseReason::EndpointRemoved => "endpoint_removed",
+            UpstreamCloseReason::NotReusable => "not_reusable",
+            UpstreamCloseReason::UnsolicitedBytes => "unsolicited_bytes",
+            UpstreamCloseReason::ClosedWhileIdle => "closed_while_idle",
+            UpstreamCloseReason::AfterResponse => "after_response",
+            UpstreamCloseReason::Attempt(sign) => sign.word(),
         }
     }
 }
@@ -89,12 +89,12 @@
     pub upstream_closed: BTreeMap<&'static str, u64>,
     /// Bytes that came from a node outside an exchange, by node: how often.
     pub unexpected: BTreeMap<String, u64>,
-    /// Answers that were given to nobody, as they may belong to another request.
-    pub doubted: BTreeMap<&'static str, u64>,
+    /// ResponseReader that were given to nobody, as they may belong to another request.
+    pub on_mismatch: BTreeMap<&'static str, u64>,
 }
 
 /// Nodes that are counted by name: a list that names new nodes day after day must not make the counters grow.
-const MOST_NAMED: usize = 256;
+const MAX_NAMED: usize = 256;
 
 /// Writes the lines and keeps the counters.
 pub struct RequestLog {
@@ -109,7 +109,7 @@
 }
 
 /// A request as the log names it.
-pub struct Named<'a> {
+pub struct RequestLabels<'a> {
     pub id: &'a str,
     pub attempts: u32,
     pub age: Ms,
@@ -137,77 +137,77 @@
     /// What a client sent was refused before it became a request.
     pub fn refused(&mut self, now: Ms, client: u64, status: u16, why: &str) {
         if let Some(suppressed) = self.refused.admit(now) {
-            tracing::info!(client, status, why, suppressed, "refused what a client sent");
+            tracing::info!(client, status, why, suppressed, "request_rejected");
         }
     }
 
     /// The host gave the final answer itself.
-    pub fn answered(&mut self, now: Ms, request: &Named, status: u16, reason: Reason) {
+    pub fn answered(&mut self, now: Ms, request: &RequestLabels, status: u16, reason: Reason) {
         let reason = reason.word();
         *self.counts.answered.entry(reason).or_default() += 1;
         if let Some(suppressed) = self.answered.admit(now) {
             let (id, attempts, age_ms, node) = (request.id, request.attempts, request.age, request.node);
-            tracing::info!(id, status, reason, attempts, age_ms, node, suppressed, "request not served");
+            tracing::info!(id, status, reason, attempts, age_ms, node, suppressed, "request_not_served");
         }
     }
 
     /// A further attempt of a request begins at `to`.
-    pub fn retried(&mut self, now: Ms, request: &Named, to: &str, after: Outcome) {
+    pub fn retried(&mut self, now: Ms, request: &RequestLabels, to: &str, after: Outcome) {
         let after = Reason::After(after).word();
         *self.counts.retried.entry(after).or_default() += 1;
         if let Some(suppressed) = self.retried.admit(now) {
             let (id, attempt, age_ms, node) = (request.id, request.attempts, request.age, request.node);
-            tracing::info!(id, attempt, age_ms, node, to, after, suppressed, "request sent again");
+            tracing::info!(id, attempt, age_ms, node, to, after, suppressed, "request_retried");
         }
     }
 
     /// The client closed its connection while its request was open.
-    pub fn client_gone(&mut self, now: Ms, request: &Named) {
+    pub fn on_client_disconnect(&mut self, now: Ms, request: &RequestLabels) {
         if let Some(suppressed) = self.gone.admit(now) {
             let (id, attempts, age_ms, node) = (request.id, request.attempts, request.age, request.node);
-            tracing::info!(id, attempts, age_ms, node, suppressed, "client left its request");
+            tracing::info!(id, attempts, age_ms, node, suppressed, "client_disconnected");
         }
     }
 
     /// No connection could be accepted, and none is for a while.
     pub fn accept_failed(&mut self, now: Ms, error: &std::io::Error) {
         if let Some(suppressed) = self.refused.admit(now) {
-            tracing::warn!(%error, suppressed, "no connection can be accepted for now");
+            tracing::warn!(%error, suppressed, "accept_paused");
         }
     }
 
     /// A client's connection ended; `open`: its request that had no answer yet.
-    pub fn closed(&mut self, now: Ms, client: u64, asked: u32, open: Option<u64>, why: Closed) {
+    pub fn closed(&mut self, now: Ms, client: u64, asked: u32, open: Option<u64>, why: ClientCloseReason) {
         let word = why.word();
         *self.counts.closed.entry(word).or_default() += 1;
-        tracing::debug!(client, asked, open, why = word, "client connection ended");
-        let ordinary = matches!(why, Closed::ByClient | Closed::Finished);
+        tracing::debug!(client, asked, open, why = word, "client_connection_closed");
+        let ordinary = matches!(why, ClientCloseReason::ByClient | ClientCloseReason::Finished);
         if let Some(suppressed) = (!ordinary).then(|| self.closed.admit(now)).flatten() {
-            tracing::info!(client, asked, open, why = word, suppressed, "closed a client's connection");
+            tracing::info!(client, asked, open, why = word, suppressed, "client_connection_closed");
         }
     }
 
     /// A request was read whole and taken; `request` is its number in other lines.
-    pub fn taken(&self, client: u64, id: &str, request_id: u64, in_front: u32) {
-        tracing::debug!(client, id, request_id, in_front, "request taken");
+    pub fn taken(&self, client: u64, id: &str, request_id: u64, requests_before: u32) {
+        tracing::debug!(client, id, request_id, requests_before, "request_received");
     }
 
     /// An answer was handed to a client's connection.
     pub fn replied(&self, client: u64, request_id: Option<u64>, status: u16, close: bool) {
-        tracing::debug!(client, request_id, status, close, "answer queued");
+        tracing::debug!(client, request_id, status, close, "response_queued");
     }
 
     /// An attempt begins on a connection to a node.
-    pub fn attempt_begun(&self, request: &Named, connection: u64, exchanges: u32, deadline: Ms) {
+    pub fn attempt_begun(&self, request: &RequestLabels, connection: u64, exchanges: u32, deadline: Ms) {
         let (id, attempt, node) = (request.id, request.attempts, request.node);
-        tracing::debug!(id, attempt, node, connection, exchanges, deadline_ms = deadline, "attempt written");
+        tracing::debug!(id, attempt, node, connection, exchanges, deadline_ms = deadline, "attempt_started");
     }
 
     /// An attempt ended.
-    pub fn attempt_ended(&self, request: &Named, outcome: Outcome, latency: Ms) {
+    pub fn attempt_ended(&self, request: &RequestLabels, outcome: Outcome, latency: Ms) {
         let (id, attempt, node) = (request.id, request.attempts, request.node);
         let outcome = Reason::After(outcome).word();
-        tracing::debug!(id, attempt, node, outcome, latency_ms = latency, "attempt ended");
+        tracing::debug!(id, attempt, node, outcome, latency_ms = latency, "attempt_finished");
     }
 
     /// A connection to a node ended.
@@ -217,21 +217,21 @@
         node: Option<&str>,
         connection: u64,
         exchanges: u32,
-        why: UpstreamClosed,
+        why: UpstreamCloseReason,
     ) {
         let why = why.word();
         *self.counts.upstream_closed.entry(why).or_default() += 1;
-        tracing::debug!(node, connection, exchanges, why, "connection to a node ended");
+        tracing::debug!(node, connection, exchanges, why, "upstream_closed");
         if let Some(suppressed) = self.upstream_closed.admit(now) {
-            tracing::info!(node, connection, exchanges, why, suppressed, "closed a connection to a node");
+            tracing::info!(node, connection, exchanges, why, suppressed, "upstream_closed");
         }
     }
 
     /// An answer came that may belong to another request than the open one, and was given to nobody.
-    pub fn doubted(&mut self, now: Ms, node: Option<&str>, connection: u64, doubt: &'static str) {
-        *self.counts.doubted.entry(doubt).or_default() += 1;
+    pub fn on_mismatch(&mut self, now: Ms, node: Option<&str>, connection: u64, doubt: &'static str) {
+        *self.counts.on_mismatch.entry(doubt).or_default() += 1;
         if let Some(suppressed) = self.unexpected.admit(now) {
-            tracing::warn!(node, connection, doubt, suppressed, "an answer may be another request's");
+            tracing::warn!(node, connection, doubt, suppressed, "response_mismatched");
         }
     }
 
@@ -246,12 +246,12 @@
     ) {
         let name = node.unwrap_or("unlisted");
         let counts = &mut self.counts.unexpected;
-        if counts.len() < MOST_NAMED || counts.contains_key(name) {
+        if counts.len() < MAX_NAMED || counts.contains_key(name) {
             *counts.entry(name.to_string()).or_default() += 1;
         }
         if let Some(suppressed) = self.unexpected.admit(now) {
             let rested_ms = rested;
-            tracing::warn!(node, connection, bytes, rested_ms, suppressed, "unexpected bytes from a node");
+            tracing::warn!(node, connection, bytes, rested_ms, suppressed, "unsolicited_bytes_received");
         }
     }
 }
--- a/crates/platform/src/wall_clock.rs
+++ b/crates/platform/src/wall_clock.rs
@@ -2,7 +2,7 @@
 
 use magpiewick::Ms;
 
-/// The wall clock as the loop's clock sees it. It may step while the host runs, forward or back: a time that was told
+/// The wall clock as the loop's clock sees it. It may step while the host runs, forward or back: a time that was config
 /// may have been read before or after such a step.
 #[derive(Clone, Copy, Debug)]
 pub struct WallClock {
@@ -21,7 +21,7 @@
         self.epoch = self.epoch.min(unix - now);
     }
 
-    /// When something that was told as past happened on the loop's clock: the latest time that it can have been.
+    /// When something that was config as past happened on the loop's clock: the latest time that it can have been.
     /// Guards against nodes that have just started and seem warm, as the clock was set back before they did, and
     /// against nodes that seem to start later than now; it costs a slow start where nothing has started.
     pub fn latest(&self, unix: f64, now: Ms) -> Ms {
