--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -278,8 +278,8 @@
             match magpiewick_platform::run() {
                 Ok(()) => Ok(0),
                 Err(magpiewick_platform::Error::System(e)) => Err(e),
-                Err(magpiewick_platform::Error::Config(why)) => {
-                    eprintln!("magpiewick: {why}");
+                Err(magpiewick_platform::Error::Config(error)) => {
+                    eprintln!("magpiewick: {error}");
                     Ok(USAGE)
                 }
             }
--- a/crates/exchange/src/endpoint_trust/tests.rs
+++ b/crates/exchange/src/endpoint_trust/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn how_late_bytes_came_from_one_endpoint_is_held_against_all() {
+fn late_bytes_of_one_endpoint_lengthen_the_idle_time_of_all() {
     let mut trust = EndpointTrust::default();
     trust.on_unsolicited_bytes(1, 3.0);
     assert_eq!(trust.min_idle(), 100.0, "no shorter than what the network is allowed");
--- a/crates/exchange/src/exchange_history.rs
+++ b/crates/exchange/src/exchange_history.rs
@@ -1,40 +1,43 @@
-//! The exchanges of one connection to a server, one at a time.
+//! The exchanges of one connection to an endpoint, one at a time.
 
 use crate::Ms;
 use std::collections::VecDeque;
+use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How every answer begins.
+/// How every response begins.
 const RESPONSE_START: &[u8] = b"HTTP/1.1 ";
-/// ResponseReader that are remembered for each connection.
+/// Responses that are remembered of each connection.
 const MAX_REMEMBERED_RESPONSES: usize = 32;
 
-/// A whole answer as it came on a connection.
+/// A complete response as it arrived on a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedResponse<'a> {
+    /// Its status.
     pub status: u16,
+    /// Its body.
     pub body: &'a [u8],
-    /// What came behind it by now.
+    /// What has arrived after it.
     pub trailing: &'a [u8],
-    /// The request that the answer itself names, where it does.
+    /// The id of the request that it names.
     pub names: Option<&'a str>,
 }
 
-/// Why an answer may belong to another request than the open one.
+/// Why a response may belong to another request than the one in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMismatch {
     /// It names another request.
     DifferentRequestId,
     /// It is the same as an earlier one on this connection.
     DuplicateResponse,
-    /// The beginning of another answer stands inside its body, and more came behind it: a part of an earlier answer
-    /// came first, and was filled up with what came next.
+    /// The beginning of another response is in its body, and more came after it: a part of an earlier response came
+    /// first, and was filled up with what came next.
     ContainsAnotherResponse,
 }
 
 impl ResponseMismatch {
-    /// The word that stands for it in logs.
-    pub fn word(self) -> &'static str {
+    /// The name under which it is logged and counted.
+    pub fn as_str(self) -> &'static str {
         match self {
             ResponseMismatch::DifferentRequestId => "different_request_id",
             ResponseMismatch::DuplicateResponse => "duplicate_response",
@@ -43,64 +46,71 @@
     }
 }
 
+impl fmt::Display for ResponseMismatch {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
 /// What is known of the exchanges of one connection.
 #[derive(Clone, Debug, Default)]
 pub struct ExchangeHistory {
-    /// Digests of earlier answers, the last one at the end.
-    earlier: VecDeque<u64>,
+    /// Digests of earlier responses, the latest at the end.
+    digests: VecDeque<u64>,
     exchanges: u32,
-    ended: Ms,
+    last_ended_at: Ms,
 }
 
 impl ExchangeHistory {
-    /// CompleteRequest answers that came on the connection.
+    /// Exchanges that ended with a complete response.
     pub fn exchanges(&self) -> u32 {
         self.exchanges
     }
 
-    /// For how long nothing has been asked on it.
+    /// How long ago the last one ended.
     pub fn idle_for(&self, now: Ms) -> Ms {
-        now - self.ended
+        now - self.last_ended_at
     }
 
-    /// Whether an answer is the open request's own. On a connection that was never used before nothing else can come.
-    /// On any other, what is left of an earlier exchange may come first: a copy of its answer, or a part of one.
-    /// Guards against an answer that reaches another request's client; it could harm where a server gives the same
-    /// answer to two requests on one connection: the second attempt counts as one that may have run.
-    pub fn verify(&self, answer: &ReceivedResponse, request: &str) -> Result<(), ResponseMismatch> {
-        if answer.names.is_some_and(|named| named != request) {
+    /// Whether a response is that of the request in flight. On a connection that was never used before nothing else
+    /// can arrive. On any other, what is left of an earlier exchange may arrive first: a copy of its response, or a
+    /// part of one. Where an endpoint gives the same response to two requests on one connection, the second counts as
+    /// a mismatch.
+    pub fn verify(&self, response: &ReceivedResponse, request_id: &str) -> Result<(), ResponseMismatch> {
+        if response.names.is_some_and(|named| named != request_id) {
             return Err(ResponseMismatch::DifferentRequestId);
         }
         if self.exchanges == 0 {
             return Ok(());
         }
-        if self.earlier.contains(&digest(answer)) {
+        if self.digests.contains(&digest(response)) {
             return Err(ResponseMismatch::DuplicateResponse);
         }
-        if contains_another_response(answer.body, answer.trailing) {
+        if contains_another_response(response.body, response.trailing) {
             return Err(ResponseMismatch::ContainsAnotherResponse);
         }
         Ok(())
     }
 
-    /// The exchange ended with an answer that was its own.
-    pub fn record(&mut self, now: Ms, answer: &ReceivedResponse) {
-        if self.earlier.len() == MAX_REMEMBERED_RESPONSES {
-            self.earlier.pop_front();
+    /// An exchange has ended with a response of its own.
+    pub fn record(&mut self, now: Ms, response: &ReceivedResponse) {
+        if self.digests.len() == MAX_REMEMBERED_RESPONSES {
+            self.digests.pop_front();
         }
-        self.earlier.push_back(digest(answer));
-        (self.exchanges, self.ended) = (self.exchanges + 1, now);
+        self.digests.push_back(digest(response));
+        self.exchanges += 1;
+        self.last_ended_at = now;
     }
 }
 
-fn digest(answer: &ReceivedResponse) -> u64 {
-    let mut digest = Xxh3::new();
-    digest.update(&answer.status.to_le_bytes());
-    digest.update(answer.body);
-    digest.digest()
+fn digest(response: &ReceivedResponse) -> u64 {
+    let mut hasher = Xxh3::new();
+    hasher.update(&response.status.to_le_bytes());
+    hasher.update(response.body);
+    hasher.digest()
 }
 
-/// Whether another answer begins inside a body and goes on behind it. A body alone may hold anything.
+/// Whether another response begins inside a body and goes on after it. A body alone may hold anything.
 fn contains_another_response(body: &[u8], trailing: &[u8]) -> bool {
     if trailing.is_empty() {
         return false;
--- a/crates/exchange/src/exchange_history/tests.rs
+++ b/crates/exchange/src/exchange_history/tests.rs
@@ -6,39 +6,39 @@
 }
 
 fn used(bodies: &[&[u8]]) -> ExchangeHistory {
-    let mut upstream = ExchangeHistory::default();
-    bodies.iter().for_each(|body| upstream.record(0.0, &arrived(body, b"")));
-    upstream
+    let mut history = ExchangeHistory::default();
+    bodies.iter().for_each(|body| history.record(0.0, &arrived(body, b"")));
+    history
 }
 
 #[test]
-fn on_a_fresh_connection_an_answer_is_its_requests_own_whatever_it_holds() {
-    let fresh = ExchangeHistory::default();
-    assert_eq!(fresh.verify(&arrived(b"HTTP/1.1 200 OK", b"HTTP/1.1 200 OK"), "a"), Ok(()));
-    assert_eq!((fresh.exchanges(), used(&[b"a"]).exchanges()), (0, 1));
+fn a_response_on_a_new_connection_always_matches() {
+    let new = ExchangeHistory::default();
+    assert_eq!(new.verify(&arrived(b"HTTP/1.1 200 OK", b"HTTP/1.1 200 OK"), "a"), Ok(()));
+    assert_eq!((new.exchanges(), used(&[b"a"]).exchanges()), (0, 1));
 }
 
 #[test]
-fn an_answer_that_names_another_request_is_nobodys() {
+fn a_response_that_names_another_request_is_a_mismatch() {
     let answer = ReceivedResponse { names: Some("b"), ..arrived(b"body", b"") };
     assert_eq!(ExchangeHistory::default().verify(&answer, "a"), Err(ResponseMismatch::DifferentRequestId));
     assert_eq!(ExchangeHistory::default().verify(&answer, "b"), Ok(()));
 }
 
 #[test]
-fn a_copy_of_any_remembered_answer_is_found() {
-    let upstream = used(&[b"first", b"second"]);
-    assert_eq!(upstream.verify(&arrived(b"first", b""), "a"), Err(ResponseMismatch::DuplicateResponse));
-    assert_eq!(upstream.verify(&arrived(b"second", b"x"), "a"), Err(ResponseMismatch::DuplicateResponse));
-    assert_eq!(upstream.verify(&arrived(b"third", b"noise"), "a"), Ok(()));
+fn a_copy_of_any_remembered_response_is_a_mismatch() {
+    let history = used(&[b"first", b"second"]);
+    assert_eq!(history.verify(&arrived(b"first", b""), "a"), Err(ResponseMismatch::DuplicateResponse));
+    assert_eq!(history.verify(&arrived(b"second", b"x"), "a"), Err(ResponseMismatch::DuplicateResponse));
+    assert_eq!(history.verify(&arrived(b"third", b"noise"), "a"), Ok(()));
     // What was found to be no copy of the last has another status or another body.
     let failed = ReceivedResponse { status: 500, ..arrived(b"first", b"") };
-    assert_eq!(upstream.verify(&failed, "a"), Ok(()));
+    assert_eq!(history.verify(&failed, "a"), Ok(()));
 }
 
 quickcheck! {
     /// Wherever a copy was cut, the body that is made of it and of the next answer is not consumed for one.
-    fn a_cut_copy_in_front_of_an_answer_is_found(first: Vec<u8>, second: Vec<u8>, cut: usize) -> bool {
+    fn a_truncated_copy_before_a_response_is_a_mismatch(first: Vec<u8>, second: Vec<u8>, cut: usize) -> bool {
         if first.is_empty() {
             return true;
         }
@@ -55,20 +55,20 @@
 }
 
 #[test]
-fn a_body_alone_may_hold_anything() {
-    let upstream = used(&[b"0123456789"]);
-    assert_eq!(upstream.verify(&arrived(b"x HTTP/1.1 200 OK\r\n", b""), "a"), Ok(()));
+fn a_body_without_trailing_bytes_may_contain_anything() {
+    let history = used(&[b"0123456789"]);
+    assert_eq!(history.verify(&arrived(b"x HTTP/1.1 200 OK\r\n", b""), "a"), Ok(()));
     assert_eq!(
-        upstream.verify(&arrived(b"x HTTP/1.1 200 OK\r\n", b"\r\n"), "a"),
+        history.verify(&arrived(b"x HTTP/1.1 200 OK\r\n", b"\r\n"), "a"),
         Err(ResponseMismatch::ContainsAnotherResponse)
     );
     assert_eq!(
-        upstream.verify(&arrived(b"012345678H", b"TTP/1.1 200"), "a"),
+        history.verify(&arrived(b"012345678H", b"TTP/1.1 200"), "a"),
         Err(ResponseMismatch::ContainsAnotherResponse)
     );
     assert_eq!(
-        upstream.verify(&arrived(b"012345678H", b"TT"), "a"),
+        history.verify(&arrived(b"012345678H", b"TT"), "a"),
         Err(ResponseMismatch::ContainsAnotherResponse)
     );
-    assert_eq!(upstream.verify(&arrived(b"012345678H", b"noise"), "a"), Ok(()));
+    assert_eq!(history.verify(&arrived(b"012345678H", b"noise"), "a"), Ok(()));
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,9 +1,11 @@
-//! Exchanges on HTTP/1.1 connections, free of I/O.
+//! Exchanges of requests and responses on HTTP/1.1 connections, free of I/O.
 //!
-//! HTTP/1.1 ties an answer to its request by order alone. What keeps that order is decided here, on both sides of a
-//! host: [`ExchangeHistory`] and [`EndpointTrust`] say which bytes from a server may be the answer to an open request, and
-//! when a connection may carry another exchange; [`RequestQueue`] holds what a client has sent until each request of
-//! it has its answer.
+//! HTTP/1.1 matches a response to its request by order alone. What keeps that order is decided here, on both sides of
+//! a host: [`ExchangeHistory`] and [`EndpointTrust`] say which bytes from an endpoint may be the response to the
+//! request in flight, and when a connection may carry another exchange; [`RequestQueue`] holds what a client has sent
+//! until each request of it has its response.
+
+#![warn(missing_docs)]
 
 mod endpoint_trust;
 mod exchange_history;
@@ -11,7 +13,7 @@
 
 pub use endpoint_trust::EndpointTrust;
 pub use exchange_history::{ExchangeHistory, ReceivedResponse, ResponseMismatch};
-pub use request_queue::{Next, RequestQueue};
+pub use request_queue::{NextRequest, RequestQueue};
 
 /// Milliseconds on a monotonic clock.
 pub type Ms = f64;
--- a/crates/exchange/src/request_queue.rs
+++ b/crates/exchange/src/request_queue.rs
@@ -1,35 +1,37 @@
-//! What a client has sent and is owed answers for.
+//! The requests that a client has sent and that have no response yet.
 
 use magpiewick_http1::{may_begin_request, CompleteRequest, Rejection, RequestReader};
 
-/// A body whose length was wrong is seen by what stands behind it.
+/// The response to a body whose length was wrong, which shows in what follows it.
 const WRONG_CONTENT_LENGTH: Rejection =
     Rejection { status: 400, reason: "the length is not that of the body" };
-/// Used input is given back when there is so much of it.
+/// Used input is dropped when there is so much of it.
 const COMPACT_THRESHOLD_BYTES: usize = 64 << 10;
 
 /// What is next in a client's queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// Nothing came that has no answer.
+pub enum NextRequest {
+    /// There is no input without a response.
     Empty,
     /// A part of a request.
     Partial,
-    Request(CompleteRequest),
-    /// A request was whole but came behind too much: it is refused in its turn.
+    /// A complete request.
+    Complete(CompleteRequest),
+    /// A complete request came behind too many others: it is rejected in its turn.
     Overflowed,
-    /// No request, and nothing behind it can be read as one either.
+    /// It is no request, and nothing after it can be read as one either.
     Rejected(Rejection),
 }
 
-/// Requests that came behind more than is kept.
+/// Requests that came behind more than is kept: they are counted, not kept.
 #[derive(Clone, Debug, Default)]
 struct Overflow {
     requests: RequestReader,
-    /// CompleteRequest requests so far.
-    refused: usize,
-    /// The part of a request behind them.
-    rest: Vec<u8>,
+    /// Complete requests so far.
+    count: usize,
+    /// The part of a request after them.
+    partial: Vec<u8>,
+    /// What comes after them is no request.
     malformed: Option<Rejection>,
 }
 
@@ -38,30 +40,30 @@
         if self.malformed.is_some() {
             return;
         }
-        self.rest.extend_from_slice(input);
+        self.partial.extend_from_slice(input);
         let mut used = 0;
         let outcome = loop {
-            match self.requests.read(&self.rest[used..]) {
-                Ok((read, whole)) => {
+            match self.requests.read(&self.partial[used..]) {
+                Ok((read, request)) => {
                     used += read;
-                    match whole {
-                        Some(_) => self.refused += 1,
+                    match request {
+                        Some(_) => self.count += 1,
                         None => break None,
                     }
                 }
-                Err(refused) => break Some(refused),
+                Err(rejection) => break Some(rejection),
             }
         };
-        self.rest.drain(..used);
+        self.partial.drain(..used);
         if outcome.is_some() {
-            self.rest = Vec::new();
+            self.partial = Vec::new();
         }
         self.malformed = outcome;
     }
 }
 
-/// All that a client has sent and that has no answer yet, in order. Nothing leaves it but by [`RequestQueue::take_next`]:
-/// each whole request that was put in comes out once, to be answered.
+/// All that a client has sent and that has no response yet, in order. Nothing leaves it but by
+/// [`RequestQueue::take_next`]: each complete request that was put in comes out once.
 #[derive(Clone, Debug, Default)]
 pub struct RequestQueue {
     input: Vec<u8>,
@@ -83,34 +85,34 @@
         }
     }
 
-    /// Whether nothing came that has no answer.
+    /// Whether there is no input without a response.
     pub fn is_empty(&self) -> bool {
         self.buffered() == 0 && !self.requests.in_progress() && self.overflow.is_none()
     }
 
     /// The memory that it takes.
     pub fn memory_bytes(&self) -> usize {
-        let overflow = self.overflow.as_ref().map_or(0, |o| o.rest.capacity() + o.requests.memory_bytes());
+        let overflow = self.overflow.as_ref().map_or(0, |o| o.partial.capacity() + o.requests.memory_bytes());
         self.input.capacity() + self.requests.memory_bytes() + overflow
     }
 
-    /// Bytes that came and were not used.
+    /// Bytes that arrived and were not used.
     pub fn buffered(&self) -> usize {
         self.input.len() - self.used
     }
 
-    /// What comes behind the next answers cannot be read as requests: nothing more of it is of use.
+    /// Whether what follows the next responses is no request: no further input is of use.
     pub fn is_malformed(&self) -> bool {
         self.overflow.as_ref().is_some_and(|overflow| overflow.malformed.is_some())
     }
 
-    /// Whether the client waits for a word before it sends the body; said once.
+    /// Whether the client waits for `100 Continue` before it sends the body; true once.
     pub fn expects_continue(&mut self) -> bool {
         self.requests.expects_continue()
     }
 
-    /// Keeps whole requests of so many bytes at most; those behind them are counted and will be refused in their turn.
-    /// Guards against clients that send on without end; it could harm one whose requests would have been served.
+    /// Keeps at most so many bytes of complete requests; those after them are counted and will be rejected in their
+    /// turn.
     pub fn bound(&mut self, limit: usize) {
         if self.overflow.is_some() || self.buffered() <= limit {
             return;
@@ -125,7 +127,7 @@
         }
         let mut overflow = Overflow::default();
         if end == self.used {
-            // The request that is under way is itself too large.
+            // The request that has begun is itself too large.
             overflow.requests = std::mem::take(&mut self.requests);
         }
         overflow.push(&self.input[end..]);
@@ -134,54 +136,53 @@
         self.overflow = Some(overflow);
     }
 
-    /// What is next. A whole request has left the queue before its answer is thought of, so that what is left in it is
-    /// what is owed behind that answer.
-    pub fn take_next(&mut self) -> Next {
-        let (read, whole) = match self.requests.read(&self.input[self.used..]) {
+    /// What is next. A complete request leaves the queue before it is answered, so that what is left in the queue is
+    /// what is owed after that response.
+    pub fn take_next(&mut self) -> NextRequest {
+        let (read, request) = match self.requests.read(&self.input[self.used..]) {
             Ok(read) => read,
-            Err(refused) => return self.refuse(refused),
+            Err(rejection) => return self.reject(rejection),
         };
         self.used += read;
         self.compact();
-        if let Some(whole) = whole {
+        if let Some(request) = request {
             if !may_begin_request(&self.input[self.used..]) {
-                return self.refuse(WRONG_CONTENT_LENGTH);
+                return self.reject(WRONG_CONTENT_LENGTH);
             }
-            return Next::Request(whole);
+            return NextRequest::Complete(request);
         }
-        if let Some(refused) = self.refused_in_turn() {
-            return refused;
+        if let Some(next) = self.next_overflowed() {
+            return next;
         }
         match self.is_empty() {
-            true => Next::Empty,
-            false => Next::Partial,
+            true => NextRequest::Empty,
+            false => NextRequest::Partial,
         }
     }
 
-    /// The next of those that overflowed. Once all of them were refused, what came behind them is an ordinary request
-    /// again.
-    fn refused_in_turn(&mut self) -> Option<Next> {
+    /// The next of those that overflowed. Once all were rejected, what came after them is ordinary input again.
+    fn next_overflowed(&mut self) -> Option<NextRequest> {
         let overflow = self.overflow.as_mut()?;
-        if overflow.refused > 0 {
-            overflow.refused -= 1;
-            return Some(Next::Overflowed);
+        if overflow.count > 0 {
+            overflow.count -= 1;
+            return Some(NextRequest::Overflowed);
         }
         let overflow = self.overflow.take()?;
-        if let Some(refused) = overflow.malformed {
-            return Some(self.refuse(refused));
+        if let Some(rejection) = overflow.malformed {
+            return Some(self.reject(rejection));
         }
-        (self.input, self.used, self.requests) = (overflow.rest, 0, overflow.requests);
+        (self.input, self.used, self.requests) = (overflow.partial, 0, overflow.requests);
         None
     }
 
-    fn refuse(&mut self, refused: Rejection) -> Next {
+    fn reject(&mut self, rejection: Rejection) -> NextRequest {
         *self = RequestQueue::default();
-        Next::Rejected(refused)
+        NextRequest::Rejected(rejection)
     }
 
     fn compact(&mut self) {
         if self.used == self.input.len() {
-            // A burst's room is not kept for ever by a connection that went idle.
+            // An idle connection keeps no memory of a burst.
             (self.input, self.used) = (Vec::new(), 0);
         } else if self.used >= COMPACT_THRESHOLD_BYTES {
             self.input.drain(..self.used);
--- a/crates/exchange/src/request_queue/tests.rs
+++ b/crates/exchange/src/request_queue/tests.rs
@@ -6,8 +6,8 @@
     format!("PUT /r{number} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-fn named(whole: &CompleteRequest) -> String {
-    String::from_utf8_lossy(&whole.head).split(' ').nth(1).unwrap_or_default().to_string()
+fn named(request: &CompleteRequest) -> String {
+    String::from_utf8_lossy(&request.head).split(' ').nth(1).unwrap_or_default().to_string()
 }
 
 /// What comes out of a queue until nothing more does: the names of requests, and which were refused.
@@ -15,10 +15,10 @@
     let mut all = Vec::new();
     loop {
         match queue.take_next() {
-            Next::Request(whole) => all.push(Some(named(&whole))),
-            Next::Overflowed => all.push(None),
-            Next::Empty | Next::Partial => return all,
-            Next::Rejected(refused) => panic!("{refused:?}"),
+            NextRequest::Complete(request) => all.push(Some(named(&request))),
+            NextRequest::Overflowed => all.push(None),
+            NextRequest::Empty | NextRequest::Partial => return all,
+            NextRequest::Rejected(refused) => panic!("{refused:?}"),
         }
     }
 }
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_is_within_the_bound_is_kept_and_what_is_behind_it_is_refused_in_its_turn() {
+fn requests_beyond_the_bound_are_rejected_in_their_turn() {
     let mut queue = RequestQueue::default();
     let length = request(0).len();
     queue.push((0..5).flat_map(|_| request(0)).collect());
@@ -65,23 +65,23 @@
 }
 
 #[test]
-fn noise_behind_what_is_refused_ends_the_queue_in_its_turn() {
+fn garbage_after_rejected_requests_ends_the_queue_in_its_turn() {
     let mut queue = RequestQueue::default();
     queue.push([request(0), request(1), b"\x01\x02\r\n\r\n".to_vec()].concat());
     queue.bound(1);
     queue.push(b"more".to_vec());
     assert!(queue.is_malformed());
-    assert_eq!((queue.take_next(), queue.take_next()), (Next::Overflowed, Next::Overflowed));
-    assert!(matches!(queue.take_next(), Next::Rejected(_)) && queue.is_empty());
+    assert_eq!((queue.take_next(), queue.take_next()), (NextRequest::Overflowed, NextRequest::Overflowed));
+    assert!(matches!(queue.take_next(), NextRequest::Rejected(_)) && queue.is_empty());
 }
 
 #[test]
-fn a_request_that_is_itself_too_large_is_refused_when_it_is_whole() {
+fn a_request_that_is_itself_too_large_is_rejected_when_it_is_complete() {
     let mut queue = RequestQueue::default();
-    let whole = request(6);
-    queue.push(whole[..40].to_vec());
-    assert_eq!(queue.take_next(), Next::Partial);
+    let request = request(6);
+    queue.push(request[..40].to_vec());
+    assert_eq!(queue.take_next(), NextRequest::Partial);
     queue.bound(1);
-    queue.push(whole[40..].to_vec());
-    assert_eq!((queue.take_next(), queue.take_next()), (Next::Overflowed, Next::Empty));
+    queue.push(request[40..].to_vec());
+    assert_eq!((queue.take_next(), queue.take_next()), (NextRequest::Overflowed, NextRequest::Empty));
 }
--- a/crates/exchange/tests/interleavings.rs
+++ b/crates/exchange/tests/interleavings.rs
@@ -42,7 +42,7 @@
 }
 
 /// The body that a request is given of what comes in these reads; none where it gets none, or not yet.
-fn given(upstream: &ExchangeHistory, reads: &[&[u8]]) -> Option<Vec<u8>> {
+fn given(history: &ExchangeHistory, reads: &[&[u8]]) -> Option<Vec<u8>> {
     let (mut answers, mut input) = (ResponseReader::default(), Vec::new());
     for read in reads {
         input.extend_from_slice(read);
@@ -50,7 +50,7 @@
         if let Some(answer) = answer {
             let (status, body, trailing) = (answer.status, &answer.body[..], &input[used..]);
             let arrived = ReceivedResponse { status, body, trailing, names: None };
-            return upstream.verify(&arrived, "request").is_ok().then_some(answer.body);
+            return history.verify(&arrived, "request").is_ok().then_some(answer.body);
         }
         input.drain(..used);
     }
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn nothing_in_front_of_an_answer_makes_it_another_requests() {
+fn no_prefix_makes_a_response_match_another_request() {
     let mut searched = 0;
     for form in [with_length, in_chunks] {
         let answers: Vec<Vec<u8>> = BODIES.iter().map(|body| form(body)).collect();
         for now in 1..BODIES.len() {
-            let mut upstream = ExchangeHistory::default();
+            let mut history = ExchangeHistory::default();
             for body in &BODIES[..now] {
-                upstream.record(0.0, &ReceivedResponse { status: 200, body, trailing: b"", names: None });
+                history.record(0.0, &ReceivedResponse { status: 200, body, trailing: b"", names: None });
             }
             for prefix in unsolicited_prefixes(&answers[..now]) {
                 let together = [&prefix[..], &answers[now]].concat();
@@ -74,7 +74,7 @@
                 readings.extend((1..prefix.len()).map(|cut| vec![&prefix[..cut], &together[cut..]]));
                 for reads in readings {
                     searched += 1;
-                    let body = given(&upstream, &reads);
+                    let body = given(&history, &reads);
                     assert!(
                         body.as_ref().is_none_or(|body| body == BODIES[now]),
                         "{prefix:?} in front of answer {now}: {body:?}"
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn what_comes_on_a_fresh_connection_is_its_requests_own_however_it_is_cut() {
+fn a_response_on_a_new_connection_matches_however_it_is_split() {
     for answer in [with_length, in_chunks].iter().flat_map(|form| BODIES.map(|body| (body, form(body)))) {
         let (body, bytes) = answer;
         for cut in 0..bytes.len() {
--- a/crates/http1/src/chunked_body.rs
+++ b/crates/http1/src/chunked_body.rs
@@ -1,21 +1,22 @@
-//! A body in chunks, as its bytes come.
+//! A body in chunks, as its bytes arrive.
 
 use crate::response::MalformedResponse;
 use crate::MAX_HEAD_BYTES;
 
-/// The longest line that says how long a chunk is.
+/// The longest line that states the size of a chunk.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// Reads one body; what it used of the input is the caller's to take away.
+/// Reads one body. The caller removes what was used of the input.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChunkedBodyReader {
+    /// The data so far.
     pub body: Vec<u8>,
-    /// Behind the last chunk: how many bytes of trailing fields came so far.
+    /// After the last chunk: how many bytes of trailers have arrived.
     trailer: Option<usize>,
 }
 
 impl ChunkedBodyReader {
-    /// How many bytes of the input were used, and whether the body is whole; it has `limit` bytes at most.
+    /// How many bytes of the input were used, and whether the body is complete. It has `limit` bytes at most.
     pub fn read(&mut self, input: &[u8], limit: usize) -> Result<(usize, bool), MalformedResponse> {
         let mut used = 0;
         loop {
@@ -45,7 +46,7 @@
     }
 }
 
-/// The length of a line without its end; none where that has not come.
+/// The length of a line without its end; none where that has not arrived.
 fn line(input: &[u8], limit: usize) -> Result<Option<usize>, MalformedResponse> {
     match input.iter().take(limit + 2).position(|b| *b == b'\n') {
         Some(at) if at > 0 && input[at - 1] == b'\r' => Ok(Some(at - 1)),
@@ -55,7 +56,7 @@
     }
 }
 
-/// A whole chunk: the length of its line with the end, and its data.
+/// A complete chunk: the length of its line with the end, and its data.
 fn chunk(input: &[u8], limit: usize) -> Result<Option<(usize, &[u8])>, MalformedResponse> {
     let Some(end) = line(input, MAX_CHUNK_LINE_BYTES)? else { return Ok(None) };
     let digits = input[..end].split(|b| *b == b';').next().unwrap_or_default().trim_ascii_end();
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,31 +1,37 @@
-//! The head of a message: where it ends, and its fields.
+//! The head of a message: where it ends, and its headers.
 
 use crate::MAX_HEAD_BYTES;
+use thiserror::Error;
 
-/// More fields than any message of ours has.
+/// The largest number of headers.
 pub(crate) const MAX_HEADERS: usize = 64;
 
-/// Why a head cannot be one, however it goes on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why bytes are no head, however they go on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
+    /// It is malformed.
+    #[error("the head is malformed")]
     Malformed,
+    /// It is longer than [`MAX_HEAD_BYTES`].
+    #[error("the head is too long")]
     TooLong,
 }
 
-/// Finds where a head ends as its bytes come; each byte is looked at once.
+/// Finds where a head ends as its bytes arrive; each byte is examined once.
 #[derive(Clone, Debug, Default)]
 pub struct HeadReader {
+    /// How many bytes were examined.
     seen: usize,
 }
 
 impl HeadReader {
-    /// The length of the head with its empty line; none where that has not come yet.
+    /// The length of the head with its empty line; none where that has not arrived yet.
     pub fn end(&mut self, input: &[u8]) -> Result<Option<usize>, HeadError> {
         while self.seen < input.len() {
             let (at, byte) = (self.seen, input[self.seen]);
             let before = at.checked_sub(1).map(|i| input[i]);
             match byte {
-                // A line's end is both bytes or none: readers differ in what they make of one alone.
+                // A line ends with both bytes: readers differ in what they make of one alone.
                 b'\n' if before != Some(b'\r') => return Err(HeadError::Malformed),
                 b'\n' => {}
                 _ if before == Some(b'\r') => return Err(HeadError::Malformed),
@@ -44,11 +50,12 @@
     }
 }
 
-/// A field that stands twice, or a length that is not one plain number.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A header is repeated, or the length is not one plain number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("a header is repeated, or the length is not one plain number")]
 pub struct AmbiguousHeader;
 
-/// A head's fields in their order.
+/// The headers of a message, in their order.
 #[derive(Clone, Debug, Default)]
 pub struct Headers<'a>(Vec<(&'a str, &'a [u8])>);
 
@@ -57,11 +64,12 @@
         Headers(headers.iter().map(|h| (h.name, h.value)).collect())
     }
 
+    /// All values of a header.
     pub fn all<'b>(&'b self, name: &'b str) -> impl Iterator<Item = &'a [u8]> + 'b {
         self.0.iter().filter(move |f| f.0.eq_ignore_ascii_case(name)).map(|f| f.1)
     }
 
-    /// A field that may stand once; an error where it stands twice.
+    /// The value of a header that may be there once.
     pub fn single(&self, name: &str) -> Result<Option<&'a [u8]>, AmbiguousHeader> {
         let mut all = self.all(name);
         match (all.next(), all.next()) {
@@ -70,14 +78,14 @@
         }
     }
 
-    /// Whether a list of words names one.
+    /// Whether a header that lists tokens names one.
     pub(crate) fn has_token(&self, name: &str, word: &str) -> bool {
         let word = word.as_bytes();
         self.all(name)
             .any(|list| list.split(|b| *b == b',').any(|w| w.trim_ascii().eq_ignore_ascii_case(word)))
     }
 
-    /// The body's stated length: an error where that is not one plain number.
+    /// The length of the body as the head states it.
     pub(crate) fn content_length(&self) -> Result<Option<u64>, AmbiguousHeader> {
         let Some(value) = self.single("content-length")? else { return Ok(None) };
         // A sign, a list or digits without end are lengths to some readers.
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,6 +1,10 @@
-//! HTTP/1.1 without I/O. What is read comes as a slice of all bytes that were not used yet; every bound is hard,
-//! and what a message promises is never allocated. Strict: what two readers could frame in two ways is refused,
-//! so that nothing hidden in a body is ever consumed for a message of its own.
+//! HTTP/1.1 framing without I/O.
+//!
+//! Readers are given a slice of all bytes that were not used yet. Every limit is hard, and no memory is allocated for
+//! what a message merely announces. Messages that two readers could frame differently are rejected, so that nothing in
+//! a body is ever read as a message of its own (request smuggling).
+
+#![warn(missing_docs)]
 
 mod chunked_body;
 mod head;
@@ -14,10 +18,11 @@
     RequestReader,
 };
 pub use response::{MalformedResponse, Response, ResponseReader};
-pub use write::{write_request_head, write_response, CONTINUE_RESPONSE};
+pub use write::{write_request_head, write_response, OutgoingResponse, CONTINUE_RESPONSE};
 
-/// The longest head of a message, and the longest body of a request and of an answer. RequestReader keep to what the
-/// platform's pages say of every body; nodes were met whose good answers had some 260 KB.
+/// The longest head of a message.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
+/// The longest body of a request; the platform says so.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 << 10;
+/// The longest body of a response. Some endpoints send 260 KB.
 pub const MAX_RESPONSE_BODY_BYTES: usize = 1 << 20;
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -1,14 +1,18 @@
-//! The head of a request, checked as a whole.
+//! Requests as their bytes arrive, and their heads.
 
 use crate::chunked_body::ChunkedBodyReader;
 use crate::head::{HeadError, HeadReader, Headers, MAX_HEADERS};
 use crate::response::MalformedResponse;
 use crate::MAX_REQUEST_BODY_BYTES;
+use thiserror::Error;
 
-/// Why a request is refused, with the status that says so.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request is not accepted, and the status of the response that says so.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("{status}: {reason}")]
 pub struct Rejection {
+    /// The status.
     pub status: u16,
+    /// The reason, which is the body of the response.
     pub reason: &'static str,
 }
 
@@ -21,76 +25,84 @@
     }
 }
 
-/// How the body behind a head is framed.
+/// How the body after a head is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// So many bytes, within the bound; none at all where the head says nothing.
+    /// So many bytes, within the limit; 0 where the head states none.
     Length(usize),
+    /// In chunks.
     Chunked,
 }
 
+/// The head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead<'a> {
+    /// The method.
     pub method: &'a str,
+    /// The request target.
     pub target: &'a str,
+    /// The headers.
     pub headers: Headers<'a>,
+    /// How the body is framed.
     pub framing: BodyFraming,
-    /// The client waits for a word before it sends the body.
+    /// The client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// No further request is to come on this connection.
+    /// The connection is to be closed after the response.
     pub close: bool,
 }
 
-/// Reads a whole head, as [`crate::HeadReader`] found it.
+/// Reads a complete head, as [`crate::HeadReader`] found it.
 pub fn parse_request_head(head: &[u8]) -> Result<RequestHead<'_>, Rejection> {
-    let refused = |status, reason| Err(Rejection { status, reason });
-    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Request::new(&mut fields);
+    let reject = |status, reason| Err(Rejection { status, reason });
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut headers);
     match parsed.parse(head) {
         Ok(httparse::Status::Complete(used)) if used == head.len() => {}
-        Err(httparse::Error::TooManyHeaders) => return refused(431, "the head has too many fields"),
-        Err(httparse::Error::Version) => return refused(505, "only HTTP/1.1 is spoken here"),
-        _ => return refused(400, "the head is malformed"),
+        Err(httparse::Error::TooManyHeaders) => return reject(431, "the head has too many fields"),
+        Err(httparse::Error::Version) => return reject(505, "only HTTP/1.1 is spoken here"),
+        _ => return reject(400, "the head is malformed"),
     }
     let (Some(method), Some(target)) = (parsed.method, parsed.path) else {
-        return refused(400, "the head is malformed");
+        return reject(400, "the head is malformed");
     };
     if parsed.version != Some(1) {
-        return refused(505, "only HTTP/1.1 is spoken here");
+        return reject(505, "only HTTP/1.1 is spoken here");
     }
     let headers = Headers::from_parsed(parsed.headers);
     if headers.all("host").count() != 1 {
-        return refused(400, "there must be one Host");
+        return reject(400, "there must be one Host");
     }
     let codings: Vec<&[u8]> = headers.all("transfer-encoding").collect();
-    let Ok(length) = headers.content_length() else { return refused(400, "the length is not one number") };
+    let Ok(length) = headers.content_length() else { return reject(400, "the length is not one number") };
     let framing = match (codings.as_slice(), length) {
         ([], Some(length)) if length > MAX_REQUEST_BODY_BYTES as u64 => {
-            return refused(413, "the body is too long")
+            return reject(413, "the body is too long")
         }
         ([], Some(length)) => BodyFraming::Length(length as usize),
         ([], None) if matches!(method, "PUT" | "POST" | "PATCH") => {
-            return refused(411, "the body needs a length")
+            return reject(411, "the body needs a length")
         }
         ([], None) => BodyFraming::Length(0),
-        // Two readers could frame it in two ways, and one of them would find a request in the body.
-        (_, Some(_)) => return refused(400, "the body has a length and a coding"),
+        // Two readers could frame it differently, and one of them would find a request in the body.
+        (_, Some(_)) => return reject(400, "the body has a length and a coding"),
         ([coding], None) if coding.eq_ignore_ascii_case(b"chunked") => BodyFraming::Chunked,
-        _ => return refused(501, "the body has a coding that is not known here"),
+        _ => return reject(501, "the body has a coding that is not known here"),
     };
     let expects_continue = match headers.single("expect") {
         Ok(None) => false,
         Ok(Some(word)) if word.eq_ignore_ascii_case(b"100-continue") => true,
-        _ => return refused(417, "no such expectation is met here"),
+        _ => return reject(417, "no such expectation is met here"),
     };
     let close = headers.has_token("connection", "close");
     Ok(RequestHead { method, target, headers, framing, expects_continue, close })
 }
 
-/// A request as it came, whole: its head, which [`parse_request_head`] reads, and its body without framing.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompleteRequest {
+    /// Its head, which [`parse_request_head`] reads.
     pub head: Vec<u8>,
+    /// Its body, without framing.
     pub body: Vec<u8>,
 }
 
@@ -107,22 +119,22 @@
 pub struct RequestReader {
     heads: HeadReader,
     stage: Stage,
-    /// The client is owed the word for which it keeps its body back.
+    /// The client waits for `100 Continue` before it sends the body.
     expects_continue: bool,
 }
 
 impl RequestReader {
-    /// Whether a head was read whose body is not whole yet.
+    /// Whether a head was read whose body is incomplete.
     pub fn in_progress(&self) -> bool {
         !matches!(self.stage, Stage::Head)
     }
 
-    /// Whether the client waits for a word before it sends the body; said once.
+    /// Whether the client waits for `100 Continue` before it sends the body; true once.
     pub fn expects_continue(&mut self) -> bool {
         std::mem::take(&mut self.expects_continue)
     }
 
-    /// The memory that a request takes that is not whole yet.
+    /// The memory that an incomplete request takes.
     pub fn memory_bytes(&self) -> usize {
         match &self.stage {
             Stage::Head => 0,
@@ -131,11 +143,11 @@
         }
     }
 
-    /// Uses what it can of the input: how many bytes, and a request where one is whole.
+    /// Uses what it can of the input: how many bytes, and a request if one is complete.
     pub fn read(&mut self, input: &[u8]) -> Result<(usize, Option<CompleteRequest>), Rejection> {
         let mut used = 0;
         if !self.in_progress() {
-            // Some end a body with a line's end that belongs to nothing.
+            // Some clients end a body with a line break that belongs to nothing.
             while input[used..].starts_with(b"\r\n") {
                 (used, self.heads) = (used + 2, HeadReader::default());
             }
@@ -179,8 +191,7 @@
     }
 }
 
-/// Whether bytes behind a request may be the next one, as far as they go: what cannot be shows that the length
-/// before it was wrong.
+/// Whether bytes after a request may begin another one, as far as they go. If not, the length before them was wrong.
 pub fn may_begin_request(bytes: &[u8]) -> bool {
     let bytes = match bytes {
         b"\r" => &[],
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -1,26 +1,30 @@
-//! Responses as their bytes come: 1xx are passed over, a body counts only when it is whole.
+//! Responses as their bytes arrive. Interim responses (1xx) are skipped; a response counts when its body is complete.
 
 use crate::chunked_body::ChunkedBodyReader;
 use crate::head::{HeadError, HeadReader, Headers, MAX_HEADERS};
 use crate::MAX_RESPONSE_BODY_BYTES;
+use thiserror::Error;
 
-/// How many 1xx may come before an answer.
+/// How many interim responses may precede a response.
 const MAX_INTERIM_RESPONSES: u32 = 16;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
+    /// Its status.
     pub status: u16,
-    pub fields: Vec<(String, Vec<u8>)>,
+    /// Its headers, in their order.
+    pub headers: Vec<(String, Vec<u8>)>,
+    /// Its body, without framing.
     pub body: Vec<u8>,
     /// The connection carries no further request.
     pub close: bool,
 }
 
 impl Response {
-    /// A field's value as text; none where it is absent, doubled or not text.
-    pub fn field(&self, name: &str) -> Option<&str> {
-        let mut all = self.fields.iter().filter(|f| f.0.eq_ignore_ascii_case(name));
+    /// A header's value as text; none where it is absent, repeated or not text.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        let mut all = self.headers.iter().filter(|header| header.0.eq_ignore_ascii_case(name));
         let first = all.next()?;
         if all.next().is_some() {
             return None;
@@ -29,8 +33,9 @@
     }
 }
 
-/// Bytes that are no answer, however they go on: malformed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Bytes that are no response, however they go on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the bytes are no HTTP/1.1 response")]
 pub struct MalformedResponse;
 
 impl From<HeadError> for MalformedResponse {
@@ -49,7 +54,7 @@
     UntilClose(Response),
 }
 
-/// Reads the answers of one connection, one at a time.
+/// Reads the responses of one connection, one at a time.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseReader {
     heads: HeadReader,
@@ -58,30 +63,30 @@
 }
 
 impl ResponseReader {
-    /// The memory that an answer takes that is not whole yet.
+    /// The memory that an incomplete response takes.
     pub fn memory_bytes(&self) -> usize {
         match &self.stage {
             Stage::ChunkedBodyReader(_, chunks) => chunks.body.capacity(),
-            Stage::UntilClose(answer) => answer.body.capacity(),
+            Stage::UntilClose(response) => response.body.capacity(),
             Stage::Head | Stage::SizedBody(..) => 0,
         }
     }
 
-    /// Whether the head of an answer was read whose end is still to come.
+    /// Whether a head was read whose body is incomplete.
     pub fn in_progress(&self) -> bool {
         !matches!(self.stage, Stage::Head)
     }
 
-    /// The peer ended its side in order, and all that came was read: the answer whose body that ends. Only an end in
-    /// order is one; a connection that broke says nothing of how much was to come.
+    /// The peer has ended its side in order, and everything was read: the response whose body ends with that. It must
+    /// not be called for a connection that broke, which says nothing of how much was to come.
     pub fn on_end_of_stream(&mut self) -> Option<Response> {
         match std::mem::take(&mut self.stage) {
-            Stage::UntilClose(answer) => Some(answer),
+            Stage::UntilClose(response) => Some(response),
             _ => None,
         }
     }
 
-    /// Uses what it can of the input: how many bytes, and an answer where one is whole.
+    /// Uses what it can of the input: how many bytes, and a response if one is complete.
     pub fn read(&mut self, input: &[u8]) -> Result<(usize, Option<Response>), MalformedResponse> {
         let mut used = 0;
         loop {
@@ -96,28 +101,28 @@
                         Some(stage) => self.stage = stage,
                     }
                 }
-                Stage::SizedBody(mut answer, length) if rest.len() >= length => {
-                    answer.body = rest[..length].to_vec();
+                Stage::SizedBody(mut response, length) if rest.len() >= length => {
+                    response.body = rest[..length].to_vec();
                     self.interim = 0;
-                    return Ok((used + length, Some(answer)));
+                    return Ok((used + length, Some(response)));
                 }
-                Stage::ChunkedBodyReader(mut answer, mut chunks) => {
+                Stage::ChunkedBodyReader(mut response, mut chunks) => {
                     let (consumed, whole) = chunks.read(rest, MAX_RESPONSE_BODY_BYTES)?;
                     used += consumed;
                     if whole {
-                        answer.body = chunks.body;
+                        response.body = chunks.body;
                         self.interim = 0;
-                        return Ok((used, Some(answer)));
+                        return Ok((used, Some(response)));
                     }
-                    self.stage = Stage::ChunkedBodyReader(answer, chunks);
+                    self.stage = Stage::ChunkedBodyReader(response, chunks);
                     return Ok((used, None));
                 }
-                Stage::UntilClose(mut answer) => {
-                    if answer.body.len() + rest.len() > MAX_RESPONSE_BODY_BYTES {
+                Stage::UntilClose(mut response) => {
+                    if response.body.len() + rest.len() > MAX_RESPONSE_BODY_BYTES {
                         return Err(MalformedResponse);
                     }
-                    answer.body.extend_from_slice(rest);
-                    self.stage = Stage::UntilClose(answer);
+                    response.body.extend_from_slice(rest);
+                    self.stage = Stage::UntilClose(response);
                     return Ok((input.len(), None));
                 }
                 stage => {
@@ -131,15 +136,15 @@
 
 /// How the body behind a head is framed; none for a 1xx.
 fn head(head: &[u8]) -> Result<Option<Stage>, MalformedResponse> {
-    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Response::new(&mut fields);
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Response::new(&mut headers);
     match parsed.parse(head) {
         Ok(httparse::Status::Complete(used)) if used == head.len() => {}
         _ => return Err(MalformedResponse),
     }
     let (Some(status), Some(1)) = (parsed.code, parsed.version) else { return Err(MalformedResponse) };
     let headers = Headers::from_parsed(parsed.headers);
-    // Nobody asked to change protocols.
+    // No request asks to change protocols.
     if !(100..=599).contains(&status) || status == 101 {
         return Err(MalformedResponse);
     }
@@ -148,21 +153,21 @@
     }
     let length = headers.content_length().map_err(|_| MalformedResponse)?;
     let codings: Vec<&[u8]> = headers.all("transfer-encoding").collect();
-    let answer = Response {
+    let response = Response {
         status,
-        fields: parsed.headers.iter().map(|h| (h.name.to_string(), h.value.to_vec())).collect(),
+        headers: parsed.headers.iter().map(|h| (h.name.to_string(), h.value.to_vec())).collect(),
         body: Vec::new(),
         close: headers.has_token("connection", "close"),
     };
     match (codings.as_slice(), length) {
         ([], Some(length)) if length <= MAX_RESPONSE_BODY_BYTES as u64 => {
-            Ok(Some(Stage::SizedBody(answer, length as usize)))
+            Ok(Some(Stage::SizedBody(response, length as usize)))
         }
-        ([], None) if matches!(status, 204 | 304) => Ok(Some(Stage::SizedBody(answer, 0))),
+        ([], None) if matches!(status, 204 | 304) => Ok(Some(Stage::SizedBody(response, 0))),
         ([coding], None) if coding.eq_ignore_ascii_case(b"chunked") => {
-            Ok(Some(Stage::ChunkedBodyReader(answer, ChunkedBodyReader::default())))
+            Ok(Some(Stage::ChunkedBodyReader(response, ChunkedBodyReader::default())))
         }
-        ([], None) => Ok(Some(Stage::UntilClose(Response { close: true, ..answer }))),
+        ([], None) => Ok(Some(Stage::UntilClose(Response { close: true, ..response }))),
         _ => Err(MalformedResponse),
     }
 }
--- a/crates/http1/src/write.rs
+++ b/crates/http1/src/write.rs
@@ -1,6 +1,6 @@
-//! Messages as bytes. Their parts are the caller's, who has checked them: a line's end in one would frame anew.
+//! Messages as bytes. The caller has checked their parts: a line break in a header would change the framing.
 
-/// The reason that goes with a status.
+/// The reason phrase of a status.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -24,31 +24,49 @@
     }
 }
 
-fn put(out: &mut Vec<u8>, parts: &[&[u8]]) {
+fn append(out: &mut Vec<u8>, parts: &[&[u8]]) {
     parts.iter().for_each(|part| out.extend_from_slice(part));
 }
 
-fn fields(out: &mut Vec<u8>, fields: &[(&str, &[u8])]) {
-    for (name, value) in fields {
-        put(out, &[name.as_bytes(), b": ", value, b"\r\n"]);
+fn append_headers(out: &mut Vec<u8>, headers: &[(&str, &[u8])]) {
+    for (name, value) in headers {
+        append(out, &[name.as_bytes(), b": ", value, b"\r\n"]);
     }
 }
 
-pub fn write_response(out: &mut Vec<u8>, status: u16, named: &[(&str, &[u8])], content: &[u8], close: bool) {
-    put(out, &[b"HTTP/1.1 ", status.to_string().as_bytes(), b" ", reason_phrase(status).as_bytes(), b"\r\n"]);
-    fields(out, named);
+/// A response to be written.
+#[derive(Clone, Copy, Debug)]
+pub struct OutgoingResponse<'a> {
+    /// Its status.
+    pub status: u16,
+    /// Its headers, apart from those of the framing.
+    pub headers: &'a [(&'a str, &'a [u8])],
+    /// Its body.
+    pub body: &'a [u8],
+    /// It says that the connection is closed after it.
+    pub close: bool,
+}
+
+/// Writes a response.
+pub fn write_response(out: &mut Vec<u8>, response: &OutgoingResponse) {
+    let OutgoingResponse { status, headers, body, close } = *response;
+    append(
+        out,
+        &[b"HTTP/1.1 ", status.to_string().as_bytes(), b" ", reason_phrase(status).as_bytes(), b"\r\n"],
+    );
+    append_headers(out, headers);
     if close {
-        fields(out, &[("Connection", b"close")]);
+        append_headers(out, &[("Connection", b"close")]);
     }
-    fields(out, &[("Content-Length", content.len().to_string().as_bytes())]);
-    put(out, &[b"\r\n", content]);
+    append_headers(out, &[("Content-Length", body.len().to_string().as_bytes())]);
+    append(out, &[b"\r\n", body]);
 }
 
-/// A request's first line and fields; what else belongs to the head may follow, then an empty line and the body.
-pub fn write_request_head(out: &mut Vec<u8>, method: &str, target: &str, named: &[(&str, &[u8])]) {
-    put(out, &[method.as_bytes(), b" ", target.as_bytes(), b" HTTP/1.1\r\n"]);
-    fields(out, named);
+/// Writes the request line and headers. More headers may follow, then an empty line and the body.
+pub fn write_request_head(out: &mut Vec<u8>, method: &str, target: &str, headers: &[(&str, &[u8])]) {
+    append(out, &[method.as_bytes(), b" ", target.as_bytes(), b" HTTP/1.1\r\n"]);
+    append_headers(out, headers);
 }
 
-/// The word to a client that keeps its body back until it has one.
+/// Tells a client to send the body that it holds back.
 pub const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -3,7 +3,7 @@
 
 use magpiewick_http1::{
     may_begin_request, parse_request_head, write_request_head, write_response, BodyFraming, CompleteRequest,
-    HeadReader, MalformedResponse, RequestReader, Response, ResponseReader, MAX_HEAD_BYTES,
+    HeadReader, MalformedResponse, OutgoingResponse, RequestReader, Response, ResponseReader, MAX_HEAD_BYTES,
     MAX_REQUEST_BODY_BYTES, MAX_RESPONSE_BODY_BYTES,
 };
 use quickcheck::quickcheck;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_body_is_framed_by_one_plain_length_or_by_chunks_alone_or_refused() {
+fn a_body_has_one_length_or_is_chunked_or_is_rejected() {
     for (fields, status) in [
         ("Content-Length: 5\r\n", 0),
         ("Content-Length: 0\r\n", 0),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_head_that_readers_could_take_in_two_ways_is_refused() {
+fn an_ambiguous_head_is_rejected() {
     for head in [
         "GET /a HTTP/1.1\r\n\r\n",
         "GET /a HTTP/1.1\r\nHost: a\r\nHost: a\r\n\r\n",
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_head_without_end_is_refused_at_its_bound() {
+fn a_head_without_end_is_rejected_at_its_limit() {
     let mut heads = HeadReader::default();
     let endless = vec![b'a'; MAX_HEAD_BYTES + 1];
     assert!(heads.end(&endless[..MAX_HEAD_BYTES - 1]).unwrap().is_none());
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn bytes_behind_a_request_are_another_or_show_a_wrong_length() {
+fn bytes_after_a_request_begin_another_or_show_a_wrong_length() {
     for (bytes, good) in [
         ("", true),
         ("G", true),
@@ -152,7 +152,7 @@
     HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 #[test]
-fn good_answers_are_read_whole() {
+fn good_responses_are_read_completely() {
     let (found, malformed) = answers(&[GOOD]);
     assert!(!malformed);
     let plain: Vec<(u16, &[u8], bool)> =
@@ -161,21 +161,21 @@
         plain,
         [(200, &b"hello"[..], false), (200, b"abcde", false), (204, b"", false), (503, b"", true)]
     );
-    assert_eq!((found[0].field("x-rho"), found[3].field("X-NOT-RUN")), (Some("3"), Some("1")));
+    assert_eq!((found[0].header("x-rho"), found[3].header("X-NOT-RUN")), (Some("3"), Some("1")));
 }
 
 #[test]
-fn an_answer_may_be_longer_than_a_request_within_its_own_bound() {
+fn a_response_may_be_longer_than_a_request_within_its_own_limit() {
     let body = vec![7; 260_000];
     let mut bytes = Vec::new();
-    write_response(&mut bytes, 200, &[], &body, false);
+    write_response(&mut bytes, &OutgoingResponse { status: 200, headers: &[], body: &body, close: false });
     assert_eq!(answers(&[&bytes]).0[0].body, body);
     let long = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", MAX_RESPONSE_BODY_BYTES + 1);
     assert_eq!(answers(&[long.as_bytes()]), (vec![], true));
 }
 
 #[test]
-fn a_spoilt_answer_is_known_from_its_first_bad_byte() {
+fn a_malformed_response_is_recognised_at_its_first_bad_byte() {
     for bytes in [
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_when_its_connection_ends_in_order() {
+fn a_response_without_a_length_is_complete_when_its_connection_ends_in_order() {
     let mut reader = ResponseReader::default();
     for piece in ["HTTP/1.1 200 OK\r\nX-Rho: 3\r\n\r\n", "hel", "", "lo"] {
         assert_eq!(reader.read(piece.as_bytes()), Ok((piece.len(), None)), "{piece:?}");
@@ -247,7 +247,7 @@
     GET /f HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn requests_of_every_good_form_are_read_whole() {
+fn requests_of_every_good_form_are_read_completely() {
     let (found, status) = requests(&[ASKED]);
     let bodies: Vec<&[u8]> = found.iter().map(|r| r.body.as_slice()).collect();
     assert_eq!((bodies, status), (vec![&b""[..], b"hello", b"abcde", b"hi", b"", b""], 0));
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn bad_chunks_are_refused_from_their_first_bad_byte_and_a_body_is_bounded() {
+fn bad_chunks_are_rejected_at_their_first_bad_byte_and_a_body_is_limited() {
     let long = format!("{:x}\r\n", MAX_REQUEST_BODY_BYTES + 1);
     let twice = format!("{:x}\r\n{}\r\n1\r\n", MAX_REQUEST_BODY_BYTES, "x".repeat(MAX_REQUEST_BODY_BYTES));
     for chunks in ["zz\r\n", "-1\r\n", "\r\n", "3\r\nabcde", "ffffffffff\r\n", "3\n", &long, &twice] {
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_client_that_keeps_its_body_back_is_owed_a_word_once_and_only_before_the_body() {
+fn a_client_that_expects_continue_is_told_once_and_only_before_its_body() {
     let head = put("Content-Length: 4\r\nExpect: 100-continue\r\n");
     let mut reader = RequestReader::default();
     assert_eq!(reader.read(head.as_bytes()), Ok((head.len(), None)));
@@ -287,11 +287,11 @@
         requests(&pieces(&bytes, &cuts)) == requests(&[&bytes])
     }
 
-    fn any_split_gives_the_same_answers(cuts: Vec<u16>) -> bool {
+    fn any_split_gives_the_same_responses(cuts: Vec<u16>) -> bool {
         split(GOOD, &cuts) == answers(&[GOOD])
     }
 
-    fn any_split_of_changed_bytes_gives_the_same_answers(cuts: Vec<u16>, at: u16, byte: u8) -> bool {
+    fn any_split_of_changed_bytes_gives_the_same_responses(cuts: Vec<u16>, at: u16, byte: u8) -> bool {
         let mut bytes = GOOD.to_vec();
         let at = usize::from(at) % bytes.len();
         bytes[at] = byte;
@@ -299,10 +299,10 @@
     }
 
     fn arbitrary_bytes_never_panic(bytes: Vec<u8>, cuts: Vec<u16>) -> bool {
-        let memory_bytes: usize = split(&bytes, &cuts).0.iter().map(|a| a.body.len()).sum();
+        let total: usize = split(&bytes, &cuts).0.iter().map(|a| a.body.len()).sum();
         _ = parse_request_head(&bytes);
         _ = may_begin_request(&bytes);
-        memory_bytes <= bytes.len() && memory_bytes <= MAX_RESPONSE_BODY_BYTES
+        total <= bytes.len() && total <= MAX_RESPONSE_BODY_BYTES
     }
 
     fn a_head_ends_at_the_same_byte_in_any_split(fields: Vec<u8>, cuts: Vec<u8>) -> bool {
@@ -323,19 +323,19 @@
     }
 
     /// What is written is read back as it was meant.
-    fn what_is_written_is_read_back(status: u16, body: Vec<u8>, close: bool) -> bool {
+    fn a_written_response_is_read_back(status: u16, body: Vec<u8>, close: bool) -> bool {
         let status = 200 + status % 300;
         let mut bytes = Vec::new();
-        write_response(&mut bytes, status, &[("X-A", b"b")], &body, close);
+        write_response(&mut bytes, &OutgoingResponse { status, headers: &[("X-A", b"b")], body: &body, close });
         let (found, malformed) = answers(&[&bytes]);
         let [answer] = found.as_slice() else { return false };
         !malformed && answer.status == status && answer.body == body && answer.close == close
-            && answer.field("x-a") == Some("b")
+            && answer.header("x-a") == Some("b")
     }
 }
 
 #[test]
-fn a_written_request_is_a_good_one() {
+fn a_written_request_can_be_read() {
     let mut bytes = Vec::new();
     write_request_head(&mut bytes, "PUT", "/a?b", &[("Host", b"h"), ("Content-Length", b"3")]);
     bytes.extend_from_slice(b"\r\n");
--- a/crates/instance-settings/tests/forms.rs
+++ b/crates/instance-settings/tests/forms.rs
@@ -44,29 +44,34 @@
     specifics.units_top=6\nspecifics.share_worth=0.35\nspecifics.counts_others=true";
 
 #[test]
-fn nested_and_dotted_give_the_same_start_and_door() {
+fn nested_and_dotted_settings_mean_the_same() {
     let (nested, dotted) =
         (InstanceSettings::json(&settings()).unwrap(), InstanceSettings::pairs(PAIRS).unwrap());
     assert_eq!(
         format!("{:?}", nested.scheduler_config(7).unwrap()),
         format!("{:?}", dotted.scheduler_config(7).unwrap())
     );
-    let door = nested.platform_settings().unwrap();
-    assert_eq!(door, dotted.platform_settings().unwrap());
-    assert_eq!((door.classes[1].name.as_str(), door.classes[1].writes), ("write", Some(true)));
-    assert_eq!((door.zones.len(), door.shards, door.idle), (2, Some(8), Some(30_000.0)));
+    let platform = nested.platform_settings().unwrap();
+    assert_eq!(platform, dotted.platform_settings().unwrap());
+    assert_eq!((platform.classes[1].name.as_str(), platform.classes[1].writes), ("write", Some(true)));
+    assert_eq!((platform.zones.len(), platform.shards, platform.idle_timeout), (2, Some(8), Some(30_000.0)));
 }
 
 #[test]
-fn the_same_faults_are_named_in_both_forms() {
+fn the_same_errors_are_named_in_both_forms() {
     let mut bad = settings();
     bad["profiles"][0]["slo_ns"] = json!("soon");
     let nested = InstanceSettings::json(&bad).unwrap().scheduler_config(7).unwrap_err();
     let dotted = PAIRS.replace("profiles.0.slo_ns=200000000", "profiles.0.slo_ns=soon");
     assert_eq!(nested, InstanceSettings::pairs(&dotted).unwrap().scheduler_config(7).unwrap_err());
-    assert!(nested.contains("profiles.0.slo_ns"), "{nested}");
+    assert!(nested.to_string().contains("profiles.0.slo_ns"), "{nested}");
     bad["profiles"][0]["slo_ns"] = Value::Null;
-    assert!(InstanceSettings::json(&bad).unwrap().scheduler_config(7).unwrap_err().contains("is missing"));
+    assert!(InstanceSettings::json(&bad)
+        .unwrap()
+        .scheduler_config(7)
+        .unwrap_err()
+        .to_string()
+        .contains("is missing"));
     assert!(InstanceSettings::json(&json!([1])).is_err());
     assert!(InstanceSettings::json(&json!({})).unwrap().scheduler_config(7).is_err());
 }
--- a/crates/platform/src/attempt_end/tests.rs
+++ b/crates/platform/src/attempt_end/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn only_what_the_platform_names_proves_that_nothing_ran() {
     let answer = |status, not_run| AttemptEnd::Response { status, not_run };
-    for (sign, written, meant, never_ran) in [
+    for (end, written, expected, never_ran) in [
         (answer(200, false), true, Outcome::Succeeded, false),
         (answer(200, true), true, Outcome::Succeeded, false),
         (answer(500, false), true, Outcome::Error, false),
@@ -24,7 +24,7 @@
         (AttemptEnd::Withdrawn, false, Outcome::DeadlineExceeded, true),
         (AttemptEnd::Withdrawn, true, Outcome::Cancelled, false),
     ] {
-        let found = outcome(sign, written);
-        assert_eq!((found, found.never_ran()), (meant, never_ran), "{sign:?}, written: {written}");
+        let found = end.outcome(written);
+        assert_eq!((found, found.never_ran()), (expected, never_ran), "{end:?}, written: {written}");
     }
 }
--- a/crates/platform/src/client_policy.rs
+++ b/crates/platform/src/client_policy.rs
@@ -1,131 +1,142 @@
-//! Which clients' connections give way, and when; free of I/O.
+//! How many connections clients may have, which of them is closed for another, and what a client's timeout means;
+//! free of I/O.
 
+use crate::reactor::ConnectionKey;
 use magpiewick::Ms;
 
-/// By when a client must have sent its first request whole, or what it started_at: it is owed an error or an end
-/// within 3 s of connecting, and a connection without an open request may be closed after 2 s.
+/// By when a client must have sent its first request, or the rest of one, or must have read its response. The platform
+/// allows a connection without an open request to be closed after 2 s, and asks for an error or an end within 3 s.
 pub const CLIENT_TIMEOUT_MS: Ms = 2200.0;
-/// How long what a refused client still sends is read and discarded_bytes away, so that it can read the refusal first.
+/// How long input is still read and discarded after the last response, so that the client can read that first.
 pub const LINGER_MS: Ms = 300.0;
-/// How many bytes may wait behind a request that is open, where the memory is there.
+/// How many bytes may be queued behind an open request while there is memory for them.
 pub const MAX_PIPELINED_BYTES: usize = 1 << 20;
-/// How often a connection whose bytes are not read is looked at, as it may have ended behind them: half of the time
-/// within which nothing may begin any more for a client that has gone.
+/// How often a client whose input is not read is checked for a disconnect: half of the time within which nothing may
+/// start any more for a client that has disconnected.
 pub const DISCONNECT_CHECK_MS: Ms = 50.0;
-/// How much of it: reading 60 MB that nobody wants would cost the processor that requests need.
+/// How much input is read and discarded at most.
 pub const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
-/// The part of the descriptors that are not the host's own which may be clients': those that are in earnest hold a
-/// third of all at most.
+/// Timers may come this much early.
+const TIMER_SLACK_MS: Ms = 1.0;
+/// How long a new client is spared from eviction.
+const NEWCOMER_MS: Ms = 300.0;
+/// The share of the available descriptors that clients may have.
 const CLIENT_SHARE: f64 = 0.6;
-/// The part of all descriptors up to which clients open connections to ask on, and the part of that which those may
-/// hold that have asked: clients that ask once and stay would else leave no limits for the next.
+/// The share of all descriptors up to which clients open connections for requests, and the share of that which
+/// clients may keep that have sent a request: those that send one and stay would otherwise leave no room.
 const ACTIVE_CLIENT_SHARE: f64 = 1.0 / 3.0;
 const SERVED_CLIENT_SHARE: f64 = 0.7;
 
-/// How many connections there may be: of clients, of those of them that have asked, and to nodes.
+/// How many connections there may be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionLimits {
+    /// Connections of clients.
     pub clients: usize,
-    pub asked: usize,
-    pub upstream_count: usize,
+    /// Connections of clients that have sent a request.
+    pub served_clients: usize,
+    /// Connections to endpoints.
+    pub upstreams: usize,
 }
 
 impl ConnectionLimits {
-    /// `shared`: those of all descriptors that are for clients and nodes.
-    pub fn new(sockets: usize, shared: usize) -> ConnectionLimits {
-        let clients = (shared as f64 * CLIENT_SHARE) as usize;
-        let asked = (sockets as f64 * ACTIVE_CLIENT_SHARE * SERVED_CLIENT_SHARE) as usize;
-        ConnectionLimits { clients, asked, upstream_count: shared - clients }
+    /// `descriptors`: all that the process may have; `available`: those of them for clients and endpoints.
+    pub fn new(descriptors: usize, available: usize) -> ConnectionLimits {
+        let clients = (available as f64 * CLIENT_SHARE) as usize;
+        let served_clients = (descriptors as f64 * ACTIVE_CLIENT_SHARE * SERVED_CLIENT_SHARE) as usize;
+        ConnectionLimits { clients, served_clients, upstreams: available - clients }
     }
 }
 
-/// What is known of a client's connection.
+/// A client's connection, as far as eviction is concerned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EvictionCandidate {
-    pub key: usize,
-    /// A request is open or an answer is not written whole.
+    /// The connection.
+    pub key: ConnectionKey,
+    /// A request is open or a response is not written.
     pub busy: bool,
-    /// A part of a request came.
-    pub partial: bool,
-    /// How many whole requests it sent.
-    pub asked: u32,
-    /// Since when it has been as it is, and its number in the order of arrival: many come in one turn of the loop.
-    pub since: Ms,
+    /// A part of a request has arrived.
+    pub has_partial_request: bool,
+    /// How many requests it has sent.
+    pub requests: u32,
+    /// When it connected or its last request was answered.
+    pub idle_since: Ms,
+    /// Its number; later connections have higher ones.
     pub serial: u64,
 }
 
-/// A newcomer is given this long to say what it wants before it gives way sooner than clients that come again.
-const NEWCOMER_MS: Ms = 300.0;
-
-/// What is known of a client's connection when a timer looks at it.
+/// What a client's connection is doing when its timer is due.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClientActivity {
-    /// A request of it is open.
-    pub open: bool,
-    /// An answer is not written whole.
-    pub pending: bool,
-    /// Since when the system has taken nothing of what is pending; none where nobody has tried to write it yet.
-    pub blocked: Option<Ms>,
-    /// Since when nothing more is written to it and what it sends is discarded_bytes away.
+    /// A request is open.
+    pub request_open: bool,
+    /// A response is not written completely.
+    pub response_pending: bool,
+    /// Since when the system has taken nothing of it; none where nobody has tried to write it yet.
+    pub write_blocked_since: Option<Ms>,
+    /// Since when nothing more is written and input is discarded.
     pub lingering_since: Option<Ms>,
     /// Since when a part of a request is there.
-    pub partial: Option<Ms>,
-    /// It has sent a whole request.
-    pub asked: bool,
+    pub partial_request_since: Option<Ms>,
+    /// It has sent a complete request.
+    pub has_sent_request: bool,
 }
 
-/// What becomes of a client's connection at a activity.
+/// What is done with a client's connection when its timer is due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TimeoutAction {
-    /// Nothing is due, and no other activity is needed for now.
-    Nothing,
-    /// It is looked at again when its patience since then is over.
+    /// Nothing, and no other timer is needed for now.
+    None,
+    /// The timer is set again, counted from this time.
     RearmFrom(Ms),
-    /// It ends: its client does not read its answer.
-    Unread,
-    /// It ends: its client has had the time to read its last answer.
-    Finished,
-    /// Its client is config that its request did not come whole.
-    Incomplete,
-    /// It ends: its client has never asked.
-    Idle,
+    /// The connection is closed: the client does not read its response.
+    CloseResponseNotRead,
+    /// The connection is closed: the client had time to read its last response.
+    CloseLingering,
+    /// The client is sent an error: its request is incomplete.
+    RejectIncomplete,
+    /// The connection is closed: the client has never sent a request.
+    CloseIdle,
 }
 
-/// Decides about a connection whose time may be over. An answer that was queued in this very moment, and that nobody
-/// has tried to write yet, is no answer that its client does not read: only what the system refuses to take for long is.
-pub fn late(now: Ms, activity: &ClientActivity) -> TimeoutAction {
-    let over = |since: Ms| now - since >= CLIENT_TIMEOUT_MS - 1.0;
-    if activity.pending {
-        return match activity.blocked {
-            Some(since) if over(since) => TimeoutAction::Unread,
+/// Decides about a connection whose timer is due. A response that was queued in this very moment, and that nobody has
+/// tried to write yet, does not count as one that the client does not read.
+pub fn timeout_action(now: Ms, activity: &ClientActivity) -> TimeoutAction {
+    let is_over = |since: Ms| now - since >= CLIENT_TIMEOUT_MS - TIMER_SLACK_MS;
+    if activity.response_pending {
+        return match activity.write_blocked_since {
+            Some(since) if is_over(since) => TimeoutAction::CloseResponseNotRead,
             since => TimeoutAction::RearmFrom(since.unwrap_or(now)),
         };
     }
     if let Some(since) = activity.lingering_since {
-        return if now - since >= LINGER_MS - 1.0 { TimeoutAction::Finished } else { TimeoutAction::Nothing };
+        return match now - since >= LINGER_MS - TIMER_SLACK_MS {
+            true => TimeoutAction::CloseLingering,
+            false => TimeoutAction::None,
+        };
     }
-    match activity.partial {
-        _ if activity.open => TimeoutAction::Nothing,
-        Some(since) if over(since) => TimeoutAction::Incomplete,
+    match activity.partial_request_since {
+        _ if activity.request_open => TimeoutAction::None,
+        Some(since) if is_over(since) => TimeoutAction::RejectIncomplete,
         Some(since) => TimeoutAction::RearmFrom(since),
-        None if activity.asked => TimeoutAction::Nothing,
-        None => TimeoutAction::Idle,
+        None if activity.has_sent_request => TimeoutAction::None,
+        None => TimeoutAction::CloseIdle,
     }
 }
 
-/// The one that gives way to a newcomer: never one that is owed something; those that asked once or never before
-/// those that asked again, unless they have only just come; of these the one that has rested longest. Guards against
-/// clients that connect and say nothing, or ask once and stay; it could harm clients that keep many connections and
-/// use them rarely: they connect anew.
-pub fn gives_way(now: Ms, all: impl Iterator<Item = EvictionCandidate>) -> Option<usize> {
-    // One that is sending is taken last of all: its request would be lost with it.
-    let dear = |s: &EvictionCandidate| (s.partial, s.asked > 1 || now - s.since < NEWCOMER_MS);
-    let free = all.filter(|s| !s.busy);
+/// The connection that is closed for a new one: never one that is owed a response; those that sent a request once or
+/// never before those that sent more, unless they have only just connected; of these the one that has been idle for
+/// longest. One that is sending a request comes last, as that request would be lost.
+pub fn select_for_eviction(
+    now: Ms,
+    candidates: impl Iterator<Item = EvictionCandidate>,
+) -> Option<ConnectionKey> {
+    let cost =
+        |c: &EvictionCandidate| (c.has_partial_request, c.requests > 1 || now - c.idle_since < NEWCOMER_MS);
     let order = |a: &EvictionCandidate, b: &EvictionCandidate| {
-        dear(a).cmp(&dear(b)).then(a.since.total_cmp(&b.since)).then(a.serial.cmp(&b.serial))
+        cost(a).cmp(&cost(b)).then(a.idle_since.total_cmp(&b.idle_since)).then(a.serial.cmp(&b.serial))
     };
-    free.min_by(order).map(|s| s.key)
+    candidates.filter(|c| !c.busy).min_by(order).map(|c| c.key)
 }
 
 #[cfg(test)]
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn settings_that_differ_are_named_within_a_bound() {
+fn changed_settings_are_named_within_a_bound() {
     let one = json!({"name": "n0", "limits": {"sockets": 9, "cores": 1.0}, "settings": {"a": {"b": [1, 2]}}});
     assert!(changed_settings(&one, &one).is_empty());
     let mut other = one.clone();
@@ -12,5 +12,5 @@
     assert_eq!(changed_settings(&one, &other), ["limits.sockets", "settings.a.b", "settings.c"]);
     let many: serde_json::Map<String, Value> = (0..100).map(|i| (format!("s{i}"), json!(i))).collect();
     let labels = changed_settings(&json!({}), &Value::Object(many));
-    assert_eq!((labels.len(), labels.last().map(String::as_str)), (MAX_NAMED + 1, Some("88 more")));
+    assert_eq!((labels.len(), labels.last().map(String::as_str)), (MAX_NAMED_SETTINGS + 1, Some("88 more")));
 }
--- /dev/null
+++ b/crates/platform/src/connection_table.rs
@@ -0,0 +1,54 @@
+//! Connections of one kind by their keys.
+
+use crate::reactor::ConnectionKey;
+
+/// Connections of one kind. Keys are shared by all kinds, so the table has gaps.
+pub struct ConnectionTable<T> {
+    slots: Vec<Option<Box<T>>>,
+    count: usize,
+}
+
+impl<T> Default for ConnectionTable<T> {
+    fn default() -> ConnectionTable<T> {
+        ConnectionTable { slots: Vec::new(), count: 0 }
+    }
+}
+
+impl<T> ConnectionTable<T> {
+    /// How many connections there are.
+    pub fn len(&self) -> usize {
+        self.count
+    }
+
+    /// Adds a connection under a key that the reactor has just handed out.
+    pub fn insert(&mut self, key: ConnectionKey, connection: T) {
+        if self.slots.len() <= key {
+            self.slots.resize_with(key + 1, || None);
+        }
+        let before = self.slots[key].replace(Box::new(connection));
+        assert!(before.is_none(), "connection key {key} is in use");
+        self.count += 1;
+    }
+
+    /// The connection of a key.
+    pub fn get(&self, key: ConnectionKey) -> Option<&T> {
+        self.slots.get(key)?.as_deref()
+    }
+
+    /// The connection of a key, to be changed.
+    pub fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut T> {
+        self.slots.get_mut(key)?.as_deref_mut()
+    }
+
+    /// Takes a connection out.
+    pub fn remove(&mut self, key: ConnectionKey) -> Option<T> {
+        let connection = self.slots.get_mut(key)?.take()?;
+        self.count -= 1;
+        Some(*connection)
+    }
+
+    /// All connections, in the order of their keys.
+    pub fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &T)> + '_ {
+        self.slots.iter().enumerate().filter_map(|(key, slot)| Some((key, slot.as_deref()?)))
+    }
+}
--- a/crates/platform/src/discovery_log.rs
+++ b/crates/platform/src/discovery_log.rs
@@ -1,96 +1,106 @@
-//! What an operator reads of the discovery client: each of its state changes as a log line, and its counters.
+//! Log lines of the discovery client's state changes, and its counters.
 
 use crate::log_limit::LogLimit;
 use magpiewick::{Ms, Validity};
 use std::collections::BTreeMap;
-use std::fmt;
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// Lines at the default level: as many at once, and so many a second for long.
+/// Lines at the default level: as many at once, and so many a second in the long run.
 const BURST: u32 = 24;
 const PER_SECOND: f64 = 2.0;
 
-/// Why a call to discovery ended without a list that could be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallError {
-    /// No connection could be begun; the system's error.
-    Connect(String),
-    /// The connection ended or broke before an answer was whole.
-    ConnectionLost(String),
+/// Why a poll ended without an endpoint list that could be used.
+#[derive(Debug, Error)]
+pub enum PollError {
+    /// No connection could be begun.
+    #[error("no connection: {0}")]
+    Connect(#[source] std::io::Error),
+    /// The connection failed before a response was complete.
+    #[error("the connection ended before an answer was whole: {0}")]
+    ConnectionFailed(#[source] std::io::Error),
+    /// The connection ended before a response was complete.
+    #[error("the connection ended before an answer was whole: closed")]
+    ConnectionClosed,
+    /// A status that is no success.
+    #[error("status {0}")]
     Status(u16),
-    /// Bytes that are no HTTP answer.
+    /// Bytes that are no HTTP response, or that nobody requested.
+    #[error("the answer is not HTTP")]
     MalformedResponse,
-    /// A body that is no list.
-    MalformedList(String),
-    /// Changes that do not follow what is known.
-    Gap,
-    /// What is known is newer.
+    /// A body that is no endpoint list.
+    #[error("the body is not a list: {0}")]
+    MalformedList(#[source] crate::endpoint_list::ListError),
+    /// Changes that do not follow the known list.
+    #[error("changes to a list that is not known")]
+    GenerationGap,
+    /// The known list is newer.
+    #[error("a list older than the known one")]
     Outdated,
+    /// Buffers take too much memory.
+    #[error("the answer is too large for the memory")]
     TooLarge,
 }
 
-impl CallError {
+impl PollError {
     /// The name under which it is counted.
     pub fn kind(&self) -> &'static str {
         match self {
-            CallError::Connect(_) => "connect_failed",
-            CallError::ConnectionLost(_) => "connection_lost",
-            CallError::Status(_) => "status",
-            CallError::MalformedResponse => "malformed_response",
-            CallError::MalformedList(_) => "malformed_list",
-            CallError::Gap => "generation_gap",
-            CallError::Outdated => "outdated",
-            CallError::TooLarge => "too_large",
+            PollError::Connect(_) => "connect_failed",
+            PollError::ConnectionFailed(_) | PollError::ConnectionClosed => "connection_lost",
+            PollError::Status(_) => "status",
+            PollError::MalformedResponse => "malformed_response",
+            PollError::MalformedList(_) => "malformed_list",
+            PollError::GenerationGap => "generation_gap",
+            PollError::Outdated => "outdated",
+            PollError::TooLarge => "too_large",
         }
     }
 }
 
-impl fmt::Display for CallError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            CallError::Connect(error) => write!(f, "no connection: {error}"),
-            CallError::ConnectionLost(error) => {
-                write!(f, "the connection ended before an answer was whole: {error}")
-            }
-            CallError::Status(status) => write!(f, "status {status}"),
-            CallError::MalformedResponse => write!(f, "the answer is not HTTP"),
-            CallError::MalformedList(why) => write!(f, "the body is not a list: {why}"),
-            CallError::Gap => write!(f, "changes to a list that is not known"),
-            CallError::Outdated => write!(f, "a list older than the known one"),
-            CallError::TooLarge => write!(f, "the answer is too large for the memory"),
-        }
-    }
-}
-
-/// What a reload of the configuration file came to.
+/// What a reload of the configuration file changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reload {
-    Taken,
+pub enum ReloadResult {
+    /// Discovery has another address.
+    AddressChanged,
+    /// Nothing that is taken in without a restart.
     Unchanged,
 }
 
 /// Counters of the discovery client since the start.
 #[derive(Clone, Debug, Default)]
 pub struct DiscoveryCounts {
-    pub calls: u64,
-    pub answers: u64,
-    pub answers_of_former: u64,
+    /// Polls.
+    pub polls: u64,
+    /// Lists from the current address.
+    pub lists: u64,
+    /// Lists from an address before the last reload.
+    pub lists_from_former_address: u64,
+    /// Lists from any address that were taken in.
+    pub lists_applied: u64,
+    /// Polls at the current address that failed.
+    pub polls_failed: u64,
+    /// The same, by kind.
     pub failures: BTreeMap<&'static str, u64>,
-    pub reloads_taken: u64,
+    /// Reloads that changed the address.
+    pub reloads_applied: u64,
+    /// Reloads that changed nothing.
     pub reloads_unchanged: u64,
-    pub reloads_refused: u64,
-    /// Calls that were ended as their answer was not wanted any more.
-    pub dropped: u64,
-    /// How often the list could not be relied on any more, and how often it was old while discovery was down.
+    /// Reloads that failed.
+    pub reloads_failed: u64,
+    /// Polls whose answer was not wanted any more.
+    pub polls_cancelled: u64,
+    /// How often the list expired.
     pub expired: u64,
+    /// How often the list was kept in use while discovery was down.
     pub service_down: u64,
 }
 
-/// Writes the lines and keeps the counters.
+/// Writes the log lines and keeps the counters.
 pub struct DiscoveryLog {
     limit: LogLimit,
-    pub counts: DiscoveryCounts,
-    /// The last call failed: the next answer is config at the default level.
+    counts: DiscoveryCounts,
+    /// The last poll failed: the next list is logged at the default level.
     failing: bool,
 }
 
@@ -106,91 +116,100 @@
 
 impl Default for DiscoveryLog {
     fn default() -> DiscoveryLog {
-        DiscoveryLog {
-            limit: LogLimit::new(BURST, PER_SECOND),
-            counts: DiscoveryCounts::default(),
-            failing: true,
-        }
+        let limit = LogLimit::new(BURST, PER_SECOND);
+        DiscoveryLog { limit, counts: DiscoveryCounts::default(), failing: true }
     }
 }
 
 impl DiscoveryLog {
-    /// A call begins, beside some that are late. Routine calls, those that follow an answer, are config at debug level
-    /// alone.
-    pub fn called(&mut self, now: Ms, call: u64, late: usize, address: SocketAddr, target: &str) {
-        self.counts.calls += 1;
+    /// The counters.
+    pub fn counts(&self) -> &DiscoveryCounts {
+        &self.counts
+    }
+
+    /// A poll begins, beside `late` others that are late. Routine polls are logged at debug level alone.
+    pub fn poll_started(&mut self, now: Ms, poll: u64, late: usize, address: SocketAddr, target: &str) {
+        self.counts.polls += 1;
         if self.failing || late > 0 {
-            limited!(self, now, call, late, %address, target, "endpoint_list_poll_started");
+            limited!(self, now, poll, late, %address, target, "endpoint_list_poll_started");
         } else {
-            tracing::debug!(call, %address, target, "endpoint_list_poll_started");
+            tracing::debug!(poll, %address, target, "endpoint_list_poll_started");
         }
     }
 
-    /// The connection that a call goes over stands.
-    pub fn connected(&self, call: u64, address: SocketAddr, took_ms: Ms) {
-        tracing::debug!(call, %address, took_ms, "discovery_connected");
+    /// The connection of a poll is established.
+    pub fn connected(&self, poll: u64, address: SocketAddr, elapsed_ms: Ms) {
+        tracing::debug!(poll, %address, elapsed_ms, "discovery_connected");
     }
 
-    /// An answer was taken in; `present`: it came from the address that is labels now.
-    pub fn answered(
+    /// A list from the current address was taken in.
+    pub fn list_received(&mut self, now: Ms, poll: u64, generation: u64, records: usize, elapsed_ms: Ms) {
+        self.counts.lists += 1;
+        self.counts.lists_applied += 1;
+        if std::mem::take(&mut self.failing) || records > 0 {
+            limited!(self, now, poll, generation, records, elapsed_ms, "endpoint_list_received");
+        } else {
+            tracing::debug!(poll, generation, records, elapsed_ms, "endpoint_list_received");
+        }
+    }
+
+    /// A list from an address before the last reload was taken in.
+    pub fn former_list_received(
         &mut self,
         now: Ms,
-        call: u64,
-        present: bool,
+        poll: u64,
         generation: u64,
-        lines: usize,
-        took_ms: Ms,
+        records: usize,
+        elapsed_ms: Ms,
     ) {
-        if !present {
-            self.counts.answers_of_former += 1;
-            limited!(self, now, call, generation, lines, took_ms, "former_discovery_answered");
-            return;
-        }
-        self.counts.answers += 1;
-        if std::mem::take(&mut self.failing) || lines > 0 {
-            limited!(self, now, call, generation, lines, took_ms, "endpoint_list_received");
-        } else {
-            tracing::debug!(call, generation, lines, took_ms, "endpoint_list_received");
-        }
+        self.counts.lists_from_former_address += 1;
+        self.counts.lists_applied += 1;
+        limited!(self, now, poll, generation, records, elapsed_ms, "former_discovery_answered");
     }
 
-    /// A call to an address before the last reload ended without a list that was taken in.
-    pub fn former_ended(&mut self, now: Ms, call: u64, why: &CallError) {
-        limited!(self, now, call, %why, "former_discovery_poll_failed");
+    /// A poll at an address before the last reload ended without a list that was taken in.
+    pub fn former_poll_failed(&mut self, now: Ms, poll: u64, error: &PollError) {
+        limited!(self, now, poll, %error, "former_discovery_poll_failed");
     }
 
-    /// A call was ended as its answer is not wanted any more.
-    pub fn dropped(&mut self, now: Ms, call: u64) {
-        self.counts.dropped += 1;
-        limited!(self, now, call, "endpoint_list_poll_cancelled");
+    /// A poll was ended as its answer is not wanted any more.
+    pub fn poll_cancelled(&mut self, now: Ms, poll: u64) {
+        self.counts.polls_cancelled += 1;
+        limited!(self, now, poll, "endpoint_list_poll_cancelled");
     }
 
-    /// A call failed; the next one is due after `next_in_ms`.
-    pub fn failed(&mut self, now: Ms, call: u64, why: &CallError, next_in_ms: Ms) {
-        *self.counts.failures.entry(why.kind()).or_default() += 1;
+    /// A poll failed; the next one is due after `next_in_ms`.
+    pub fn poll_failed(&mut self, now: Ms, poll: u64, error: &PollError, next_in_ms: Ms) {
+        self.counts.polls_failed += 1;
+        *self.counts.failures.entry(error.kind()).or_default() += 1;
         self.failing = true;
-        limited!(self, now, call, %why, next_in_ms, "endpoint_list_poll_failed");
+        limited!(self, now, poll, %error, next_in_ms, "endpoint_list_poll_failed");
     }
 
-    /// The configuration file was read anew.
-    pub fn reloaded(&mut self, outcome: Reload) {
-        match outcome {
-            Reload::Taken => self.counts.reloads_taken += 1,
-            Reload::Unchanged => self.counts.reloads_unchanged += 1,
+    /// The configuration file was read again.
+    pub fn reloaded(&mut self, result: ReloadResult) {
+        match result {
+            ReloadResult::AddressChanged => self.counts.reloads_applied += 1,
+            ReloadResult::Unchanged => self.counts.reloads_unchanged += 1,
         }
         self.failing = true;
     }
 
-    /// The configuration file could not be used: what was config before stays until it can be.
-    pub fn reload_refused(&mut self, now: Ms, why: &str, discovery: SocketAddr, retry_in_ms: Option<Ms>) {
-        self.counts.reloads_refused += 1;
+    /// The configuration file could not be used: the current address stays until it can be.
+    pub fn reload_failed(
+        &mut self,
+        now: Ms,
+        error: &crate::config::ConfigError,
+        discovery: SocketAddr,
+        retry_in_ms: Option<Ms>,
+    ) {
+        self.counts.reloads_failed += 1;
         if let Some(suppressed) = self.limit.admit(now) {
-            let kept = discovery;
-            tracing::error!(suppressed, why, %kept, retry_in_ms, "config_reload_failed");
+            tracing::error!(suppressed, %error, %discovery, retry_in_ms, "config_reload_failed");
         }
     }
 
-    /// What the list is worth changed.
+    /// The validity of the list has changed.
     pub fn validity_changed(&mut self, before: Validity, after: Validity, age_ms: Ms) {
         match after {
             Validity::Valid => tracing::info!(?before, age_ms, "endpoint_list_valid"),
--- a/crates/platform/src/endpoint_discovery.rs
+++ b/crates/platform/src/endpoint_discovery.rs
@@ -1,32 +1,42 @@
-//! Calls to discovery on sockets: carries out what the list client decides and reports to it what came of it.
-
-use crate::attempt_end::AttemptEnd;
-use crate::discovery_log::{CallError, Reload as ReloadResult};
-use crate::endpoint_list::{self, EndpointList};
-use crate::host::{self, Connection, DiscoveryConnection};
-use crate::upstream_connection::{read_response, CompleteResponse};
-use crate::{config, unix_time, EventLoop};
-use magpiewick::{Answered, EndpointUpdate, Failure, Ms, Step, Target, Validity, Verdict};
+//! Polls of the endpoint list: carries out on sockets what the endpoint client decides, and reports what came of it.
+
+use crate::config::{ConfigError, HostConfig};
+use crate::connection_table::ConnectionTable;
+use crate::discovery_log::{DiscoveryLog, PollError, ReloadResult};
+use crate::endpoint_list::EndpointList;
+use crate::memory_limit::{BufferOwner, BufferUse};
+use crate::reactor::{ConnectionKey, ConnectionKind, Reactor};
+use crate::response_stream::{CompleteResponse, ReceiveError, ResponseStream};
+use magpiewick::{Answered, EndpointClient, EndpointUpdate, Failure, Ms, Step, Target, Validity, Verdict};
 use magpiewick_exchange::{ExchangeHistory, ReceivedResponse, ResponseMismatch};
-use magpiewick_http1::{self as http1, ResponseReader};
-use magpiewick_transport::{out_of_descriptors, reach, Ended, Reach, Stream};
+use magpiewick_http1::{self as http1, Response};
+use magpiewick_transport::{reach, Ended, Reach, Stream};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
 const LIST_PATH: &str = "/v1/endpoints";
-/// A watch that ends without news does so when this part of its wait is over at the earliest.
+const STATUS_OK: u16 = 200;
+/// A poll that ends without changes does so when this share of its wait is over at the earliest.
 const MIN_WATCH_SHARE: f64 = 0.5;
 
-/// The request target of a call.
-fn path(target: Target) -> String {
+/// The request target of a poll.
+fn poll_path(target: Target) -> String {
     match target {
         Target::Whole => LIST_PATH.to_string(),
         Target::Changes { after, wait } => format!("{LIST_PATH}?after={after}&wait_ms={wait}"),
     }
 }
 
-/// What an error on a connection says of the service.
-fn failure(error: &io::Error) -> Failure {
+/// How long discovery may hold a poll while nothing changes.
+fn poll_wait(target: Target) -> Ms {
+    match target {
+        Target::Whole => 0.0,
+        Target::Changes { wait, .. } => wait,
+    }
+}
+
+/// What an error on a connection says of discovery.
+fn failure_of(error: &io::Error) -> Failure {
     match (reach(error), error.kind()) {
         (Reach::Local, _) => Failure::Local,
         (_, ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted) => Failure::Broken,
@@ -36,289 +46,417 @@
     }
 }
 
-/// How long the service may wait for news before it answers a call.
-fn watch_wait(target: Target) -> Ms {
-    match target {
-        Target::Whole => 0.0,
-        Target::Changes { wait, .. } => wait,
+/// Why a poll failed, and what that says of discovery.
+struct PollFailure {
+    error: PollError,
+    meaning: Failure,
+}
+
+impl PollFailure {
+    fn unusable(error: PollError) -> PollFailure {
+        PollFailure { error, meaning: Failure::Unusable }
     }
 }
 
-/// Whether an answer is that of an earlier call once more: it is the same, and came long before the service would
-/// have given up waiting for news.
-fn is_copy(connection: &DiscoveryConnection, answer: &http1::Response, now: Ms) -> bool {
-    let arrived = ReceivedResponse { status: answer.status, body: &answer.body, trailing: &[], names: None };
-    let same = connection.exchanges.verify(&arrived, "") == Err(ResponseMismatch::DuplicateResponse);
-    same && now - connection.started_at < connection.wait * MIN_WATCH_SHARE
+impl From<Ended> for PollFailure {
+    fn from(ended: Ended) -> PollFailure {
+        match ended {
+            Ended::Closed => PollFailure { error: PollError::ConnectionClosed, meaning: Failure::Broken },
+            Ended::Failed(error) => {
+                PollFailure { meaning: failure_of(&error), error: PollError::ConnectionFailed(error) }
+            }
+        }
+    }
 }
 
-fn broken(ended: Ended) -> (CallError, Failure) {
-    match ended {
-        Ended::Closed => (CallError::ConnectionLost("closed".to_string()), Failure::Broken),
-        Ended::Failed(error) => (CallError::ConnectionLost(error.to_string()), failure(&error)),
+/// What a response says.
+fn parse_list_response(response: &Response) -> Result<EndpointList, PollFailure> {
+    match response.status {
+        STATUS_OK => EndpointList::from_slice(&response.body)
+            .map_err(|error| PollFailure::unusable(PollError::MalformedList(error))),
+        status @ 500..=599 => {
+            Err(PollFailure { error: PollError::Status(status), meaning: Failure::TurnedAway })
+        }
+        status => Err(PollFailure::unusable(PollError::Status(status))),
     }
 }
 
-impl EventLoop {
-    /// Does what the list client wants now, and holds the module to what the list is worth.
-    pub(crate) fn run_endpoint_client(&mut self) {
-        let now = self.host.now;
-        while let Some(step) = self.host.endpoint_client.due(now) {
-            match step {
-                Step::Call { call, target } => self.start_call(call, target),
-                Step::Drop { call } => self.cancel_call(call),
-            }
+/// The poll that is in flight on a connection.
+#[derive(Clone, Copy)]
+struct PollInFlight {
+    poll: u64,
+    started_at: Ms,
+    /// How long discovery may hold it.
+    wait: Ms,
+}
+
+/// A connection to discovery.
+struct DiscoveryConnection {
+    responses: ResponseStream,
+    address: SocketAddr,
+    in_flight: Option<PollInFlight>,
+    history: ExchangeHistory,
+}
+
+impl DiscoveryConnection {
+    fn new(stream: Stream, address: SocketAddr) -> DiscoveryConnection {
+        DiscoveryConnection {
+            responses: ResponseStream::new(stream),
+            address,
+            in_flight: None,
+            history: ExchangeHistory::default(),
         }
-        self.update_list_validity();
     }
 
-    /// Tells the module whether the list may be relied on. Where it may not any more, attempts of which no byte was
-    /// written are taken back.
-    pub(crate) fn update_list_validity(&mut self) {
-        let now = self.host.now;
-        let validity = self.host.endpoint_client.validity(now);
+    /// Whether a response repeats that of an earlier poll: it is the same, and arrived long before discovery would
+    /// have stopped to wait for changes.
+    fn is_repeated(&self, response: &Response, poll: PollInFlight, now: Ms) -> bool {
+        let received =
+            ReceivedResponse { status: response.status, body: &response.body, trailing: &[], names: None };
+        let same = self.history.verify(&received, "") == Err(ResponseMismatch::DuplicateResponse);
+        same && now - poll.started_at < poll.wait * MIN_WATCH_SHARE
+    }
+}
+
+/// A list that was taken in.
+pub struct ReceivedList {
+    /// The list.
+    pub list: EndpointList,
+    /// How the engine is told of it.
+    pub update: EndpointUpdate,
+    /// It came from the address that the configuration names now.
+    pub from_current_address: bool,
+}
+
+/// A change of what the list may be relied on for.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ValidityChange {
+    /// Whether it has expired.
+    pub expired: bool,
+}
+
+/// Polls the endpoint list, and knows until when the list may be relied on.
+pub struct EndpointDiscovery {
+    client: EndpointClient,
+    address: SocketAddr,
+    connections: ConnectionTable<DiscoveryConnection>,
+    /// The connection on which the last poll was answered.
+    idle_connection: Option<ConnectionKey>,
+    /// What the list was good for when it was last checked.
+    validity: Validity,
+    log: DiscoveryLog,
+}
+
+impl EndpointDiscovery {
+    /// Begins with the list of the configuration.
+    pub fn new(config: &HostConfig, now: Ms) -> EndpointDiscovery {
+        EndpointDiscovery {
+            client: config.endpoint_client(now),
+            address: config.discovery,
+            connections: ConnectionTable::default(),
+            idle_connection: None,
+            validity: Validity::Valid,
+            log: DiscoveryLog::default(),
+        }
+    }
+
+    /// The next step that is due, until there is none.
+    pub fn next_step(&mut self, now: Ms) -> Option<Step> {
+        self.client.due(now)
+    }
+
+    /// When [`EndpointDiscovery::next_step`] is to be called at the latest, and the validity to be checked.
+    pub fn wake_at(&self, now: Ms) -> Ms {
+        self.client.wakes_at(now)
+    }
+
+    /// Checks whether the list may still be relied on.
+    pub fn check_validity(&mut self, now: Ms) -> Option<ValidityChange> {
+        let validity = self.client.validity(now);
         if validity == self.validity {
-            return;
+            return None;
         }
-        let age = self.host.endpoint_client.age(now);
-        self.host.discovery_log.validity_changed(self.validity, validity, age);
+        self.log.validity_changed(self.validity, validity, self.client.age(now));
         self.validity = validity;
-        self.engine.set_endpoint_list_expired(validity == Validity::Expired);
-        if validity == Validity::Expired {
-            self.host.withdraw_all_unwritten();
-        }
+        Some(ValidityChange { expired: validity == Validity::Expired })
     }
 
-    fn start_call(&mut self, call: u64, target: Target) {
-        let (now, address) = (self.host.now, self.host.discovery);
-        let (path, wait) = (path(target), watch_wait(target));
-        let late = self.host.endpoint_client.calls_out() - 1;
-        self.host.discovery_log.called(now, call, late, address, &path);
-        let key = match self.connect_for_call(address) {
-            Ok(key) => key,
-            Err(error) => {
-                return self.on_call_failed(call, CallError::Connect(error.to_string()), failure(&error))
-            }
-        };
-        let Some(Connection::Discovery(connection)) = self.host.connections.get_mut(key) else { return };
-        (connection.call, connection.started_at, connection.wait) = (Some(call), now, wait);
-        let host = address.to_string();
-        http1::write_request_head(connection.stream.output(), "GET", &path, &[("Host", host.as_bytes())]);
-        connection.stream.output().extend_from_slice(b"\r\n");
-        self.flush_call(key);
+    /// The memory that its buffers take.
+    pub fn memory_bytes(&self) -> usize {
+        self.buffers().map(|buffers| buffers.bytes).sum()
     }
 
-    /// A connection for a call: the one on which the last call was answered, or a new one.
-    fn connect_for_call(&mut self, address: SocketAddr) -> io::Result<usize> {
-        if let Some(key) = self.take_idle_connection() {
+    /// Its buffers.
+    pub fn buffers(&self) -> impl Iterator<Item = BufferUse> + '_ {
+        self.connections.iter().map(|(key, connection)| BufferUse {
+            owner: BufferOwner::Upstream,
+            bytes: connection.responses.memory_bytes(),
+            key,
+        })
+    }
+
+    /// The memory that a connection's buffers take.
+    pub fn memory_of(&self, key: ConnectionKey) -> usize {
+        self.connections.get(key).map_or(0, |connection| connection.responses.memory_bytes())
+    }
+
+    /// Notes that a poll starts. [`EndpointDiscovery::open_connection`] and then [`EndpointDiscovery::send_poll`] are
+    /// next.
+    pub fn begin_poll(&mut self, now: Ms, poll: u64, target: Target) {
+        let late = self.client.calls_out() - 1;
+        self.log.poll_started(now, poll, late, self.address, &poll_path(target));
+    }
+
+    /// A connection for a poll: the one on which the last poll was answered, or a new one.
+    pub fn open_connection(&mut self, reactor: &mut Reactor) -> io::Result<ConnectionKey> {
+        if let Some(key) = self.take_idle_connection(reactor) {
             return Ok(key);
         }
-        let connect = |host: &mut host::Host| {
-            host.register_connection(|poll, key| {
-                Ok(Connection::Discovery(DiscoveryConnection {
-                    stream: Stream::connect(poll, address, key)?,
-                    answers: ResponseReader::default(),
-                    address,
-                    call: None,
-                    started_at: 0.0,
-                    wait: 0.0,
-                    exchanges: ExchangeHistory::default(),
-                }))
-            })
-        };
-        match connect(&mut self.host) {
-            Err(error) if out_of_descriptors(&error) && self.host.evict_client(|_| true) => {
-                connect(&mut self.host)
-            }
-            connected => connected,
-        }
+        let address = self.address;
+        let (key, stream) =
+            reactor.register(ConnectionKind::Discovery, |poll, key| Stream::connect(poll, address, key))?;
+        self.connections.insert(key, DiscoveryConnection::new(stream, address));
+        Ok(key)
     }
 
-    /// The connection on which the last call was answered, where nothing came on it since.
-    fn take_idle_connection(&mut self) -> Option<usize> {
-        let key = self.host.idle_connection.take()?;
-        let Some(Connection::Discovery(connection)) = self.host.connections.get_mut(key) else { return None };
-        if matches!(connection.stream.fill_to(1), Ok(false)) && connection.stream.input().is_empty() {
+    /// The connection on which the last poll was answered, where nothing has arrived on it since.
+    fn take_idle_connection(&mut self, reactor: &mut Reactor) -> Option<ConnectionKey> {
+        let key = self.idle_connection.take()?;
+        if self.connections.get_mut(key)?.responses.is_quiet() {
             return Some(key);
         }
-        self.host.connections.try_remove(key);
+        self.close(reactor, key);
         None
     }
 
-    fn cancel_call(&mut self, call: u64) {
-        let of_call = |peer: &Connection| matches!(peer, Connection::Discovery(c) if c.call == Some(call));
-        let key = self.host.connections.iter().find(|(_, peer)| of_call(peer)).map(|(key, _)| key);
-        if let Some(key) = key {
-            self.host.connections.try_remove(key);
-            self.host.discovery_log.dropped(self.host.now, call);
-        }
+    /// Sends a poll on the connection that was opened for it.
+    pub fn send_poll(
+        &mut self,
+        reactor: &mut Reactor,
+        poll: u64,
+        target: Target,
+        connection: io::Result<ConnectionKey>,
+    ) {
+        let key = match connection {
+            Ok(key) => key,
+            Err(error) => {
+                let meaning = failure_of(&error);
+                let failure = PollFailure { error: PollError::Connect(error), meaning };
+                return self.on_poll_failed(reactor.now(), poll, &failure);
+            }
+        };
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        let (started_at, wait) = (reactor.now(), poll_wait(target));
+        connection.in_flight = Some(PollInFlight { poll, started_at, wait });
+        let host = self.address.to_string();
+        let output = connection.responses.stream_mut().output();
+        http1::write_request_head(output, "GET", &poll_path(target), &[("Host", host.as_bytes())]);
+        output.extend_from_slice(b"\r\n");
+        self.on_writable(reactor, key);
     }
 
-    /// Writes what a call still has to write, and notes when its connection stands.
-    pub(crate) fn flush_call(&mut self, key: usize) {
-        let now = self.host.now;
-        let Some(Connection::Discovery(connection)) = self.host.connections.get_mut(key) else { return };
-        let connecting = connection.stream.connecting();
-        if let Err(ended) = connection.stream.flush() {
-            let (why, failure) = broken(ended);
-            return self.fail_call(key, why, failure);
-        }
-        let Some(call) = connection.call.filter(|_| !connection.stream.connecting()) else { return };
-        if connecting {
-            self.host.discovery_log.connected(call, connection.address, now - connection.started_at);
+    /// Ends a poll whose answer is not wanted any more.
+    pub fn cancel_poll(&mut self, reactor: &mut Reactor, poll: u64) {
+        let carries = |connection: &DiscoveryConnection| {
+            connection.in_flight.is_some_and(|in_flight| in_flight.poll == poll)
+        };
+        let found = self.connections.iter().find(|(_, connection)| carries(connection));
+        if let Some(key) = found.map(|(key, _)| key) {
+            self.close(reactor, key);
+            self.log.poll_cancelled(reactor.now(), poll);
         }
-        self.host.endpoint_client.connected(call);
     }
 
-    /// The connection of a call is of no more use.
-    pub(crate) fn fail_call(&mut self, key: usize, why: CallError, failure: Failure) {
-        if self.host.idle_connection == Some(key) {
-            self.host.idle_connection = None;
+    /// Writes what a poll still has to write, and notes when its connection is established.
+    pub fn on_writable(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        let was_connecting = connection.responses.stream().connecting();
+        if let Err(ended) = connection.responses.stream_mut().flush() {
+            return self.fail(reactor, key, &ended.into());
         }
-        let Some(Connection::Discovery(connection)) = self.host.connections.try_remove(key) else { return };
-        if let Some(call) = connection.call {
-            self.on_call_failed(call, why, failure);
+        let is_connecting = connection.responses.stream().connecting();
+        let Some(in_flight) = connection.in_flight.filter(|_| !is_connecting) else { return };
+        if was_connecting {
+            let elapsed = reactor.now() - in_flight.started_at;
+            self.log.connected(in_flight.poll, connection.address, elapsed);
         }
+        self.client.connected(in_flight.poll);
     }
 
-    fn on_call_failed(&mut self, call: u64, why: CallError, failure: Failure) {
-        let (now, client) = (self.host.now, &mut self.host.endpoint_client);
-        let present = client.is_present(call);
-        client.failed(now, call, failure);
-        self.log_call_failure(call, present, &why);
-    }
-
-    /// Tells of a call that ended without a list; `present`: it went to the address that is labels now.
-    fn log_call_failure(&mut self, call: u64, present: bool, why: &CallError) {
-        let now = self.host.now;
-        if !present {
-            return self.host.discovery_log.former_ended(now, call, why);
+    /// Reads what discovery has sent; a list, if one was taken in.
+    pub fn on_readable(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<ReceivedList> {
+        let connection = self.connections.get_mut(key)?;
+        if connection.responses.stream().connecting() {
+            self.on_writable(reactor, key);
+            return None;
+        }
+        let received = connection.responses.receive();
+        match self.check_response(reactor.now(), key, received) {
+            Ok(None) => None,
+            Ok(Some(answer)) => self.on_list(reactor, key, answer),
+            Err(failure) => {
+                self.fail(reactor, key, &failure);
+                None
+            }
         }
-        self.host.counts.endpoint_list_poll_failures += 1;
-        let next_in = self.host.endpoint_client.next_call_at() - now;
-        self.host.discovery_log.failed(now, call, why, next_in);
     }
 
-    pub(crate) fn read_call(&mut self, key: usize) {
-        let now = self.host.now;
-        let Some(Connection::Discovery(connection)) = self.host.connections.get_mut(key) else { return };
-        if connection.stream.connecting() {
-            return self.flush_call(key);
-        }
-        let next = read_response(&mut connection.stream, &mut connection.answers);
-        // A part of an answer shows that there is somebody who writes answers.
-        let begun = connection.answers.in_progress() || !connection.stream.input().is_empty();
-        let CompleteResponse { answer, last, .. } = match next {
-            Ok(Some(next)) => next,
-            Ok(None) => return,
-            Err(AttemptEnd::MalformedResponse) => {
-                return self.fail_call(key, CallError::MalformedResponse, Failure::Unusable)
+    /// Checks what was received on a connection.
+    fn check_response(
+        &mut self,
+        now: Ms,
+        key: ConnectionKey,
+        received: Result<Option<CompleteResponse>, ReceiveError>,
+    ) -> Result<Option<PollAnswer>, PollFailure> {
+        let Some(connection) = self.connections.get_mut(key) else { return Ok(None) };
+        let CompleteResponse { response, last, .. } = match received {
+            Ok(Some(complete)) => complete,
+            Ok(None) => return Ok(None),
+            Err(ReceiveError::Malformed(_)) => {
+                return Err(PollFailure::unusable(PollError::MalformedResponse));
             }
-            Err(_) => {
-                let failure = if begun { Failure::Unusable } else { Failure::Broken };
-                return self.fail_call(key, CallError::ConnectionLost("closed".to_string()), failure);
+            Err(ReceiveError::ConnectionLost) => {
+                // A part of a response shows that there is somebody who writes responses.
+                let partial = connection.responses.has_partial_response();
+                let meaning = if partial { Failure::Unusable } else { Failure::Broken };
+                return Err(PollFailure { error: PollError::ConnectionClosed, meaning });
             }
         };
-        if connection.call.is_none() {
-            return self.fail_call(key, CallError::MalformedResponse, Failure::Unusable);
-        }
-        if is_copy(connection, &answer, now) {
-            return self.fail_call(key, CallError::MalformedResponse, Failure::Unusable);
-        }
-        let (status, body) = (answer.status, &answer.body[..]);
-        connection.exchanges.record(now, &ReceivedResponse { status, body, trailing: &[], names: None });
-        match parse_list_response(&answer) {
-            Ok(listing) => self.on_list(key, listing, last),
-            Err((why, failure)) => self.fail_call(key, why, failure),
+        let Some(poll) = connection.in_flight else {
+            return Err(PollFailure::unusable(PollError::MalformedResponse));
+        };
+        if connection.is_repeated(&response, poll, now) {
+            return Err(PollFailure::unusable(PollError::MalformedResponse));
         }
+        let received =
+            ReceivedResponse { status: response.status, body: &response.body, trailing: &[], names: None };
+        connection.history.record(now, &received);
+        let list = parse_list_response(&response)?;
+        connection.in_flight = None;
+        Ok(Some(PollAnswer { poll, list, last }))
     }
 
-    fn on_list(&mut self, key: usize, listing: EndpointList, last: bool) {
-        let now = self.host.now;
-        let Some(Connection::Discovery(connection)) = self.host.connections.get_mut(key) else { return };
-        let Some(call) = connection.call.take() else { return };
-        let took = now - connection.started_at;
-        let present = self.host.endpoint_client.is_present(call);
-        let (generation, lines) = (listing.generation, listing.lines.len());
-        let head = Answered { generation, whole: listing.whole, lines };
-        let verdict = self.host.endpoint_client.answered(now, call, head);
-        if present && !last && verdict != Verdict::Gap && self.host.idle_connection.is_none() {
-            self.host.idle_connection = Some(key);
+    /// A poll was answered with a list.
+    fn on_list(
+        &mut self,
+        reactor: &mut Reactor,
+        key: ConnectionKey,
+        answer: PollAnswer,
+    ) -> Option<ReceivedList> {
+        let (now, PollAnswer { poll: PollInFlight { poll, started_at, .. }, list, last }) =
+            (reactor.now(), answer);
+        let from_current_address = self.client.is_present(poll);
+        let (generation, records) = (list.generation, list.records.len());
+        let head = Answered { generation, whole: list.complete, lines: records };
+        let verdict = self.client.answered(now, poll, head);
+        let reusable = from_current_address && !last && verdict != Verdict::Gap;
+        if reusable && self.idle_connection.is_none() {
+            self.idle_connection = Some(key);
         } else {
-            self.host.connections.try_remove(key);
+            self.close(reactor, key);
         }
-        let Verdict::Take(news) = verdict else {
-            let why = if verdict == Verdict::Gap { CallError::Gap } else { CallError::Outdated };
-            return self.log_call_failure(call, present, &why);
+        let update = match verdict {
+            Verdict::Take(update) => update,
+            Verdict::Gap => {
+                self.log_failure(now, poll, from_current_address, &PollError::GenerationGap);
+                return None;
+            }
+            _ => {
+                self.log_failure(now, poll, from_current_address, &PollError::Outdated);
+                return None;
+            }
         };
-        self.host.discovery_log.answered(now, call, present, generation, lines, took);
-        self.apply_list(&listing, news);
-        if present {
-            self.ready_at = self.ready_at.min(now);
+        let elapsed = now - started_at;
+        if from_current_address {
+            self.log.list_received(now, poll, generation, records, elapsed);
+        } else {
+            self.log.former_list_received(now, poll, generation, records, elapsed);
         }
-        // A watch goes on as long as the next call comes soon after the last answer.
-        self.run_endpoint_client();
+        Some(ReceivedList { list, update, from_current_address })
     }
 
-    /// Tells the engine what a discovery config.
-    fn apply_list(&mut self, listing: &EndpointList, news: EndpointUpdate) {
-        self.host.counts.endpoint_lists_applied += 1;
-        let entries = self.host.listed(listing, unix_time());
-        self.engine.on_endpoint_update(self.host.now, news, &entries);
+    /// Closes a connection whose buffers take too much memory.
+    pub fn close_over_memory(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
+        self.fail(reactor, key, &PollFailure::unusable(PollError::TooLarge));
     }
 
-    /// The operator replaced the file and said so.
-    pub(crate) fn on_reload_signal(&mut self) {
-        self.reload.announced();
-        self.reload_config();
+    /// A connection is of no more use.
+    fn fail(&mut self, reactor: &mut Reactor, key: ConnectionKey, failure: &PollFailure) {
+        if self.idle_connection == Some(key) {
+            self.idle_connection = None;
+        }
+        let Some(connection) = self.close(reactor, key) else { return };
+        if let Some(in_flight) = connection.in_flight {
+            self.on_poll_failed(reactor.now(), in_flight.poll, failure);
+        }
     }
 
-    /// Reads the file: discovery's address may be another. A file that is no good changes nothing, and is read again
-    /// until it is good: it may have been met half written, and the operator will not announce it twice.
-    pub(crate) fn reload_config(&mut self) {
-        let now = self.host.now;
-        let config = match config::read(&self.path) {
-            Ok(config) => config,
-            Err(why) => return self.reload_refused(now, &why),
-        };
-        self.reload.done();
-        let late = config::changed_settings(&self.fixed, &config.fixed);
-        if !late.is_empty() {
-            tracing::warn!(settings = late.join(", "), "changed_settings_need_restart");
+    fn on_poll_failed(&mut self, now: Ms, poll: u64, failure: &PollFailure) {
+        let from_current_address = self.client.is_present(poll);
+        self.client.failed(now, poll, failure.meaning);
+        self.log_failure(now, poll, from_current_address, &failure.error);
+    }
+
+    fn log_failure(&mut self, now: Ms, poll: u64, from_current_address: bool, error: &PollError) {
+        if !from_current_address {
+            return self.log.former_poll_failed(now, poll, error);
         }
-        let (before, after) = (self.host.discovery, config.discovery);
-        if after == before {
-            self.host.discovery_log.reloaded(ReloadResult::Unchanged);
-            return tracing::info!(discovery = %after, "config_reloaded_unchanged");
+        let next_in = self.client.next_call_at() - now;
+        self.log.poll_failed(now, poll, error, next_in);
+    }
+
+    fn close(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<DiscoveryConnection> {
+        let connection = self.connections.remove(key)?;
+        reactor.release(key);
+        Some(connection)
+    }
+
+    /// The configuration file was read again. Where it names another address, that is polled at once.
+    pub fn on_config_reloaded(&mut self, reactor: &mut Reactor, address: SocketAddr) -> ReloadResult {
+        let former = self.address;
+        if address == former {
+            self.log.reloaded(ReloadResult::Unchanged);
+            tracing::info!(discovery = %address, "config_reloaded_unchanged");
+            return ReloadResult::Unchanged;
         }
-        self.host.discovery_log.reloaded(ReloadResult::Taken);
+        self.log.reloaded(ReloadResult::AddressChanged);
         tracing::info!(
-            %before, %after, generation = self.host.endpoint_client.generation(),
-            polls_in_flight = self.host.endpoint_client.calls_out(), "discovery_address_changed"
+            %former, %address, generation = self.client.generation(),
+            polls_in_flight = self.client.calls_out(), "discovery_address_changed"
         );
-        if let Some(key) = self.host.idle_connection.take() {
-            self.host.connections.try_remove(key);
+        if let Some(key) = self.idle_connection.take() {
+            self.close(reactor, key);
         }
-        self.host.discovery = after;
-        self.host.endpoint_client.reloaded(now);
-        self.run_endpoint_client();
+        self.address = address;
+        self.client.reloaded(reactor.now());
+        ReloadResult::AddressChanged
     }
 
-    fn reload_refused(&mut self, now: Ms, why: &str) {
-        if self.reload.refused(now) {
-            self.host.endpoint_client.reload_refused(now);
+    /// The configuration file could not be used. `first`: since its reload was requested.
+    pub fn on_reload_failed(&mut self, now: Ms, error: &ConfigError, first: bool, retry_in: Option<Ms>) {
+        if first {
+            self.client.reload_refused(now);
         }
-        let retry_in = self.reload.retry_at().map(|at| at - now);
-        self.host.discovery_log.reload_refused(now, why, self.host.discovery, retry_in);
+        self.log.reload_failed(now, error, self.address, retry_in);
     }
-}
 
-/// The list that an answer brings.
-fn parse_list_response(answer: &http1::Response) -> Result<EndpointList, (CallError, Failure)> {
-    match answer.status {
-        200 => endpoint_list::parsed(&answer.body)
-            .map_err(|why| (CallError::MalformedList(why), Failure::Unusable)),
-        status @ 500..=599 => Err((CallError::Status(status), Failure::TurnedAway)),
-        status => Err((CallError::Status(status), Failure::Unusable)),
+    /// Reports its state and counters.
+    pub fn log_metrics(&self, now: Ms) {
+        tracing::info!(
+            address = %self.address, generation = self.client.generation(), validity = ?self.validity,
+            age_ms = self.client.age(now).round(),
+            next_poll_in_ms = (self.client.next_call_at() - now).round(),
+            polls_in_flight = self.client.calls_out(),
+            former_polls_in_flight = self.client.former_calls_out(),
+            counts = ?self.log.counts(), "discovery_metrics_reported"
+        );
     }
 }
+
+/// A list that answers a poll.
+struct PollAnswer {
+    poll: PollInFlight,
+    list: EndpointList,
+    /// The connection cannot carry another poll.
+    last: bool,
+}
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,49 +1,46 @@
-//! The endpoint list as discovery tells it, and how discovery is to be asked; free of I/O.
+//! The endpoint list in discovery's format, and how discovery is polled; free of I/O.
 
 use magpiewick::{EndpointState, FreshnessRules, Ms, Pace};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// How long a watch may wait at discovery. What a silent discovery has to tell counts as config 2 s after the wait
-/// ends, so the host must notice within that; an answer without changes has no lines and costs next to nothing.
+/// How long discovery may hold a poll while nothing changes. What a silent discovery has to say binds this host 2 s
+/// after that, so it must notice within that time.
 const WATCH_WAIT_MS: Ms = 2000.0;
-/// How long over its wait a watch may take before another call is made beside it, and how long the first call after a
-/// failure may: a discovery with many callers answers what stands in its line for up to 2 s, and of two calls of one
-/// host it was seen to turn away both (of 60 hosts that gave up after 1.4 s, 1.5 a second were answered, of those that
-/// did not 13).
+/// How long over its wait a poll may take before another one is made beside it, and how long the first one after a
+/// failure may: a discovery with many callers queues them for up to 2 s, and giving up loses the place in that queue.
 const WATCH_LATE_MS: Ms = 900.0;
-const FIRST_CALL_LATE_MS: Ms = 2000.0;
-/// How long the first call after a failure waits: it tells soon whether it was heard. Not at once: a discovery that has
-/// other callers turns away who would not wait for them (28 of 30 hosts that started together, 24 times each).
-const FIRST_CALL_WAIT_MS: Ms = 500.0;
-/// Calls that may be out at once. With each late one a further one is begun, so that answers that take almost as long
-/// as a change takes to count as config are not given up.
-const MAX_CALLS: usize = 3;
-/// Where endpoint_lists_applied are pushed, the parts of the time left after a drain was config in which a watch waits and is late.
+const FIRST_POLL_LATE_MS: Ms = 2000.0;
+/// How long the first poll after a failure waits: it shows soon that discovery answers. A busy discovery rejects
+/// callers that would not wait at all.
+const FIRST_POLL_WAIT_MS: Ms = 500.0;
+/// How many polls may be in flight at once, so that answers that are almost too late are not given up.
+const MAX_POLLS: usize = 3;
+/// Where lists are pushed: the shares of the drain grace that a poll waits and may be late.
 const PUSHED_WAIT_SHARE: f64 = 0.4;
 const PUSHED_LATE_SHARE: f64 = 0.25;
-/// A host of pushed endpoint_lists_applied is never given less time than this, whatever its settings say.
+/// The least drain grace, whatever the settings say.
 const MIN_DRAIN_GRACE_MS: Ms = 100.0;
-/// A change counts as config so long after discovery had it, and so long after SIGHUP, whatever fails.
+/// How long after discovery had a change it binds this host, and how long after a reload, whatever fails.
 const BINDING_DELAY_MS: Ms = 6000.0;
 const BINDING_DELAY_AFTER_RELOAD_MS: Ms = 4000.0;
-/// How old the list may be that a process remembers: the one before it heard discovery some time before it ended, and
-/// it took some time to start anew.
+/// How old the list may be that a process starts with.
 const CACHED_LIST_AGE_MS: Ms = 3000.0;
-/// A process may stand still for so long between reading its clock and writing.
+/// How long the process may be stalled between reading its clock and writing.
 const MAX_PROCESS_STALL_MS: Ms = 150.0;
+/// The longest id of an endpoint.
+const MAX_ID_BYTES: usize = 128;
 
-/// How calls to discovery are paced: `max_poll_interval`, how long the host may go without asking, where endpoint_lists_applied are asked
-/// for; `pushed`, for how long a node may still be sent to after its drain was config, where they are pushed. There the
-/// host's own agent tells the list, and what it has counts as config whether or not it was read: a watch that broke
-/// unnoticed must be over, and made anew, before that time is. Guards against agents that fall silent, and that were
-/// and are back; it costs a call without lines every so often, to the host's own machine. Where endpoint_lists_applied are asked for, a
-/// call is a load on the one service of all hosts, and its news count when they are written.
-pub fn pace(max_poll_interval: Option<Ms>, pushed: Option<Ms>) -> Pace {
+/// How discovery is polled. `max_poll_interval`: how long the host may go without polling, where it has to;
+/// `drain_grace`: for how long an endpoint may still be sent requests after its drain was announced, where lists are
+/// pushed. There the host's own agent answers the polls, and a change binds whether or not it was read, so a broken
+/// poll must be noticed and made again within that grace.
+pub fn pace(max_poll_interval: Option<Ms>, drain_grace: Option<Ms>) -> Pace {
     let Some(max_poll_interval) = max_poll_interval else {
-        let grace = pushed.unwrap_or(0.0).max(MIN_DRAIN_GRACE_MS);
+        let grace = drain_grace.unwrap_or(0.0).max(MIN_DRAIN_GRACE_MS);
         return Pace {
             wait: (PUSHED_WAIT_SHARE * grace).min(WATCH_WAIT_MS).floor(),
             first_wait: 0.0,
@@ -55,28 +52,27 @@
     };
     Pace {
         wait: WATCH_WAIT_MS,
-        first_wait: FIRST_CALL_WAIT_MS,
+        first_wait: FIRST_POLL_WAIT_MS,
         late: WATCH_LATE_MS,
-        first_late: FIRST_CALL_LATE_MS,
-        most_calls: MAX_CALLS,
+        first_late: FIRST_POLL_LATE_MS,
+        most_calls: MAX_POLLS,
         max_poll_interval,
     }
 }
 
-/// As of when a list that a process starts with counts as complete. What an agent has counts as config from the first
-/// moment of a process.
+/// As of when a list that a process starts with counts as complete. Where lists are pushed, what the agent has binds
+/// from the first moment of a process.
 pub fn cached_list_as_of(now: Ms, pushed: bool) -> Ms {
-    if pushed {
-        f64::NEG_INFINITY
-    } else {
-        now - CACHED_LIST_AGE_MS
+    match pushed {
+        true => f64::NEG_INFINITY,
+        false => now - CACHED_LIST_AGE_MS,
     }
 }
 
-/// When a change counts as config that the host has not heard of.
-pub fn freshness_rules(pushed: Option<Ms>) -> FreshnessRules {
-    match pushed {
-        // It counts at once, and the time left after it covers a process that stands still.
+/// When a change binds this host although it has not received it. `drain_grace`: set where lists are pushed.
+pub fn freshness_rules(drain_grace: Option<Ms>) -> FreshnessRules {
+    match drain_grace {
+        // It binds at once, and the grace covers a stall of the process.
         Some(grace) => FreshnessRules {
             binds_after: grace.max(MIN_DRAIN_GRACE_MS),
             binds_after_reload: BINDING_DELAY_AFTER_RELOAD_MS,
@@ -92,36 +88,92 @@
     }
 }
 
-/// A line of the list.
+/// Why a body is no endpoint list.
+#[derive(Debug, Error)]
+pub enum ListError {
+    /// It is no JSON of this shape.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// An endpoint's lifecycle is unknown.
+    #[error("{id}: impossible lifecycle {lifecycle:?}")]
+    UnknownLifecycle {
+        /// The endpoint.
+        id: String,
+        /// What it says.
+        lifecycle: String,
+    },
+    /// An endpoint's id is empty or too long.
+    #[error("an instanceId that is none")]
+    InvalidId,
+    /// An endpoint's address cannot be read.
+    #[error("{id}: {text:?} is no address")]
+    InvalidAddress {
+        /// The endpoint.
+        id: String,
+        /// What it says.
+        text: String,
+    },
+    /// An endpoint lacks a field.
+    #[error("{id}: {field} is missing")]
+    MissingField {
+        /// The endpoint.
+        id: String,
+        /// The field.
+        field: &'static str,
+    },
+    /// An endpoint's start lies outside any calendar.
+    #[error("{id}: impossible startedAtMs {at}")]
+    ImpossibleStart {
+        /// The endpoint.
+        id: String,
+        /// What it says.
+        at: f64,
+    },
+    /// A complete list names an endpoint more than once.
+    #[error("a node is listed twice")]
+    DuplicateEndpoint,
+}
+
+/// A record of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
+    /// The endpoint's id.
     pub id: String,
+    /// Its address; none where it was removed.
     pub address: Option<SocketAddr>,
+    /// The name of its zone.
     pub zone: String,
+    /// The shard that it serves.
     pub shard: usize,
+    /// Its state.
     pub state: EndpointState,
-    /// Unix time in milliseconds; none: long ago.
-    pub started: Option<u64>,
+    /// When it started, in Unix milliseconds; none: long ago.
+    pub started_unix: Option<u64>,
 }
 
-/// An answer of discovery.
+/// An endpoint list, or the changes since an earlier one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
+    /// The number of its state.
     pub generation: u64,
-    pub whole: bool,
-    pub lines: Vec<EndpointRecord>,
+    /// Whether it is complete; if not, it names what has changed.
+    pub complete: bool,
+    /// Its records, in the order of their ids.
+    pub records: Vec<EndpointRecord>,
 }
 
+/// The list in discovery's format.
 #[derive(Deserialize)]
-struct HostConfig {
+struct ListDocument {
     generation: u64,
     reset: bool,
-    instances: Vec<Instance>,
+    instances: Vec<InstanceDocument>,
 }
 
+/// An endpoint in discovery's format.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Instance {
+struct InstanceDocument {
     instance_id: String,
     #[serde(default)]
     host_port: Option<String>,
@@ -134,62 +186,69 @@
     started_at_ms: Option<f64>,
 }
 
-/// The most bytes that a node's id may have; a real one has a few.
-const MAX_ID_BYTES: usize = 128;
+impl TryFrom<InstanceDocument> for EndpointRecord {
+    type Error = ListError;
 
-fn line(i: Instance) -> Result<EndpointRecord, String> {
-    let state = match i.lifecycle.as_str() {
-        "SERVING" => EndpointState::Ready,
-        "DRAINING" => EndpointState::Draining,
-        "DELETED" => EndpointState::Removed,
-        other => return Err(format!("{}: impossible lifecycle {other:?}", i.instance_id)),
-    };
-    if i.instance_id.is_empty() || i.instance_id.len() > MAX_ID_BYTES {
-        return Err("an instanceId that is none".to_string());
-    }
-    let gone = state == EndpointState::Removed;
-    let address = match &i.host_port {
-        Some(text) => match text.parse() {
-            Ok(address) => Some(address),
-            Err(_) if gone => None,
-            Err(_) => return Err(format!("{}: {text:?} is no address", i.instance_id)),
-        },
-        None if gone => None,
-        None => return Err(format!("{}: hostPort is missing", i.instance_id)),
-    };
-    let shard = match i.cell {
-        Some(cell) => usize::from(cell),
-        None if gone => 0,
-        None => return Err(format!("{}: cell is missing", i.instance_id)),
-    };
-    let started = match i.started_at_ms {
-        Some(at) if !(0.0..1e15).contains(&at) => {
-            return Err(format!("{}: impossible startedAtMs {at}", i.instance_id))
+    fn try_from(instance: InstanceDocument) -> Result<EndpointRecord, ListError> {
+        let id = instance.instance_id;
+        let state = match instance.lifecycle.as_str() {
+            "SERVING" => EndpointState::Ready,
+            "DRAINING" => EndpointState::Draining,
+            "DELETED" => EndpointState::Removed,
+            _ => return Err(ListError::UnknownLifecycle { id, lifecycle: instance.lifecycle }),
+        };
+        if id.is_empty() || id.len() > MAX_ID_BYTES {
+            return Err(ListError::InvalidId);
         }
-        at => at.map(|at| at as u64).filter(|at| *at > 0),
-    };
-    Ok(EndpointRecord { id: i.instance_id, address, zone: i.zone, shard, state, started })
+        let removed = state == EndpointState::Removed;
+        let address = match instance.host_port {
+            Some(text) => match text.parse() {
+                Ok(address) => Some(address),
+                Err(_) if removed => None,
+                Err(_) => return Err(ListError::InvalidAddress { id, text }),
+            },
+            None if removed => None,
+            None => return Err(ListError::MissingField { id, field: "hostPort" }),
+        };
+        let shard = match instance.cell {
+            Some(cell) => usize::from(cell),
+            None if removed => 0,
+            None => return Err(ListError::MissingField { id, field: "cell" }),
+        };
+        let started_unix = match instance.started_at_ms {
+            Some(at) if !(0.0..1e15).contains(&at) => return Err(ListError::ImpossibleStart { id, at }),
+            at => at.map(|at| at as u64).filter(|at| *at > 0),
+        };
+        Ok(EndpointRecord { id, address, zone: instance.zone, shard, state, started_unix })
+    }
 }
 
-/// Reads an answer; one line that cannot be read fails it whole.
-pub fn listing(value: &Value) -> Result<EndpointList, String> {
-    let config = HostConfig::deserialize(value).map_err(|e| e.to_string())?;
-    let mut lines: BTreeMap<String, EndpointRecord> = BTreeMap::new();
-    for instance in config.instances {
-        let line = line(instance)?;
-        if lines.insert(line.id.clone(), line).is_some_and(|_| config.reset) {
-            return Err("a node is listed twice".to_string());
+impl TryFrom<ListDocument> for EndpointList {
+    type Error = ListError;
+
+    fn try_from(document: ListDocument) -> Result<EndpointList, ListError> {
+        let (generation, complete) = (document.generation, document.reset);
+        let mut records: BTreeMap<String, EndpointRecord> = BTreeMap::new();
+        for instance in document.instances {
+            let record = EndpointRecord::try_from(instance)?;
+            if records.insert(record.id.clone(), record).is_some() && complete {
+                return Err(ListError::DuplicateEndpoint);
+            }
         }
+        Ok(EndpointList { generation, complete, records: records.into_values().collect() })
     }
-    Ok(EndpointList {
-        generation: config.generation,
-        whole: config.reset,
-        lines: lines.into_values().collect(),
-    })
 }
 
-pub fn parsed(body: &[u8]) -> Result<EndpointList, String> {
-    listing(&serde_json::from_slice(body).map_err(|e| e.to_string())?)
+impl EndpointList {
+    /// Reads a list; one record that cannot be read fails it as a whole.
+    pub fn from_json(value: &Value) -> Result<EndpointList, ListError> {
+        ListDocument::deserialize(value)?.try_into()
+    }
+
+    /// The same, from text.
+    pub fn from_slice(body: &[u8]) -> Result<EndpointList, ListError> {
+        EndpointList::from_json(&serde_json::from_slice(body)?)
+    }
 }
 
 #[cfg(test)]
--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -1,26 +1,31 @@
 use super::*;
 
-fn one(instance: &str) -> Result<EndpointList, String> {
-    parsed(format!(r#"{{"generation":4,"reset":true,"instances":[{instance}]}}"#).as_bytes())
+fn one(instance: &str) -> Result<EndpointList, ListError> {
+    EndpointList::from_slice(
+        format!(r#"{{"generation":4,"reset":true,"instances":[{instance}]}}"#).as_bytes(),
+    )
 }
 
 const GOOD: &str = r#"{"instanceId":"s-1","hostPort":"127.0.0.1:9000","zone":"a","machineType":"m2","cell":3,
     "lifecycle":"SERVING","weight":1.0,"startedAtMs":1700000000000}"#;
 
 #[test]
-fn a_list_is_read_whole() {
-    let listing = one(GOOD).unwrap();
-    assert_eq!((listing.generation, listing.whole), (4, true));
-    let line = &listing.lines[0];
-    assert_eq!((line.id.as_str(), line.shard, line.state), ("s-1", 3, EndpointState::Ready));
-    assert_eq!((line.started, line.address), (Some(1_700_000_000_000), "127.0.0.1:9000".parse().ok()));
-    assert_eq!(one(&GOOD.replace("1700000000000", "0")).unwrap().lines[0].started, None);
+fn a_list_is_read_completely() {
+    let list = one(GOOD).unwrap();
+    assert_eq!((list.generation, list.complete), (4, true));
+    let record = &list.records[0];
+    assert_eq!((record.id.as_str(), record.shard, record.state), ("s-1", 3, EndpointState::Ready));
+    assert_eq!(
+        (record.started_unix, record.address),
+        (Some(1_700_000_000_000), "127.0.0.1:9000".parse().ok())
+    );
+    assert_eq!(one(&GOOD.replace("1700000000000", "0")).unwrap().records[0].started_unix, None);
     let gone = one(r#"{"instanceId":"s-1","lifecycle":"DELETED"}"#).unwrap();
-    assert_eq!(gone.lines[0].state, EndpointState::Removed);
+    assert_eq!(gone.records[0].state, EndpointState::Removed);
 }
 
 #[test]
-fn one_line_that_cannot_be_read_fails_the_list() {
+fn one_record_that_cannot_be_read_fails_the_list() {
     for (from, to) in [
         ("127.0.0.1:9000", "nowhere"),
         ("\"cell\":3,", ""),
@@ -35,15 +40,15 @@
     }
     assert!(one(&format!("{GOOD},{GOOD}")).is_err(), "a node twice");
     for bytes in ["", "[]", "{}", "{\"generation\":1}", "\u{1}", "{\"generation\":-1}"] {
-        assert!(parsed(bytes.as_bytes()).is_err(), "{bytes:?}");
+        assert!(EndpointList::from_slice(bytes.as_bytes()).is_err(), "{bytes:?}");
     }
 }
 
 #[test]
-fn a_silent_watch_of_pushed_lists_is_found_out_within_the_time_that_a_drain_leaves() {
+fn a_silent_poll_of_pushed_lists_is_noticed_within_the_drain_grace() {
     for grace in [0.0, 100.0, 250.0, 500.0, 1000.0, 60_000.0] {
         let (pace, rules) = (pace(None, Some(grace)), freshness_rules(Some(grace)));
-        // It falls silent at once, is found out, and the call after it is answered.
+        // It falls silent at once, is noticed, and the poll after it is answered.
         let found = pace.wait + pace.late;
         assert!(found + pace.first_wait + pace.late <= 0.9 * rules.binds_after, "{grace}: {pace:?}");
         assert!(rules.binds_after >= 100.0 && pace.wait >= 1.0);
@@ -51,8 +56,8 @@
 }
 
 #[test]
-fn a_silent_watch_of_asked_lists_is_found_out_and_made_good_before_a_change_binds() {
+fn a_silent_poll_is_noticed_and_repeated_before_a_change_binds() {
     let (pace, rules) = (pace(Some(10_000.0), None), freshness_rules(None));
-    let made_good = pace.wait + pace.late + pace.first_wait + pace.first_late;
-    assert!(made_good <= rules.binds_after - rules.stall, "{made_good} ms");
+    let repeated = pace.wait + pace.late + pace.first_wait + pace.first_late;
+    assert!(repeated <= rules.binds_after - rules.stall, "{repeated} ms");
 }
--- /dev/null
+++ b/crates/platform/src/event_loop.rs
@@ -0,0 +1,438 @@
+//! The event loop: waits for events and passes each to the owner of the state that it concerns.
+
+use crate::attempt_end::AttemptEnd;
+use crate::client_pool::DisconnectCheck;
+use crate::config::HostConfig;
+use crate::discovery_log::ReloadResult;
+use crate::endpoint_discovery::{EndpointDiscovery, ReceivedList};
+use crate::listener::{Accepted, Listener};
+use crate::proxy::{ClientEvent, Proxy};
+use crate::reactor::{ConnectionKey, ConnectionKind, Reactor, Source, Timer};
+use crate::reload::{ConfigReload, ReloadEvent};
+use crate::request_log::ClientCloseReason;
+use crate::signals::SignalSource;
+use magpiewick::{EndpointUpdate, Ms, Step, Target};
+use magpiewick_engine::Engine;
+use magpiewick_transport::{out_of_descriptors, Clock, Poll, Woken};
+use std::io;
+use std::path::Path;
+
+const LISTENER_KEY: usize = 0;
+const SIGTERM_KEY: usize = 1;
+const SIGHUP_KEY: usize = 2;
+/// Connections accepted in a turn.
+const ACCEPTS_PER_TURN: usize = 64;
+/// So often that many are accepted when the host closes: the system queues no more than some hundreds.
+const MAX_ACCEPT_TURNS_AT_CLOSE: usize = 64;
+/// Buffers of a connection that call for a check of the memory limit.
+const MEMORY_CHECK_BYTES: usize = 32 << 10;
+/// How often the counters are reported.
+const METRICS_INTERVAL_MS: Ms = 5000.0;
+/// When a host is ready that knows no endpoint list and that discovery does not answer.
+const READY_WITHOUT_LIST_MS: Ms = 1500.0;
+
+/// A running host.
+pub struct EventLoop {
+    engine: Engine,
+    proxy: Proxy,
+    discovery: EndpointDiscovery,
+    listener: Listener,
+    sigterm: SignalSource,
+    sighup: SignalSource,
+    reload: ConfigReload,
+    next_metrics_at: Ms,
+}
+
+impl EventLoop {
+    /// Opens the sockets of a host, and takes in the endpoint list that it starts with.
+    pub fn new(config: HostConfig, path: &Path) -> io::Result<EventLoop> {
+        let (poll, clock) = (Poll::new()?, Clock::start());
+        let now = clock.now();
+        let sigterm = SignalSource::register(&poll, signal_hook::consts::SIGTERM, SIGTERM_KEY)?;
+        let sighup = SignalSource::register(&poll, signal_hook::consts::SIGHUP, SIGHUP_KEY)?;
+        let listener = Listener::bind(&poll, LISTENER_KEY, config.listen, now)?;
+        tracing::info!(
+            name = config.name, listen = %config.listen, discovery = %config.discovery, "host_started"
+        );
+        let reactor = Reactor::new(poll, clock, config.scheduler.round);
+        let mut event_loop = EventLoop {
+            proxy: Proxy::new(reactor, &config, now + READY_WITHOUT_LIST_MS),
+            discovery: EndpointDiscovery::new(&config, now),
+            listener,
+            sigterm,
+            sighup,
+            reload: ConfigReload::new(path.to_path_buf(), &config),
+            next_metrics_at: now + METRICS_INTERVAL_MS,
+            engine: Engine::new(config.scheduler.clone(), now),
+        };
+        event_loop.restore_endpoint_list(&config);
+        Ok(event_loop)
+    }
+
+    /// Takes in the endpoint list that the host starts with. Clients wait for a host that has come back, so it is ready
+    /// at once, unless lists are pushed: what the agent has binds from the first moment, so its answer is waited for.
+    fn restore_endpoint_list(&mut self, config: &HostConfig) {
+        let Some(list) = &config.known_list else { return };
+        let endpoints = self.proxy.apply_endpoint_list(list);
+        self.engine.on_endpoint_update(self.proxy.now(), EndpointUpdate::Restored, &endpoints);
+        if !endpoints.is_empty() && !config.is_list_pushed() {
+            self.proxy.mark_ready();
+        }
+    }
+
+    /// Serves until the host has shut down.
+    pub fn run(&mut self) -> io::Result<()> {
+        let mut woken = Woken::default();
+        loop {
+            self.run_engine();
+            if self.is_finished() {
+                self.proxy.log_stopped();
+                return Ok(());
+            }
+            let wake_at = self.wake_at();
+            self.proxy.reactor_mut().wait(&mut woken, wake_at)?;
+            // Before anything is sent: the process may have been stalled for long.
+            self.check_list_validity();
+            self.dispatch_readable(&woken.readable);
+            for key in woken.writable.drain(..) {
+                if let Source::Connection(key) = Source::from(key) {
+                    self.on_writable(key);
+                }
+            }
+            self.run_timers();
+        }
+    }
+
+    /// When the loop has something to do although nothing happens.
+    fn wake_at(&self) -> Ms {
+        let (now, shutdown) = (self.proxy.now(), self.proxy.shutdown());
+        let times = [
+            self.proxy.reactor().next_timer_at(),
+            Some(self.discovery.wake_at(now)),
+            self.reload.retry_at(),
+            Some(self.next_metrics_at),
+            shutdown.close_at().filter(|_| self.listener.is_open()),
+            shutdown.answer_by().filter(|_| self.proxy.has_requests()),
+            // Past it a client that does not read its response has its own timer.
+            shutdown.exit_at().filter(|at| *at > now),
+            self.listener.resumes_at(now),
+        ];
+        times.into_iter().flatten().fold(self.proxy.engine_wake_at(), f64::min)
+    }
+
+    /// Whether the host has closed and nothing is owed any more. Clients are waited for as long as there is time: the
+    /// end of the process would break their connections, and take away what they have not read.
+    fn is_finished(&self) -> bool {
+        let (now, shutdown) = (self.proxy.now(), self.proxy.shutdown());
+        if self.listener.is_open() || !shutdown.is_closed(now) || self.proxy.has_requests() {
+            return false;
+        }
+        self.proxy.clients_are_done(shutdown.exit_at().is_some_and(|at| now >= at))
+    }
+
+    /// Reads whatever can be read: discovery first, then clients, then endpoints, so that nothing is decided on old
+    /// information, and nothing is written for a client whose disconnect can be seen.
+    fn dispatch_readable(&mut self, readable: &[usize]) {
+        let order = |key: &usize| match Source::from(*key) {
+            Source::Connection(key) => {
+                (self.proxy.reactor().kind(key).is_none(), self.proxy.reactor().kind(key))
+            }
+            Source::Fixed(_) => (true, None),
+        };
+        let mut keys = readable.to_vec();
+        keys.sort_by_key(order);
+        for key in keys {
+            match Source::from(key) {
+                Source::Fixed(LISTENER_KEY) => _ = self.accept(),
+                Source::Fixed(SIGTERM_KEY) => self.on_sigterm(),
+                Source::Fixed(_) => self.on_sighup(),
+                Source::Connection(key) => {
+                    self.on_readable(key);
+                    self.enforce_memory_limit(key);
+                }
+            }
+        }
+    }
+
+    fn on_readable(&mut self, key: ConnectionKey) {
+        match self.proxy.reactor().kind(key) {
+            Some(ConnectionKind::Client) => self.read_client(key),
+            Some(ConnectionKind::Upstream) => self.proxy.read_upstream(key),
+            Some(ConnectionKind::Discovery) => {
+                if let Some(received) = self.discovery.on_readable(self.proxy.reactor_mut(), key) {
+                    self.on_endpoint_list(&received);
+                }
+            }
+            None => {}
+        }
+    }
+
+    fn on_writable(&mut self, key: ConnectionKey) {
+        match self.proxy.reactor().kind(key) {
+            Some(ConnectionKind::Client) => self.flush_client(key),
+            Some(ConnectionKind::Upstream) => self.proxy.flush_upstream(key),
+            Some(ConnectionKind::Discovery) => self.discovery.on_writable(self.proxy.reactor_mut(), key),
+            None => {}
+        }
+    }
+
+    /// Runs everything that is due.
+    fn run_timers(&mut self) {
+        while let Some(timer) = self.proxy.reactor_mut().due_timer() {
+            self.on_timer(timer);
+        }
+        let now = self.proxy.now();
+        if self.reload.is_due(now) {
+            self.reload_config();
+        }
+        self.proxy.close_expired_upstreams();
+        self.listener.resume_if_due(now);
+        if self.proxy.shutdown().is_closed(now) && self.listener.is_open() {
+            self.close();
+        }
+        let answer_by = self.proxy.shutdown().answer_by();
+        if answer_by.is_some_and(|at| now >= at) && self.proxy.has_requests() {
+            self.answer_all();
+        }
+        if now >= self.next_metrics_at {
+            self.next_metrics_at = now + METRICS_INTERVAL_MS;
+            self.proxy.log_metrics();
+            self.discovery.log_metrics(now);
+        }
+    }
+
+    fn on_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::UpstreamConnect(key, serial) => self.proxy.on_connect_timeout(key, serial),
+            Timer::ResponseStall(key, serial) => self.proxy.on_response_stall(key, serial),
+            Timer::AttemptTimeout(request, attempt) => {
+                self.proxy.end_attempt_early(request, attempt, AttemptEnd::TimedOut);
+            }
+            Timer::ClientTimeout(key, serial) => self.on_client_timeout(key, serial),
+            Timer::DisconnectCheck(key, serial) => {
+                if self.proxy.check_disconnect(key, serial) == DisconnectCheck::Disconnected {
+                    self.close_client(key, ClientCloseReason::Disconnected);
+                }
+            }
+        }
+    }
+
+    /// Tells the engine what has happened and carries out what it decides, until nothing is left to do now.
+    fn run_engine(&mut self) {
+        self.run_discovery();
+        loop {
+            for key in self.proxy.take_disconnected_clients() {
+                self.close_client(key, ClientCloseReason::Disconnected);
+            }
+            for (request, outcome) in self.proxy.take_pending_outcomes() {
+                self.engine.on_outcome(self.proxy.now(), request, outcome, &mut self.proxy);
+                self.proxy.release_if_done(request);
+            }
+            self.engine.run(self.proxy.now(), &mut self.proxy);
+            self.flush_clients();
+            if !self.proxy.has_pending_work() {
+                return;
+            }
+        }
+    }
+}
+
+/// Clients.
+impl EventLoop {
+    /// Accepts some of the connections that are waiting; whether none is left.
+    fn accept(&mut self) -> bool {
+        for _ in 0..ACCEPTS_PER_TURN {
+            match self.listener.accept() {
+                Accepted::Connection(stream) => self.proxy.accept_client(stream),
+                Accepted::ConnectionFailed => {}
+                Accepted::NoneWaiting => return true,
+                // The new client takes the place of another.
+                Accepted::OutOfDescriptors(_) if self.proxy.evict_client() => {}
+                Accepted::OutOfDescriptors(error) | Accepted::OutOfResources(error) => {
+                    let now = self.proxy.now();
+                    self.listener.pause(now);
+                    self.proxy.log_mut().accept_paused(now, &error);
+                    return true;
+                }
+            }
+        }
+        false
+    }
+
+    fn on_client_event(&mut self, key: ConnectionKey, event: ClientEvent) {
+        match event {
+            ClientEvent::None => {}
+            ClientEvent::Disconnected => self.close_client(key, ClientCloseReason::Disconnected),
+            ClientEvent::Request(request) => {
+                self.engine.submit(self.proxy.now(), request, &mut self.proxy);
+            }
+        }
+    }
+
+    fn read_client(&mut self, key: ConnectionKey) {
+        let event = self.proxy.read_client(key, &self.discovery);
+        self.on_client_event(key, event);
+    }
+
+    fn flush_client(&mut self, key: ConnectionKey) {
+        let event = self.proxy.flush_client(key);
+        self.on_client_event(key, event);
+    }
+
+    /// Writes the responses that were queued, and takes what their clients have pipelined.
+    fn flush_clients(&mut self) {
+        for key in self.proxy.take_clients_to_flush() {
+            self.flush_client(key);
+        }
+    }
+
+    /// Closes a client's connection. Nobody is left to be given the response to the request that is open on it.
+    fn close_client(&mut self, key: ConnectionKey, reason: ClientCloseReason) {
+        let Some(request) = self.proxy.close_client(key, reason) else { return };
+        self.engine.on_client_disconnect(self.proxy.now(), request);
+        self.proxy.end_abandoned_request(request);
+    }
+
+    /// A client's time may be over. What has arrived from it in this very moment is read before that is decided.
+    fn on_client_timeout(&mut self, key: ConnectionKey, serial: u64) {
+        if self.proxy.on_client_timer(key, serial) {
+            self.read_client(key);
+        }
+        if let Some(reason) = self.proxy.expire_client(key, serial) {
+            self.close_client(key, reason);
+        }
+    }
+
+    /// Keeps buffers within the memory limit, where a connection that was just read holds more than usual.
+    fn enforce_memory_limit(&mut self, key: ConnectionKey) {
+        let bytes = self.proxy.memory_of(key).max(self.discovery.memory_of(key));
+        if bytes < MEMORY_CHECK_BYTES || self.connections_over_memory_limit().is_empty() {
+            return;
+        }
+        // What was queued in this turn has not been offered to its client yet.
+        self.flush_clients();
+        for key in self.connections_over_memory_limit() {
+            self.proxy.count_closed_over_memory();
+            match self.proxy.reactor().kind(key) {
+                Some(ConnectionKind::Client) => self.close_client(key, ClientCloseReason::MemoryLimit),
+                Some(ConnectionKind::Upstream) => {
+                    self.proxy.fail_upstream(key, AttemptEnd::MalformedResponse);
+                }
+                Some(ConnectionKind::Discovery) => {
+                    self.discovery.close_over_memory(self.proxy.reactor_mut(), key);
+                }
+                None => {}
+            }
+        }
+    }
+
+    fn connections_over_memory_limit(&self) -> Vec<ConnectionKey> {
+        self.proxy.connections_over_memory_limit(self.discovery.buffers())
+    }
+}
+
+/// Discovery.
+impl EventLoop {
+    /// Does what the endpoint client wants now.
+    fn run_discovery(&mut self) {
+        while let Some(step) = self.discovery.next_step(self.proxy.now()) {
+            match step {
+                Step::Call { call, target } => self.start_poll(call, target),
+                Step::Drop { call } => self.discovery.cancel_poll(self.proxy.reactor_mut(), call),
+            }
+        }
+        self.check_list_validity();
+    }
+
+    fn start_poll(&mut self, poll: u64, target: Target) {
+        self.discovery.begin_poll(self.proxy.now(), poll, target);
+        let opened = match self.discovery.open_connection(self.proxy.reactor_mut()) {
+            Err(error) if out_of_descriptors(&error) && self.proxy.evict_client() => {
+                self.discovery.open_connection(self.proxy.reactor_mut())
+            }
+            opened => opened,
+        };
+        self.discovery.send_poll(self.proxy.reactor_mut(), poll, target, opened);
+    }
+
+    /// Tells the engine whether the endpoint list may be relied on. Where it has expired, attempts of which no byte
+    /// was written are withdrawn.
+    fn check_list_validity(&mut self) {
+        let Some(change) = self.discovery.check_validity(self.proxy.now()) else { return };
+        self.engine.set_endpoint_list_expired(change.expired);
+        if change.expired {
+            self.proxy.withdraw_all_unwritten();
+        }
+    }
+
+    fn on_endpoint_list(&mut self, received: &ReceivedList) {
+        let endpoints = self.proxy.apply_endpoint_list(&received.list);
+        self.engine.on_endpoint_update(self.proxy.now(), received.update, &endpoints);
+        if received.from_current_address {
+            self.proxy.mark_ready();
+        }
+        // The next poll follows the last answer at once.
+        self.run_discovery();
+    }
+
+    fn on_sighup(&mut self) {
+        self.sighup.take();
+        self.reload.request();
+        self.reload_config();
+    }
+
+    fn reload_config(&mut self) {
+        let now = self.proxy.now();
+        match self.reload.read(now) {
+            ReloadEvent::Failed { error, first } => {
+                let retry_in = self.reload.retry_at().map(|at| at - now);
+                self.discovery.on_reload_failed(now, &error, first, retry_in);
+            }
+            ReloadEvent::Loaded { discovery, needs_restart } => {
+                if !needs_restart.is_empty() {
+                    tracing::warn!(settings = needs_restart.join(", "), "changed_settings_need_restart");
+                }
+                let result = self.discovery.on_config_reloaded(self.proxy.reactor_mut(), discovery);
+                if result == ReloadResult::AddressChanged {
+                    self.run_discovery();
+                }
+            }
+        }
+    }
+}
+
+/// Shutdown.
+impl EventLoop {
+    fn on_sigterm(&mut self) {
+        if self.sigterm.take() {
+            self.proxy.begin_shutdown();
+            tracing::info!(requests_pending = self.engine.pending(), "shutdown_requested");
+        }
+    }
+
+    /// Accepts nothing more, and closes the connections of all clients that are owed nothing.
+    fn close(&mut self) {
+        // Those that the system has accepted for this host already are its own.
+        for _ in 0..MAX_ACCEPT_TURNS_AT_CLOSE {
+            if self.accept() {
+                break;
+            }
+        }
+        self.listener.close();
+        for key in self.proxy.open_clients() {
+            // What has arrived by now is still served; nothing is after that.
+            self.read_client(key);
+            let event = self.proxy.begin_closing_client(key);
+            self.on_client_event(key, event);
+        }
+    }
+
+    /// Answers everything that is owed now, as the process is killed soon.
+    fn answer_all(&mut self) {
+        self.proxy.time_out_all_attempts();
+        self.run_engine();
+        for request in self.proxy.request_numbers() {
+            self.engine.finish(self.proxy.now(), request, &mut self.proxy);
+        }
+    }
+}
--- a/crates/platform/src/idle_pool.rs
+++ b/crates/platform/src/idle_pool.rs
@@ -1,123 +1,82 @@
-//! Which connection to a node an attempt takes, and which give way; free of I/O.
+//! Idle connections to endpoints: which one an attempt takes, and which are closed; free of I/O.
 //!
-//! A connection is labels by the loop's key. It rests here from the end of an answer that was whole until it is
-//! taken or retired; all others are the loop's.
+//! A connection is in the pool from the end of its last exchange until it is taken, evicted or expired.
 
+use crate::reactor::ConnectionKey;
 use magpiewick::Ms;
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 
-/// A connection is retired when it has rested for this part of the time after which its node closes it: a
-/// process that stood still meanwhile would else write into one that is about to end.
+/// The share of an endpoint's idle timeout after which a connection is closed here: a process that stalls meanwhile
+/// must not write into a connection that is about to end.
 const MAX_IDLE_SHARE: f64 = 0.7;
 
-/// An answer that has begun and of which nothing came for so long does not come whole any more: nodes write an answer
-/// at once, and 50 ms is what the platform's protocol allows the network in every limit of time. Of 5,000 pieces of
-/// answers in pieces none came more than 2.2 ms after the one before it, and with 1 s to wait none came later. Guards against answers that stop short on a
-/// connection that stays open, which would else be waited for as long as for a node's work; it could harm where the
-/// network loses packets or a node stops in the middle of an answer: an attempt that would have been answered.
-pub const RESPONSE_STALL_MS: Ms = 50.0;
-
+/// Idle connections by endpoint.
 pub struct IdlePool {
-    /// By node: the keys of its resting connections, each with since when; the last one came last.
-    resting: BTreeMap<u32, VecDeque<(usize, Ms)>>,
-    idle: Option<Ms>,
+    /// By endpoint: the keys of its idle connections, each with the time since when; the latest is the last.
+    idle: BTreeMap<u32, VecDeque<(ConnectionKey, Ms)>>,
+    max_idle: Option<Ms>,
 }
 
 impl IdlePool {
-    /// `idle`: after how long a node closes a resting connection; none: never.
-    pub fn new(idle: Option<Ms>) -> IdlePool {
-        IdlePool { resting: BTreeMap::new(), idle: idle.map(|idle| idle * MAX_IDLE_SHARE) }
+    /// `idle_timeout`: after how long an endpoint closes an idle connection; none: never.
+    pub fn new(idle_timeout: Option<Ms>) -> IdlePool {
+        IdlePool { idle: BTreeMap::new(), max_idle: idle_timeout.map(|timeout| timeout * MAX_IDLE_SHARE) }
     }
 
-    pub fn rests(&mut self, now: Ms, node: u32, key: usize) {
-        self.resting.entry(node).or_default().push_back((key, now));
+    /// A connection has become idle.
+    pub fn put(&mut self, now: Ms, endpoint: u32, key: ConnectionKey) {
+        self.idle.entry(endpoint).or_default().push_back((key, now));
     }
 
-    /// The connection that rested last of those that have rested for `quiet`: the others come to their end unused,
-    /// where there are more than needed. One that has rested for less is not taken, even where no other is there: what
-    /// is left of its last exchange may still be on the way, and would be taken for the answer to what is asked next.
-    pub fn take(&mut self, now: Ms, node: u32, quiet: Ms) -> Option<usize> {
-        let resting = self.resting.get_mut(&node)?;
-        let succeeded = resting.iter().rposition(|r| now - r.1 >= quiet)?;
-        let taken = resting.remove(succeeded).map(|(key, _)| key);
-        if resting.is_empty() {
-            self.resting.remove(&node);
-        }
+    /// Takes the connection that became idle last among those that have been idle for `min_idle`, so that surplus
+    /// connections expire unused. One that has been idle for less is never taken: what is left of its last exchange
+    /// may still arrive, and would be read as the response to the next request.
+    pub fn take(&mut self, now: Ms, endpoint: u32, min_idle: Ms) -> Option<ConnectionKey> {
+        let idle = self.idle.get_mut(&endpoint)?;
+        let position = idle.iter().rposition(|(_, since)| now - since >= min_idle)?;
+        let taken = idle.remove(position).map(|(key, _)| key);
+        self.drop_if_empty(endpoint);
         taken
     }
 
-    /// Takes a connection out that ended while it rested.
-    pub fn ended(&mut self, node: u32, key: usize) {
-        let Some(resting) = self.resting.get_mut(&node) else { return };
-        resting.retain(|r| r.0 != key);
-        if resting.is_empty() {
-            self.resting.remove(&node);
-        }
+    /// Takes a connection out that was closed while it was idle.
+    pub fn remove(&mut self, endpoint: u32, key: ConnectionKey) {
+        let Some(idle) = self.idle.get_mut(&endpoint) else { return };
+        idle.retain(|(idle_key, _)| *idle_key != key);
+        self.drop_if_empty(endpoint);
     }
 
-    /// All that rest at a node, which is not sent to any more.
-    pub fn leaves(&mut self, node: u32) -> Vec<usize> {
-        self.resting.remove(&node).into_iter().flatten().map(|r| r.0).collect()
+    /// Takes out all connections of an endpoint, to which nothing more is sent.
+    pub fn remove_endpoint(&mut self, endpoint: u32) -> Vec<ConnectionKey> {
+        self.idle.remove(&endpoint).into_iter().flatten().map(|(key, _)| key).collect()
     }
 
-    /// The one that rested longest of all: it gives way where there are no more descriptors.
-    pub fn gives_way(&mut self) -> Option<usize> {
-        let oldest = self.resting.iter().filter_map(|(node, r)| Some((r.front()?.1, *node)));
-        let (_, node) = oldest.min_by(|a, b| a.0.total_cmp(&b.0))?;
-        let key = self.resting.get_mut(&node)?.pop_front().map(|r| r.0);
-        if self.resting.get(&node).is_some_and(VecDeque::is_empty) {
-            self.resting.remove(&node);
-        }
+    /// Takes out the connection that has been idle for longest, to make room for another.
+    pub fn evict_oldest(&mut self) -> Option<ConnectionKey> {
+        let oldest = self.idle.iter().filter_map(|(endpoint, idle)| Some((idle.front()?.1, *endpoint)));
+        let (_, endpoint) = oldest.min_by(|a, b| a.0.total_cmp(&b.0))?;
+        let key = self.idle.get_mut(&endpoint)?.pop_front().map(|(key, _)| key);
+        self.drop_if_empty(endpoint);
         key
     }
 
-    /// Those that have rested for too long.
-    pub fn retired(&mut self, now: Ms) -> Vec<usize> {
-        let Some(idle) = self.idle else { return Vec::new() };
-        let mut retired = Vec::new();
-        for resting in self.resting.values_mut() {
-            while let Some((key, _)) = resting.pop_front_if(|r| now - r.1 >= idle) {
-                retired.push(key);
+    /// Takes out those that have been idle for too long.
+    pub fn take_expired(&mut self, now: Ms) -> Vec<ConnectionKey> {
+        let Some(max_idle) = self.max_idle else { return Vec::new() };
+        let mut expired = Vec::new();
+        for idle in self.idle.values_mut() {
+            while let Some((key, _)) = idle.pop_front_if(|(_, since)| now - *since >= max_idle) {
+                expired.push(key);
             }
         }
-        self.resting.retain(|_, resting| !resting.is_empty());
-        retired
-    }
-}
-
-/// A number is given out again when its node has been gone for so long: longer than any attempt there is out, and
-/// than it takes until the module, which forgets a node with the next news of the list, has forgotten it.
-const NUMBER_REUSE_DELAY_MS: Ms = 60_000.0;
-
-/// EndpointNumbers of nodes by their ids. Guards against a list that names new nodes day after day: all that is kept by
-/// number stays as large as the fleet. A number that comes back is a node that was never met.
-#[derive(Default)]
-pub struct EndpointNumbers {
-    by_id: HashMap<String, u32>,
-    gone: VecDeque<(Ms, u32)>,
-    next: u32,
-}
-
-impl EndpointNumbers {
-    pub fn known(&self, id: &str) -> Option<u32> {
-        self.by_id.get(id).copied()
+        self.idle.retain(|_, idle| !idle.is_empty());
+        expired
     }
 
-    pub fn of(&mut self, now: Ms, id: &str) -> u32 {
-        if let Some(number) = self.known(id) {
-            return number;
+    fn drop_if_empty(&mut self, endpoint: u32) {
+        if self.idle.get(&endpoint).is_some_and(VecDeque::is_empty) {
+            self.idle.remove(&endpoint);
         }
-        let free = self.gone.pop_front_if(|g| now - g.0 >= NUMBER_REUSE_DELAY_MS).map(|g| g.1);
-        let number = free.unwrap_or_else(|| {
-            self.next += 1;
-            self.next
-        });
-        self.by_id.insert(id.to_string(), number);
-        number
-    }
-
-    pub fn forget(&mut self, now: Ms, id: &str) {
-        self.gone.extend(self.by_id.remove(id).map(|number| (now, number)));
     }
 }
 
--- a/crates/platform/src/incoming_request.rs
+++ b/crates/platform/src/incoming_request.rs
@@ -1,145 +1,203 @@
-//! Whether what a client asks is a request, by the settings; free of I/O.
+//! The headers of a client's request, checked and read; free of I/O.
 
 use magpiewick::Ms;
 use magpiewick_engine::IncomingRequest;
-use magpiewick_http1::{Rejection, RequestHead};
+use magpiewick_http1::{self as http1, Rejection, RequestHead};
 use magpiewick_instance_settings::PlatformSettings;
 
-/// No client waits longer, and no volume comes through more hosts.
+/// No client waits longer.
 const MAX_CLIENT_TIMEOUT_MS: Ms = 3_600_000.0;
+/// No volume is used through more hosts.
 const MAX_HOSTS: f64 = 65_536.0;
-/// Longer ids are none of the platform's.
+/// The longest id of a request.
 const MAX_ID_BYTES: usize = 64;
+/// The longest decimal number in a header.
+const MAX_NUMBER_BYTES: usize = 15;
+/// The length of an id of a volume or of a piece, in hex digits.
+const PATH_ID_DIGITS: usize = 16;
+
+/// Headers that are passed on to an endpoint as they are.
+const FORWARDED_HEADERS: [&str; 5] = ["Host", "X-Request-Id", "X-Class", "X-Qos-Policy", "X-Placement"];
 
 const STATUS_BAD_REQUEST: u16 = 400;
+const STATUS_NOT_FOUND: u16 = 404;
+const STATUS_METHOD_NOT_ALLOWED: u16 = 405;
 
-fn bad<T>(reason: &'static str) -> Result<T, Rejection> {
-    Err(Rejection { status: STATUS_BAD_REQUEST, reason })
+fn bad_request(reason: &'static str) -> Rejection {
+    Rejection { status: STATUS_BAD_REQUEST, reason }
 }
 
-/// The one value of a field that must stand there.
-fn needed<'a>(request: &RequestHead<'a>, name: &str, reason: &'static str) -> Result<&'a str, Rejection> {
-    let Ok(Some(value)) = request.headers.single(name) else { return bad(reason) };
-    std::str::from_utf8(value).or_else(|_| bad(reason))
+/// The value of a header that must be there once.
+fn required<'a>(head: &RequestHead<'a>, name: &str, reason: &'static str) -> Result<&'a str, Rejection> {
+    let Ok(Some(value)) = head.headers.single(name) else { return Err(bad_request(reason)) };
+    std::str::from_utf8(value).map_err(|_| bad_request(reason))
 }
 
-/// The request's id, byte for byte.
-pub fn id<'a>(request: &RequestHead<'a>) -> Result<&'a str, Rejection> {
-    let id = needed(request, "x-request-id", "there must be one X-Request-Id")?;
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    match id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(plain) {
-        true => bad("the X-Request-Id is malformed"),
+/// The id that the client has given a request, byte for byte.
+pub fn id<'a>(head: &RequestHead<'a>) -> Result<&'a str, Rejection> {
+    let id = required(head, "x-request-id", "there must be one X-Request-Id")?;
+    let is_id_byte = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    match id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(is_id_byte) {
+        true => Err(bad_request("the X-Request-Id is malformed")),
         false => Ok(id),
     }
 }
 
-fn hex(part: &str) -> Option<u64> {
-    let good = part.len() == 16 && part.bytes().all(|b| b.is_ascii_hexdigit());
-    good.then(|| u64::from_str_radix(part, 16).ok())?
+/// The volume and the piece of it that a path names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct PathIds {
+    volume: u64,
+    piece: u64,
+}
+
+impl PathIds {
+    /// A path ends with both, behind at least its first slash.
+    fn parse(target: &str) -> Option<PathIds> {
+        let path = target.split('?').next()?;
+        let mut segments = path.rsplit('/');
+        let piece = hex_id(segments.next()?)?;
+        let volume = hex_id(segments.next()?)?;
+        segments.next()?;
+        path.starts_with('/').then_some(PathIds { volume, piece })
+    }
 }
 
-/// The volume and the piece that a path ends with.
-fn place(target: &str) -> Option<(u64, u64)> {
-    let path = target.split('?').next()?;
-    let mut parts = path.rsplit('/');
-    let (piece, volume) = (hex(parts.next()?)?, hex(parts.next()?)?);
-    // Something must stand before them, if only the path's first slash.
-    parts.next()?;
-    path.starts_with('/').then_some((volume, piece))
+fn hex_id(segment: &str) -> Option<u64> {
+    let is_hex = segment.len() == PATH_ID_DIGITS && segment.bytes().all(|b| b.is_ascii_hexdigit());
+    is_hex.then(|| u64::from_str_radix(segment, 16).ok())?
 }
 
-/// Plain digits with at most one point, so that no sign, exponent or word passes for a number.
-fn number(text: &str) -> Option<f64> {
-    let good = text.len() <= 15 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    good.then(|| text.parse().ok())?
+/// Digits with at most one point, so that no sign, exponent or word passes for a number.
+fn decimal(text: &str) -> Option<f64> {
+    let is_decimal = text.len() <= MAX_NUMBER_BYTES && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    is_decimal.then(|| text.parse().ok())?
 }
 
-/// A time with its unit.
+/// A time with its unit: `m` for milliseconds, `u` for microseconds.
 fn time(text: &str) -> Option<Ms> {
     let (digits, unit) = match text.as_bytes().last()? {
         b'm' => (&text[..text.len() - 1], 1.0),
         b'u' => (&text[..text.len() - 1], 0.001),
         _ => return None,
     };
-    number(digits).map(|n| n * unit).filter(|t| *t <= MAX_CLIENT_TIMEOUT_MS)
+    decimal(digits).map(|number| number * unit).filter(|time| *time <= MAX_CLIENT_TIMEOUT_MS)
 }
 
-fn shard_of(text: &str, settings: &PlatformSettings) -> Option<usize> {
-    let number: u16 = Some(text).filter(|t| t.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()?;
-    Some(usize::from(number)).filter(|n| settings.shards.is_none_or(|shards| *n < shards))
+/// Where a request goes, and how large it is.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Placement {
+    units: f64,
+    /// None for a new object.
+    shard: Option<usize>,
+    /// Through how many hosts the volume is used.
+    hosts: f64,
 }
 
-/// Size, shard (none for a new object) and number of hosts.
-fn placement(text: &str, settings: &PlatformSettings) -> Option<(f64, Option<usize>, f64)> {
-    let (mut units, mut shard, mut hosts) = (None, None, None);
-    for part in text.split(',') {
-        let (name, value) = part.split_once('=')?;
-        let value = value.trim();
-        let before = match name.trim() {
-            "units" => {
-                units.replace(number(value).filter(|u| *u > 0.0 && *u <= settings.max_units)?).is_some()
+impl Placement {
+    fn parse(text: &str, settings: &PlatformSettings) -> Option<Placement> {
+        let (mut units, mut shard, mut hosts) = (None, None, None);
+        for part in text.split(',') {
+            let (name, value) = part.split_once('=')?;
+            let value = value.trim();
+            let repeated = match name.trim() {
+                "units" => units.replace(parse_units(value, settings)?).is_some(),
+                "shard" if value == "-1" => shard.replace(None).is_some(),
+                "shard" => shard.replace(Some(parse_shard(value, settings)?)).is_some(),
+                "hosts" => hosts.replace(parse_hosts(value)?).is_some(),
+                // What later versions of the platform add is ignored.
+                _ => false,
+            };
+            if repeated {
+                return None;
             }
-            "shard" if value == "-1" => shard.replace(None).is_some(),
-            "shard" => shard.replace(Some(shard_of(value, settings)?)).is_some(),
-            "hosts" => hosts.replace(number(value).filter(|h| (1.0..=MAX_HOSTS).contains(h))?).is_some(),
-            // What later versions of the platform add is left alone.
-            _ => false,
-        };
-        if before {
-            return None;
         }
+        Some(Placement { units: units?, shard: shard?, hosts: hosts? })
     }
-    Some((units?, shard?, hosts?))
 }
 
-/// The request that a request with a body of so many bytes asks for; `used` of its time is over already.
-pub fn request(
+fn parse_units(text: &str, settings: &PlatformSettings) -> Option<f64> {
+    decimal(text).filter(|units| *units > 0.0 && *units <= settings.max_units)
+}
+
+fn parse_hosts(text: &str) -> Option<f64> {
+    decimal(text).filter(|hosts| (1.0..=MAX_HOSTS).contains(hosts))
+}
+
+fn parse_shard(text: &str, settings: &PlatformSettings) -> Option<usize> {
+    let number: u16 = Some(text).filter(|text| text.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()?;
+    let shard = usize::from(number);
+    Some(shard).filter(|shard| settings.shards.is_none_or(|shards| *shard < shards))
+}
+
+/// The request of a head and a body of `body_length` bytes. `waited`: how much of its time is over already.
+pub fn parse(
     head: &RequestHead,
-    bytes: usize,
+    body_length: usize,
     settings: &PlatformSettings,
-    used: Ms,
+    waited: Ms,
     number: u64,
 ) -> Result<IncomingRequest, Rejection> {
-    let Some((volume, key)) = place(head.target) else {
-        return Err(Rejection { status: 404, reason: "the path names no volume and piece" });
+    let Some(ids) = PathIds::parse(head.target) else {
+        return Err(Rejection { status: STATUS_NOT_FOUND, reason: "the path names no volume and piece" });
     };
-    let class = needed(head, "x-class", "there must be one X-Class")?;
-    let Some(class) = settings.classes.iter().position(|b| b.name == class) else {
-        return bad("the X-Class is not known here");
+    let class_name = required(head, "x-class", "there must be one X-Class")?;
+    let Some(class) = settings.classes.iter().position(|class| class.name == class_name) else {
+        return Err(bad_request("the X-Class is not known here"));
     };
-    let plan = needed(head, "x-qos-policy", "there must be one X-Qos-Policy")?;
-    let Some(plan) = settings.plans.iter().position(|p| *p == plan) else {
-        return bad("the X-Qos-Policy is not known here");
+    let policy_name = required(head, "x-qos-policy", "there must be one X-Qos-Policy")?;
+    let Some(policy) = settings.policies.iter().position(|policy| *policy == policy_name) else {
+        return Err(bad_request("the X-Qos-Policy is not known here"));
     };
-    let fits = match head.method {
-        "GET" => bytes == 0 && settings.classes[class].writes != Some(true),
-        "PUT" => settings.classes[class].writes != Some(false),
+    let class_settings = &settings.classes[class];
+    let fits_class = match head.method {
+        "GET" => body_length == 0 && class_settings.writes != Some(true),
+        "PUT" => class_settings.writes != Some(false),
         _ => false,
     };
-    if !fits {
-        return Err(Rejection { status: 405, reason: "the method does not fit the X-Class" });
+    if !fits_class {
+        let reason = "the method does not fit the X-Class";
+        return Err(Rejection { status: STATUS_METHOD_NOT_ALLOWED, reason });
     }
-    let limit = needed(head, "x-deadline", "there must be one X-Deadline")?;
-    let Some(limit) = time(limit) else { return bad("the X-Deadline is no time") };
-    let placed = needed(head, "x-placement", "there must be one X-Placement")?;
-    let Some((units, shard, hosts)) = placement(placed, settings) else {
-        return bad("the X-Placement is malformed");
+    let deadline = required(head, "x-deadline", "there must be one X-Deadline")?;
+    let Some(client_timeout) = time(deadline) else { return Err(bad_request("the X-Deadline is no time")) };
+    let placement = required(head, "x-placement", "there must be one X-Placement")?;
+    let Some(placement) = Placement::parse(placement, settings) else {
+        return Err(bad_request("the X-Placement is malformed"));
     };
     let request = magpiewick::Request {
         class,
-        plan,
+        plan: policy,
         volume: 0,
         key: None,
-        units,
-        shard,
-        hosts,
-        // Some clients name a little more than their class's time. One such would make the module, which knows
-        // later tries by their shorter time, take every first try after it for a later one.
-        client_timeout: limit.min(settings.classes[class].client_timeout) - used,
+        units: placement.units,
+        shard: placement.shard,
+        hosts: placement.hosts,
+        // Some clients name a little more than their class's timeout. The scheduler, which recognises retries by
+        // their shorter time, would take every other first try for a retry.
+        client_timeout: client_timeout.min(class_settings.client_timeout) - waited,
         counts: 1.0,
         with: None,
     };
-    Ok(IncomingRequest { id: number, key, volume, request })
+    Ok(IncomingRequest { id: number, key: ids.piece, volume: ids.volume, request })
+}
+
+/// The head that an endpoint is sent, up to the deadline, which is known when it is written.
+pub fn upstream_head(head: &RequestHead, body_length: usize) -> Result<Vec<u8>, Rejection> {
+    let single = |name, reason| head.headers.single(name).map_err(|_| bad_request(reason));
+    let idempotency_key = single("idempotency-key", "there may be one Idempotency-Key")?;
+    let length = body_length.to_string();
+    let mut headers: Vec<(&str, &[u8])> = Vec::new();
+    for name in FORWARDED_HEADERS {
+        let value = single(name, "a field stands twice")?;
+        headers.extend(value.map(|value| (name, value)));
+    }
+    headers.extend(idempotency_key.map(|value| ("Idempotency-Key", value)));
+    if head.method != "GET" {
+        headers.push(("Content-Length", length.as_bytes()));
+    }
+    let mut bytes = Vec::with_capacity(256);
+    http1::write_request_head(&mut bytes, head.method, head.target, &headers);
+    Ok(bytes)
 }
 
 #[cfg(test)]
--- a/crates/platform/src/incoming_request/tests.rs
+++ b/crates/platform/src/incoming_request/tests.rs
@@ -7,13 +7,13 @@
     let class = |name: &str, writes| ClassSettings { name: name.to_string(), client_timeout: 1000.0, writes };
     PlatformSettings {
         classes: vec![class("read", Some(false)), class("write", Some(true))],
-        plans: vec!["basic".to_string(), "gold".to_string()],
+        policies: vec!["basic".to_string(), "gold".to_string()],
         zones: Vec::new(),
         shards: Some(8),
         max_units: 6.0,
-        dial: None,
-        idle: None,
-        pushed: None,
+        connect_timeout: None,
+        idle_timeout: None,
+        drain_grace: None,
     }
 }
 
@@ -33,31 +33,31 @@
 fn status(head: &str) -> u16 {
     let read = magpiewick_http1::parse_request_head(head.as_bytes())
         .unwrap_or_else(|r| panic!("{head}: {}", r.reason));
-    let request = id(&read).and_then(|_| request(&read, bytes(&read), &settings(), 0.0, 1));
+    let request = id(&read).and_then(|_| parse(&read, bytes(&read), &settings(), 0.0, 1));
     request.map_or_else(|refused| refused.status, |_| 0)
 }
 
 #[test]
-fn a_command_is_what_the_fields_say() {
+fn a_request_is_what_its_headers_say() {
     let read = magpiewick_http1::parse_request_head(GOOD.as_bytes()).unwrap();
     assert_eq!(id(&read), Ok("9b1f03aa5c7e2d41"));
-    let taken = request(&read, bytes(&read), &settings(), 30.0, 9).unwrap();
+    let taken = parse(&read, bytes(&read), &settings(), 30.0, 9).unwrap();
     assert_eq!((taken.id, taken.volume, taken.key), (9, 0x3b4d60021, 0x7f3a9c21e0b4d655));
     let c = taken.request;
     assert_eq!((c.class, c.plan, c.units, c.shard, c.hosts), (1, 1, 2.0, Some(5), 3.0));
     assert_eq!(c.client_timeout, 450.0, "what the client has waited is gone");
     let new = GOOD.replace("shard=5", "shard=-1").replace("480m", "480000u");
     let read = magpiewick_http1::parse_request_head(new.as_bytes()).unwrap();
-    let c = request(&read, bytes(&read), &settings(), 0.0, 9).unwrap().request;
+    let c = parse(&read, bytes(&read), &settings(), 0.0, 9).unwrap().request;
     assert_eq!((c.shard, c.client_timeout), (None, 480.0));
     let long = GOOD.replace("480m", "1009m");
     let read = magpiewick_http1::parse_request_head(long.as_bytes()).unwrap();
-    let c = request(&read, bytes(&read), &settings(), 20.0, 9).unwrap().request;
-    assert_eq!(c.client_timeout, 980.0, "no client waits longer than its band's time");
+    let c = parse(&read, bytes(&read), &settings(), 20.0, 9).unwrap().request;
+    assert_eq!(c.client_timeout, 980.0, "no client waits longer than its class's timeout");
 }
 
 #[test]
-fn what_is_no_command_is_refused_and_never_as_a_bounce() {
+fn what_is_no_request_is_refused_and_never_as_a_rejection() {
     for (from, to) in [
         ("X-Request-Id: 9b1f03aa5c7e2d41\r\n", ""),
         ("9b1f03aa5c7e2d41", ""),
@@ -109,10 +109,11 @@
 }
 
 quickcheck! {
-    fn no_text_makes_a_time_or_place_that_is_none(text: String) -> bool {
+    fn no_text_makes_an_impossible_time_or_placement(text: String) -> bool {
         let good = |t: f64| (0.0..=MAX_CLIENT_TIMEOUT_MS).contains(&t);
+        let possible = |p: Placement| p.units > 0.0 && p.shard.is_none_or(|s| s < 8) && p.hosts >= 1.0;
         time(&text).is_none_or(good) && time(&format!("{text}m")).is_none_or(good)
-            && placement(&text, &settings()).is_none_or(|(u, s, h)| u > 0.0 && s.is_none_or(|s| s < 8) && h >= 1.0)
-            && (place(&text).is_none() || text.starts_with('/'))
+            && Placement::parse(&text, &settings()).is_none_or(possible)
+            && (PathIds::parse(&text).is_none() || text.starts_with('/'))
     }
 }
--- /dev/null
+++ b/crates/platform/src/listener.rs
@@ -0,0 +1,85 @@
+//! The socket on which clients connect.
+
+use magpiewick::Ms;
+use magpiewick_transport::{accept_error, AcceptError, Poll, Registered};
+use std::io;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+
+/// How long nothing is accepted after the system has refused: without a pause the event loop would spin.
+const ACCEPT_PAUSE_MS: Ms = 50.0;
+
+/// What came of accepting one connection.
+#[derive(Debug)]
+pub enum Accepted {
+    /// A connection.
+    Connection(TcpStream),
+    /// No connection is waiting, or the listener is closed.
+    NoneWaiting,
+    /// This connection failed; the next one may be good.
+    ConnectionFailed,
+    /// There is no descriptor left.
+    OutOfDescriptors(io::Error),
+    /// The system has no other resource for it.
+    OutOfResources(io::Error),
+}
+
+/// The listening socket until the host closes it.
+pub struct Listener {
+    socket: Option<Registered<TcpListener>>,
+    resumes_at: Ms,
+}
+
+impl Listener {
+    /// Listens on an address.
+    pub fn bind(poll: &Poll, key: usize, address: SocketAddr, now: Ms) -> io::Result<Listener> {
+        let socket = poll.register(magpiewick_transport::listen(address)?, key)?;
+        Ok(Listener { socket: Some(socket), resumes_at: now })
+    }
+
+    /// Accepts a connection that is waiting.
+    pub fn accept(&mut self) -> Accepted {
+        let Some(socket) = &mut self.socket else { return Accepted::NoneWaiting };
+        match socket.accept() {
+            Ok((stream, _)) => Accepted::Connection(stream),
+            Err(error) => match accept_error(&error) {
+                AcceptError::Empty => Accepted::NoneWaiting,
+                AcceptError::Next => Accepted::ConnectionFailed,
+                AcceptError::OutOfDescriptors => Accepted::OutOfDescriptors(error),
+                AcceptError::Short => Accepted::OutOfResources(error),
+            },
+        }
+    }
+
+    /// Accepts nothing for a while.
+    pub fn pause(&mut self, now: Ms) {
+        self.resumes_at = now + ACCEPT_PAUSE_MS;
+        if let Some(socket) = &mut self.socket {
+            _ = socket.watch(false, false);
+        }
+    }
+
+    /// Accepts again once a pause is over.
+    pub fn resume_if_due(&mut self, now: Ms) {
+        if now < self.resumes_at {
+            return;
+        }
+        if let Some(socket) = &mut self.socket {
+            _ = socket.watch(true, false);
+        }
+    }
+
+    /// When a pause is over; none where nothing is paused.
+    pub fn resumes_at(&self, now: Ms) -> Option<Ms> {
+        self.socket.as_ref().filter(|_| self.resumes_at > now).map(|_| self.resumes_at)
+    }
+
+    /// Whether the socket is still open.
+    pub fn is_open(&self) -> bool {
+        self.socket.is_some()
+    }
+
+    /// Closes the socket.
+    pub fn close(&mut self) {
+        self.socket = None;
+    }
+}
--- a/crates/platform/src/log_limit.rs
+++ b/crates/platform/src/log_limit.rs
@@ -1,4 +1,4 @@
-//! A token bucket for log lines of one kind; free of I/O.
+//! A rate limit for log lines of one kind; free of I/O.
 
 use magpiewick::Ms;
 
@@ -13,6 +13,7 @@
 }
 
 impl LogLimit {
+    /// `burst`: lines that may be written at once; `per_second`: lines in the long run.
     pub fn new(burst: u32, per_second: f64) -> LogLimit {
         let burst = f64::from(burst);
         LogLimit { burst, per_second, tokens: burst, filled_at: 0.0, suppressed: 0 }
--- a/crates/platform/src/memory_limit.rs
+++ b/crates/platform/src/memory_limit.rs
@@ -1,47 +1,71 @@
-//! Who gives way where too many bytes wait in memory; free of I/O.
+//! Which connections are closed where buffers take too much memory; free of I/O.
 
-/// The part of the memory's limit that bytes on their way may take. The rest is for the program, its tables, the list
-/// of nodes, copies while an answer is passed on, and what the allocator does not give back.
-const BUFFERED_SHARE: f64 = 0.4;
-
-/// How many bytes may wait at once.
-pub fn bound(limit_mb: f64) -> usize {
-    (limit_mb * BUFFERED_SHARE * f64::from(1 << 20)) as usize
-}
+use crate::reactor::ConnectionKey;
 
-/// Whether so many bytes are more than half of what may wait.
-pub fn is_half_taken(bound: usize, held: usize) -> bool {
-    held > bound / 2
-}
+/// The share of the memory limit that buffers may take. The rest is for the program, its tables, the endpoint list,
+/// copies while a response is passed on, and what the allocator does not give back.
+const BUFFERED_SHARE: f64 = 0.4;
 
-/// What a connection holds: a client's that is owed an answer never gives way; one to a node does before a client
-/// whose answer is on its way, as what it was asked can still get an answer of another kind.
+/// Whose buffers they are. A client that is owed a response is never closed; a connection to an endpoint is closed
+/// before a client that is being sent its response, as the attempt on it can still be answered in another way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BufferOwner {
+    /// A connection on which this host sends requests.
     Upstream,
+    /// A client that is being sent its response.
     SendingResponse,
+    /// A client that is owed a response.
     AwaitingResponse,
 }
 
-/// Those that give way: of each kind the largest first, until the rest is within the bound. Guards against many
-/// large answers at once, and against clients that read theirs slowly; each alone is within its own bound. It could
-/// harm where a node's answers are large and the memory is small: an attempt that would have been answered.
-pub fn select_to_close(bound: usize, all: impl Iterator<Item = (BufferOwner, usize, usize)>) -> Vec<usize> {
-    let mut all: Vec<(BufferOwner, usize, usize)> = all.filter(|(_, bytes, _)| *bytes > 0).collect();
-    let mut held: usize = all.iter().map(|a| a.1).sum();
-    if held <= bound {
-        return Vec::new();
+/// The buffers of one connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BufferUse {
+    /// Whose they are.
+    pub owner: BufferOwner,
+    /// Their size.
+    pub bytes: usize,
+    /// The connection.
+    pub key: ConnectionKey,
+}
+
+/// How much memory all buffers together may take.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemoryLimit {
+    bytes: usize,
+}
+
+impl MemoryLimit {
+    /// `limit_mb`: the memory limit of the process.
+    pub fn new(limit_mb: f64) -> MemoryLimit {
+        MemoryLimit { bytes: (limit_mb * BUFFERED_SHARE * f64::from(1 << 20)) as usize }
+    }
+
+    /// Whether so many bytes are more than half of what buffers may take.
+    pub fn is_half_used(self, bytes: usize) -> bool {
+        bytes > self.bytes / 2
     }
-    all.sort_unstable_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)).then(a.2.cmp(&b.2)));
-    let mut gone = Vec::new();
-    for (_, bytes, key) in all.into_iter().take_while(|a| a.0 != BufferOwner::AwaitingResponse) {
-        if held <= bound {
-            break;
+
+    /// The connections that are closed: of each kind of owner the largest first, until the rest is within the limit.
+    pub fn select_to_close(self, all: impl Iterator<Item = BufferUse>) -> Vec<ConnectionKey> {
+        let mut all: Vec<BufferUse> = all.filter(|buffers| buffers.bytes > 0).collect();
+        let mut total: usize = all.iter().map(|buffers| buffers.bytes).sum();
+        if total <= self.bytes {
+            return Vec::new();
+        }
+        all.sort_unstable_by(|a, b| {
+            a.owner.cmp(&b.owner).then(b.bytes.cmp(&a.bytes)).then(a.key.cmp(&b.key))
+        });
+        let mut selected = Vec::new();
+        for buffers in all.into_iter().take_while(|buffers| buffers.owner != BufferOwner::AwaitingResponse) {
+            if total <= self.bytes {
+                break;
+            }
+            total -= buffers.bytes;
+            selected.push(buffers.key);
         }
-        held -= bytes;
-        gone.push(key);
+        selected
     }
-    gone
 }
 
 #[cfg(test)]
