--- a/crates/platform/src/memory_limit/tests.rs
+++ b/crates/platform/src/memory_limit/tests.rs
@@ -2,19 +2,21 @@
 use quickcheck::quickcheck;
 
 quickcheck! {
-    /// A plain model: one after the other, whoever holds most of the cheapest kind goes while there is too much.
-    fn the_largest_go_until_the_rest_fits(all: Vec<(u8, u8)>, bound: u16) -> bool {
-        let kinds = [BufferOwner::Upstream, BufferOwner::SendingResponse, BufferOwner::AwaitingResponse];
-        let all = all.iter().enumerate();
-        let all: Vec<_> =
-            all.map(|(key, (kind, b))| (kinds[usize::from(kind % 3)], usize::from(*b), key)).collect();
-        let (mut plain, mut gone) = (all.clone(), Vec::new());
-        while plain.iter().map(|p| p.1).sum::<usize>() > usize::from(bound) {
-            let rank = |p: &(BufferOwner, usize, usize)| (std::cmp::Reverse(p.0), p.1, std::cmp::Reverse(p.2));
-            let free = (0..plain.len()).filter(|at| plain[*at].0 != BufferOwner::AwaitingResponse && plain[*at].1 > 0);
-            let Some(most) = free.max_by_key(|at| rank(&plain[*at])) else { break };
-            gone.push(plain.remove(most).2);
+    /// A plain model: one after the other, the largest of the cheapest kind is closed while there is too much.
+    fn the_largest_are_closed_until_the_rest_fits(all: Vec<(u8, u8)>, bound: u16) -> bool {
+        let owners = [BufferOwner::Upstream, BufferOwner::SendingResponse, BufferOwner::AwaitingResponse];
+        let buffers = |(key, (owner, bytes)): (usize, &(u8, u8))| {
+            BufferUse { owner: owners[usize::from(owner % 3)], bytes: usize::from(*bytes), key }
+        };
+        let all: Vec<BufferUse> = all.iter().enumerate().map(buffers).collect();
+        let (mut model, mut closed) = (all.clone(), Vec::new());
+        while model.iter().map(|b| b.bytes).sum::<usize>() > usize::from(bound) {
+            let rank = |b: &BufferUse| (std::cmp::Reverse(b.owner), b.bytes, std::cmp::Reverse(b.key));
+            let free = (0..model.len())
+                .filter(|at| model[*at].owner != BufferOwner::AwaitingResponse && model[*at].bytes > 0);
+            let Some(most) = free.max_by_key(|at| rank(&model[*at])) else { break };
+            closed.push(model.remove(most).key);
         }
-        select_to_close(usize::from(bound), all.into_iter()) == gone
+        MemoryLimit { bytes: usize::from(bound) }.select_to_close(all.into_iter()) == closed
     }
 }
--- a/crates/platform/src/request_log.rs
+++ b/crates/platform/src/request_log.rs
@@ -1,78 +1,88 @@
-//! Why requests were refused, sent again or left without an answer, and why connections were closed: a log line for
-//! some of each kind, and counters for all.
+//! Log lines of requests and connections, and their counters by reason.
 
 use crate::attempt_end::AttemptEnd;
 use crate::log_limit::LogLimit;
 use magpiewick::{Ms, Outcome};
 use magpiewick_engine::Reason;
+use magpiewick_exchange::ResponseMismatch;
+use magpiewick_http1::Rejection;
 use std::collections::BTreeMap;
 
-/// Lines of each kind at the default level: as many at once, and so many a second for long.
+/// Lines of each kind at the default level: as many at once, and so many a second in the long run.
 const BURST: u32 = 8;
 const PER_SECOND: f64 = 0.5;
+/// How many endpoints are counted by name, so that the counters do not grow with every endpoint there ever was.
+const MAX_NAMED_ENDPOINTS: usize = 256;
 
-/// Why a client's connection ended.
+/// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientCloseReason {
     /// The client ended or broke it.
-    ByClient,
-    /// Another client takes its place.
+    Disconnected,
+    /// It made room for another client.
     Evicted,
-    /// Too many bytes wait in memory.
-    OverMemory,
-    /// It did not read its answer.
-    Unread,
-    /// It sent nothing whole in time.
+    /// Buffers took too much memory.
+    MemoryLimit,
+    /// The client did not read its response.
+    ResponseNotRead,
+    /// The client sent nothing complete in time.
     Idle,
-    /// Its last answer was written and read, or the client was given the time to read it.
+    /// Its last response was written, and the client had time to read it.
     Finished,
 }
 
 impl ClientCloseReason {
-    pub fn word(self) -> &'static str {
+    /// The name under which it is logged and counted.
+    pub fn as_str(self) -> &'static str {
         match self {
-            ClientCloseReason::ByClient => "client_disconnected",
+            ClientCloseReason::Disconnected => "client_disconnected",
             ClientCloseReason::Evicted => "evicted",
-            ClientCloseReason::OverMemory => "memory_limit",
-            ClientCloseReason::Unread => "response_not_read",
+            ClientCloseReason::MemoryLimit => "memory_limit",
+            ClientCloseReason::ResponseNotRead => "response_not_read",
             ClientCloseReason::Idle => "idle",
             ClientCloseReason::Finished => "finished",
         }
     }
+
+    /// Whether it is part of ordinary service.
+    fn is_ordinary(self) -> bool {
+        matches!(self, ClientCloseReason::Disconnected | ClientCloseReason::Finished)
+    }
 }
 
-/// Why a connection to a node ended.
+/// Why a connection to an endpoint was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamCloseReason {
-    /// It rested for too long.
-    Retired,
-    /// It made limits for another.
+    /// It was idle for too long.
+    Expired,
+    /// It made room for another connection.
     Evicted,
-    /// Its node drains or has gone, or is at another address.
+    /// Its endpoint drains, was removed, or has another address.
     EndpointRemoved,
-    /// Its node once sent more than it was asked for, or its last answer was a refusal or an error.
+    /// Its endpoint once sent more than was requested, or its last response was a refusal or an error.
     NotReusable,
-    /// Bytes came on it while it rested.
+    /// Bytes arrived on it while it was idle.
     UnsolicitedBytes,
-    /// Its node ended it while it rested.
+    /// Its endpoint closed it while it was idle.
     ClosedWhileIdle,
-    /// Its answer said so, ended with it, or came with bytes behind it or before its request was written whole.
+    /// Its response said so, ended with it, came with bytes behind it or before its request was written completely.
     AfterResponse,
-    /// The attempt on it ended without a whole answer.
+    /// The attempt on it ended without a complete response.
     Attempt(AttemptEnd),
 }
 
 impl UpstreamCloseReason {
-    pub fn word(self) -> &'static str {
+    /// The name under which it is logged and counted.
+    pub fn as_str(self) -> &'static str {
         match self {
-            UpstreamCloseReason::Retired => "retired",
+            UpstreamCloseReason::Expired => "expired",
             UpstreamCloseReason::Evicted => "evicted",
             UpstreamCloseReason::EndpointRemoved => "endpoint_removed",
             UpstreamCloseReason::NotReusable => "not_reusable",
             UpstreamCloseReason::UnsolicitedBytes => "unsolicited_bytes",
             UpstreamCloseReason::ClosedWhileIdle => "closed_while_idle",
             UpstreamCloseReason::AfterResponse => "after_response",
-            UpstreamCloseReason::Attempt(sign) => sign.word(),
+            UpstreamCloseReason::Attempt(end) => end.as_str(),
         }
     }
 }
@@ -80,41 +90,42 @@
 /// Counters of requests and connections since the start, by reason.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounts {
-    /// Answered by the host itself.
-    pub answered: BTreeMap<&'static str, u64>,
-    /// Attempts after the first, by what the one before met.
+    /// Requests that this host answered itself.
+    pub not_served: BTreeMap<&'static str, u64>,
+    /// Attempts after the first, by the outcome of the one before.
     pub retried: BTreeMap<&'static str, u64>,
-    pub closed: BTreeMap<&'static str, u64>,
-    /// Connections to nodes that ended.
-    pub upstream_closed: BTreeMap<&'static str, u64>,
-    /// Bytes that came from a node outside an exchange, by node: how often.
-    pub unexpected: BTreeMap<String, u64>,
-    /// ResponseReader that were given to nobody, as they may belong to another request.
-    pub on_mismatch: BTreeMap<&'static str, u64>,
-}
-
-/// Nodes that are counted by name: a list that names new nodes day after day must not make the counters grow.
-const MAX_NAMED: usize = 256;
-
-/// Writes the lines and keeps the counters.
-pub struct RequestLog {
-    refused: LogLimit,
-    answered: LogLimit,
-    retried: LogLimit,
-    gone: LogLimit,
-    closed: LogLimit,
-    upstream_closed: LogLimit,
-    unexpected: LogLimit,
-    pub counts: RequestCounts,
+    /// Connections of clients that were closed.
+    pub clients_closed: BTreeMap<&'static str, u64>,
+    /// Connections to endpoints that were closed.
+    pub upstreams_closed: BTreeMap<&'static str, u64>,
+    /// How often bytes arrived from an endpoint outside an exchange, by endpoint.
+    pub unsolicited_bytes: BTreeMap<String, u64>,
+    /// Responses that nobody was given, as they may belong to another request.
+    pub mismatched: BTreeMap<&'static str, u64>,
 }
 
 /// A request as the log names it.
 pub struct RequestLabels<'a> {
+    /// The id that the client has given it.
     pub id: &'a str,
+    /// How many attempts were started.
     pub attempts: u32,
+    /// How long ago it was received.
     pub age: Ms,
-    /// The node that the last attempt went to.
-    pub node: Option<&'a str>,
+    /// The endpoint of the latest attempt.
+    pub endpoint: Option<&'a str>,
+}
+
+/// Writes the log lines and keeps the counters.
+pub struct RequestLog {
+    refused: LogLimit,
+    not_served: LogLimit,
+    retried: LogLimit,
+    disconnected: LogLimit,
+    client_closed: LogLimit,
+    upstream_closed: LogLimit,
+    unsolicited: LogLimit,
+    counts: RequestCounts,
 }
 
 impl Default for RequestLog {
@@ -122,136 +133,176 @@
         let limit = || LogLimit::new(BURST, PER_SECOND);
         RequestLog {
             refused: limit(),
-            answered: limit(),
+            not_served: limit(),
             retried: limit(),
-            gone: limit(),
-            closed: limit(),
+            disconnected: limit(),
+            client_closed: limit(),
             upstream_closed: limit(),
-            unexpected: limit(),
+            unsolicited: limit(),
             counts: RequestCounts::default(),
         }
     }
 }
 
 impl RequestLog {
-    /// What a client sent was refused before it became a request.
-    pub fn refused(&mut self, now: Ms, client: u64, status: u16, why: &str) {
+    /// The counters.
+    pub fn counts(&self) -> &RequestCounts {
+        &self.counts
+    }
+
+    /// What a client sent was not accepted as a request.
+    pub fn request_refused(&mut self, now: Ms, client: u64, rejection: Rejection) {
         if let Some(suppressed) = self.refused.admit(now) {
-            tracing::info!(client, status, why, suppressed, "request_rejected");
+            let Rejection { status, reason } = rejection;
+            tracing::info!(client, status, reason, suppressed, "request_refused");
         }
     }
 
-    /// The host gave the final answer itself.
-    pub fn answered(&mut self, now: Ms, request: &RequestLabels, status: u16, reason: Reason) {
+    /// This host gave the response itself.
+    pub fn request_not_served(&mut self, now: Ms, request: &RequestLabels, status: u16, reason: Reason) {
         let reason = reason.word();
-        *self.counts.answered.entry(reason).or_default() += 1;
-        if let Some(suppressed) = self.answered.admit(now) {
-            let (id, attempts, age_ms, node) = (request.id, request.attempts, request.age, request.node);
-            tracing::info!(id, status, reason, attempts, age_ms, node, suppressed, "request_not_served");
+        *self.counts.not_served.entry(reason).or_default() += 1;
+        if let Some(suppressed) = self.not_served.admit(now) {
+            let RequestLabels { id: request_id, attempts, age: elapsed_ms, endpoint } = *request;
+            tracing::info!(
+                request_id,
+                status,
+                reason,
+                attempts,
+                elapsed_ms,
+                endpoint,
+                suppressed,
+                "request_not_served"
+            );
         }
     }
 
-    /// A further attempt of a request begins at `to`.
-    pub fn retried(&mut self, now: Ms, request: &RequestLabels, to: &str, after: Outcome) {
-        let after = Reason::After(after).word();
-        *self.counts.retried.entry(after).or_default() += 1;
+    /// Another attempt of a request starts at `next`; `outcome`: that of the one before.
+    pub fn request_retried(&mut self, now: Ms, request: &RequestLabels, next: &str, outcome: Outcome) {
+        let outcome = Reason::After(outcome).word();
+        *self.counts.retried.entry(outcome).or_default() += 1;
         if let Some(suppressed) = self.retried.admit(now) {
-            let (id, attempt, age_ms, node) = (request.id, request.attempts, request.age, request.node);
-            tracing::info!(id, attempt, age_ms, node, to, after, suppressed, "request_retried");
+            let RequestLabels { id: request_id, attempts: attempt, age: elapsed_ms, endpoint } = *request;
+            tracing::info!(
+                request_id,
+                attempt,
+                elapsed_ms,
+                endpoint,
+                next,
+                outcome,
+                suppressed,
+                "request_retried"
+            );
         }
     }
 
-    /// The client closed its connection while its request was open.
-    pub fn on_client_disconnect(&mut self, now: Ms, request: &RequestLabels) {
-        if let Some(suppressed) = self.gone.admit(now) {
-            let (id, attempts, age_ms, node) = (request.id, request.attempts, request.age, request.node);
-            tracing::info!(id, attempts, age_ms, node, suppressed, "client_disconnected");
+    /// The client disconnected while its request was open.
+    pub fn client_disconnected(&mut self, now: Ms, request: &RequestLabels) {
+        if let Some(suppressed) = self.disconnected.admit(now) {
+            let RequestLabels { id: request_id, attempts, age: elapsed_ms, endpoint } = *request;
+            tracing::info!(request_id, attempts, elapsed_ms, endpoint, suppressed, "client_disconnected");
         }
     }
 
-    /// No connection could be accepted, and none is for a while.
-    pub fn accept_failed(&mut self, now: Ms, error: &std::io::Error) {
+    /// No connection can be accepted, and none is for a while.
+    pub fn accept_paused(&mut self, now: Ms, error: &std::io::Error) {
         if let Some(suppressed) = self.refused.admit(now) {
             tracing::warn!(%error, suppressed, "accept_paused");
         }
     }
 
-    /// A client's connection ended; `open`: its request that had no answer yet.
-    pub fn closed(&mut self, now: Ms, client: u64, asked: u32, open: Option<u64>, why: ClientCloseReason) {
-        let word = why.word();
-        *self.counts.closed.entry(word).or_default() += 1;
-        tracing::debug!(client, asked, open, why = word, "client_connection_closed");
-        let ordinary = matches!(why, ClientCloseReason::ByClient | ClientCloseReason::Finished);
-        if let Some(suppressed) = (!ordinary).then(|| self.closed.admit(now)).flatten() {
-            tracing::info!(client, asked, open, why = word, suppressed, "client_connection_closed");
+    /// A client's connection was closed; `open_request`: its request that had no response yet.
+    pub fn client_closed(
+        &mut self,
+        now: Ms,
+        client: u64,
+        requests: u32,
+        open_request: Option<u64>,
+        reason: ClientCloseReason,
+    ) {
+        let is_ordinary = reason.is_ordinary();
+        let reason = reason.as_str();
+        *self.counts.clients_closed.entry(reason).or_default() += 1;
+        tracing::debug!(client, requests, open_request, reason, "client_connection_closed");
+        if is_ordinary {
+            return;
+        }
+        if let Some(suppressed) = self.client_closed.admit(now) {
+            tracing::info!(client, requests, open_request, reason, suppressed, "client_connection_closed");
         }
     }
 
-    /// A request was read whole and taken; `request` is its number in other lines.
-    pub fn taken(&self, client: u64, id: &str, request_id: u64, requests_before: u32) {
-        tracing::debug!(client, id, request_id, requests_before, "request_received");
+    /// A request was accepted; `number` names it in other lines.
+    pub fn request_received(&self, client: u64, request_id: &str, number: u64, requests_before: u32) {
+        tracing::debug!(client, request_id, number, requests_before, "request_received");
     }
 
-    /// An answer was handed to a client's connection.
-    pub fn replied(&self, client: u64, request_id: Option<u64>, status: u16, close: bool) {
-        tracing::debug!(client, request_id, status, close, "response_queued");
+    /// A response was queued for a client.
+    pub fn response_queued(&self, client: u64, number: Option<u64>, status: u16, close: bool) {
+        tracing::debug!(client, number, status, close, "response_queued");
     }
 
-    /// An attempt begins on a connection to a node.
-    pub fn attempt_begun(&self, request: &RequestLabels, connection: u64, exchanges: u32, deadline: Ms) {
-        let (id, attempt, node) = (request.id, request.attempts, request.node);
-        tracing::debug!(id, attempt, node, connection, exchanges, deadline_ms = deadline, "attempt_started");
+    /// An attempt was written to a connection.
+    pub fn attempt_started(&self, request: &RequestLabels, connection: u64, exchanges: u32, deadline_ms: Ms) {
+        let RequestLabels { id: request_id, attempts: attempt, endpoint, .. } = *request;
+        tracing::debug!(request_id, attempt, endpoint, connection, exchanges, deadline_ms, "attempt_started");
     }
 
-    /// An attempt ended.
-    pub fn attempt_ended(&self, request: &RequestLabels, outcome: Outcome, latency: Ms) {
-        let (id, attempt, node) = (request.id, request.attempts, request.node);
+    /// An attempt has ended.
+    pub fn attempt_finished(&self, request: &RequestLabels, outcome: Outcome, elapsed_ms: Ms) {
+        let RequestLabels { id: request_id, attempts: attempt, endpoint, .. } = *request;
         let outcome = Reason::After(outcome).word();
-        tracing::debug!(id, attempt, node, outcome, latency_ms = latency, "attempt_finished");
+        tracing::debug!(request_id, attempt, endpoint, outcome, elapsed_ms, "attempt_finished");
     }
 
-    /// A connection to a node ended.
+    /// A connection to an endpoint was closed.
     pub fn upstream_closed(
         &mut self,
         now: Ms,
-        node: Option<&str>,
+        endpoint: Option<&str>,
         connection: u64,
         exchanges: u32,
-        why: UpstreamCloseReason,
+        reason: UpstreamCloseReason,
     ) {
-        let why = why.word();
-        *self.counts.upstream_closed.entry(why).or_default() += 1;
-        tracing::debug!(node, connection, exchanges, why, "upstream_closed");
+        let reason = reason.as_str();
+        *self.counts.upstreams_closed.entry(reason).or_default() += 1;
+        tracing::debug!(endpoint, connection, exchanges, reason, "upstream_closed");
         if let Some(suppressed) = self.upstream_closed.admit(now) {
-            tracing::info!(node, connection, exchanges, why, suppressed, "upstream_closed");
+            tracing::info!(endpoint, connection, exchanges, reason, suppressed, "upstream_closed");
         }
     }
 
-    /// An answer came that may belong to another request than the open one, and was given to nobody.
-    pub fn on_mismatch(&mut self, now: Ms, node: Option<&str>, connection: u64, doubt: &'static str) {
-        *self.counts.on_mismatch.entry(doubt).or_default() += 1;
-        if let Some(suppressed) = self.unexpected.admit(now) {
-            tracing::warn!(node, connection, doubt, suppressed, "response_mismatched");
+    /// A response may belong to another request than the open one, and nobody was given it.
+    pub fn response_mismatched(
+        &mut self,
+        now: Ms,
+        endpoint: Option<&str>,
+        connection: u64,
+        mismatch: ResponseMismatch,
+    ) {
+        let reason = mismatch.as_str();
+        *self.counts.mismatched.entry(reason).or_default() += 1;
+        if let Some(suppressed) = self.unsolicited.admit(now) {
+            tracing::warn!(endpoint, connection, reason, suppressed, "response_mismatched");
         }
     }
 
-    /// Bytes came from a node that belong to no exchange, so long after the last one on their connection ended.
-    pub fn unexpected_bytes(
+    /// Bytes arrived from an endpoint outside an exchange, so long after the last one on their connection ended.
+    pub fn unsolicited_bytes_received(
         &mut self,
         now: Ms,
-        node: Option<&str>,
+        endpoint: Option<&str>,
         connection: u64,
         bytes: usize,
-        rested: Ms,
+        idle_ms: Ms,
     ) {
-        let name = node.unwrap_or("unlisted");
-        let counts = &mut self.counts.unexpected;
-        if counts.len() < MAX_NAMED || counts.contains_key(name) {
+        let name = endpoint.unwrap_or("unlisted");
+        let counts = &mut self.counts.unsolicited_bytes;
+        if counts.len() < MAX_NAMED_ENDPOINTS || counts.contains_key(name) {
             *counts.entry(name.to_string()).or_default() += 1;
         }
-        if let Some(suppressed) = self.unexpected.admit(now) {
-            let rested_ms = rested;
-            tracing::warn!(node, connection, bytes, rested_ms, suppressed, "unsolicited_bytes_received");
+        if let Some(suppressed) = self.unsolicited.admit(now) {
+            tracing::warn!(endpoint, connection, bytes, idle_ms, suppressed, "unsolicited_bytes_received");
         }
     }
 }
--- /dev/null
+++ b/crates/platform/src/signals.rs
@@ -0,0 +1,28 @@
+//! Signals as events of the poller.
+
+use magpiewick_transport::{Poll, Registered};
+use std::io::{self, Read};
+use std::os::unix::net::UnixStream;
+
+/// A signal whose handler writes to a socket that the poller watches.
+pub struct SignalSource(Registered<UnixStream>);
+
+impl SignalSource {
+    /// Handles a signal from now on, and registers it under a key.
+    pub fn register(poll: &Poll, signal: i32, key: usize) -> io::Result<SignalSource> {
+        let (receiver, sender) = UnixStream::pair()?;
+        receiver.set_nonblocking(true)?;
+        signal_hook::low_level::pipe::register(signal, sender)?;
+        Ok(SignalSource(poll.register(receiver, key)?))
+    }
+
+    /// Whether the signal was received since the last call.
+    pub fn take(&mut self) -> bool {
+        let mut bytes = [0; 64];
+        let mut received = false;
+        while matches!(self.0.read(&mut bytes), Ok(n) if n > 0) {
+            received = true;
+        }
+        received
+    }
+}
--- a/crates/platform/src/wall_clock.rs
+++ b/crates/platform/src/wall_clock.rs
@@ -1,12 +1,13 @@
-//! Times that others tell by the wall clock, on the loop's monotonic clock; free of I/O.
+//! Times of the wall clock on the loop's monotonic clock.
 
 use magpiewick::Ms;
+use std::time::SystemTime;
 
-/// The wall clock as the loop's clock sees it. It may step while the host runs, forward or back: a time that was config
-/// may have been read before or after such a step.
+/// The wall clock as the loop's clock sees it. It may step forward or back while the host runs, and a time may have
+/// been read before or after such a step.
 #[derive(Clone, Copy, Debug)]
 pub struct WallClock {
-    /// The least Unix time in milliseconds at which the loop's clock would have been 0, by any reading so far.
+    /// The least Unix time in milliseconds at which the loop's clock was 0, by any reading so far.
     epoch: f64,
 }
 
@@ -21,13 +22,18 @@
         self.epoch = self.epoch.min(unix - now);
     }
 
-    /// When something that was config as past happened on the loop's clock: the latest time that it can have been.
-    /// Guards against nodes that have just started and seem warm, as the clock was set back before they did, and
-    /// against nodes that seem to start later than now; it costs a slow start where nothing has started.
+    /// The latest time on the loop's clock that a Unix time in the past can mean. An endpoint that has just started
+    /// must not seem warm because a clock was set back; a needless slow start costs less.
     pub fn latest(&self, unix: f64, now: Ms) -> Ms {
         (unix - self.epoch).min(now)
     }
 }
 
+/// The wall clock's Unix time in milliseconds.
+pub fn unix_time() -> f64 {
+    let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    since_epoch.map_or(0.0, |time| time.as_secs_f64() * 1000.0)
+}
+
 #[cfg(test)]
 mod tests;
