--- a/crates/exchange/src/endpoint_trust/tests.rs
+++ b/crates/exchange/src/endpoint_trust/tests.rs
@@ -20,7 +20,7 @@
     trust.on_unsolicited_bytes(2, 10.0);
     assert_eq!(trust.min_idle(), 400.0);
     trust.on_unsolicited_bytes(2, 30_000.0);
-    assert_eq!(trust.min_idle(), 400.0, "the last word of a connection that rested is no late answer");
+    assert_eq!(trust.min_idle(), 400.0, "what comes at the end of an idle connection is no late response");
     trust.on_unsolicited_bytes(2, 900.0);
     assert_eq!(trust.min_idle(), MAX_LEARNED_IDLE_MS);
 }
--- a/crates/exchange/src/exchange_history.rs
+++ b/crates/exchange/src/exchange_history.rs
@@ -2,7 +2,7 @@
 
 use crate::Ms;
 use std::collections::VecDeque;
-use std::fmt;
+use thiserror::Error;
 use xxhash_rust::xxh3::Xxh3;
 
 /// How every response begins.
@@ -24,14 +24,17 @@
 }
 
 /// Why a response may belong to another request than the one in flight.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ResponseMismatch {
     /// It names another request.
+    #[error("the response names another request")]
     DifferentRequestId,
     /// It is the same as an earlier one on this connection.
+    #[error("the response is the same as an earlier one on its connection")]
     DuplicateResponse,
     /// The beginning of another response is in its body, and more came after it: a part of an earlier response came
     /// first, and was filled up with what came next.
+    #[error("another response begins in the body")]
     ContainsAnotherResponse,
 }
 
@@ -46,12 +49,6 @@
     }
 }
 
-impl fmt::Display for ResponseMismatch {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(self.as_str())
-    }
-}
-
 /// What is known of the exchanges of one connection.
 #[derive(Clone, Debug, Default)]
 pub struct ExchangeHistory {
--- a/crates/exchange/src/exchange_history/tests.rs
+++ b/crates/exchange/src/exchange_history/tests.rs
@@ -31,18 +31,18 @@
     assert_eq!(history.verify(&arrived(b"first", b""), "a"), Err(ResponseMismatch::DuplicateResponse));
     assert_eq!(history.verify(&arrived(b"second", b"x"), "a"), Err(ResponseMismatch::DuplicateResponse));
     assert_eq!(history.verify(&arrived(b"third", b"noise"), "a"), Ok(()));
-    // What was found to be no copy of the last has another status or another body.
+    // A response with another status or another body is no copy.
     let failed = ReceivedResponse { status: 500, ..arrived(b"first", b"") };
     assert_eq!(history.verify(&failed, "a"), Ok(()));
 }
 
 quickcheck! {
-    /// Wherever a copy was cut, the body that is made of it and of the next answer is not consumed for one.
+    /// Wherever a copy was cut, a body that is made of it and of the next response is recognised.
     fn a_truncated_copy_before_a_response_is_a_mismatch(first: Vec<u8>, second: Vec<u8>, cut: usize) -> bool {
         if first.is_empty() {
             return true;
         }
-        // So many bytes of the copy's body came; the next answer fills it up.
+        // So many bytes of the copy's body arrived; the next response fills it up.
         let came = cut % first.len();
         let next = [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n".as_slice(), &second].concat();
         let stream = [&first[..came], &next].concat();
--- a/crates/exchange/src/request_queue/tests.rs
+++ b/crates/exchange/src/request_queue/tests.rs
@@ -10,7 +10,7 @@
     String::from_utf8_lossy(&request.head).split(' ').nth(1).unwrap_or_default().to_string()
 }
 
-/// What comes out of a queue until nothing more does: the names of requests, and which were refused.
+/// What comes out of a queue until nothing more does: the names of requests, and which were rejected.
 fn drained(queue: &mut RequestQueue) -> Vec<Option<String>> {
     let mut all = Vec::new();
     loop {
--- a/crates/exchange/tests/interleavings.rs
+++ b/crates/exchange/tests/interleavings.rs
@@ -1,10 +1,10 @@
-//! A search over what may come in front of an answer on a connection, and over how the bytes are cut into reads: no
-//! body reaches a request for which it was not made.
+//! A search over what may arrive before a response on a connection, and over how the bytes are split into reads: no
+//! body is given to a request that it does not belong to.
 
 use magpiewick_exchange::{ExchangeHistory, ReceivedResponse};
 use magpiewick_http1::ResponseReader;
 
-/// Bodies of one connection's exchanges, unlike each other in length and in what they hold.
+/// Bodies of one connection's exchanges, of different length and contents.
 const BODIES: [&[u8]; 4] = [
     b"first body",
     b"2",
@@ -31,7 +31,7 @@
     .concat()
 }
 
-/// What may be left of the exchanges before this one: copies, each cut at each byte, noise and interim answers.
+/// What may be left of the exchanges before this one: copies, each cut at each byte, garbage and interim responses.
 fn unsolicited_prefixes(before: &[Vec<u8>]) -> Vec<Vec<u8>> {
     let mut all =
         vec![b"\x01\x02noise".to_vec(), b"\r\n".to_vec(), b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()];
@@ -70,7 +70,7 @@
             for prefix in unsolicited_prefixes(&answers[..now]) {
                 let together = [&prefix[..], &answers[now]].concat();
                 let mut readings: Vec<Vec<&[u8]>> = vec![vec![&together], vec![&prefix, &answers[now]]];
-                // The prefix comes in two reads, and the answer whole behind it.
+                // The prefix arrives in two reads, and the complete response after it.
                 readings.extend((1..prefix.len()).map(|cut| vec![&prefix[..cut], &together[cut..]]));
                 for reads in readings {
                     searched += 1;
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -1,5 +1,5 @@
 //! Framing against a plain model and on hostile bytes: any split of the bytes gives the same result, and no bytes
-//! panic or make the reader hold more than its bounds.
+//! cause a panic or make the reader keep more than its limits.
 
 use magpiewick_http1::{
     may_begin_request, parse_request_head, write_request_head, write_response, BodyFraming, CompleteRequest,
@@ -8,7 +8,7 @@
 };
 use quickcheck::quickcheck;
 
-/// The status that a request's head is refused with; 0: it is good.
+/// The status that a request's head is rejected with; 0: it is good.
 fn refused(head: &str) -> u16 {
     let end = match HeadReader::default().end(head.as_bytes()) {
         Ok(Some(end)) => end,
@@ -110,7 +110,7 @@
     }
 }
 
-/// All answers in some bytes that come in pieces, and whether they went bad at last.
+/// All responses in bytes that arrive in pieces, and whether they ended in a malformed one.
 fn answers(pieces: &[&[u8]]) -> (Vec<Response>, bool) {
     let (mut reader, mut input, mut found) = (ResponseReader::default(), Vec::new(), Vec::new());
     for piece in pieces {
@@ -144,7 +144,7 @@
     answers(&pieces(bytes, cuts))
 }
 
-/// Every kind of good answer, one behind the other.
+/// Every kind of good response, one after the other.
 const GOOD: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n\
     HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Rho: 3\r\n\r\nhello\
     HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n\
@@ -217,7 +217,7 @@
     assert_eq!(reader.read(&[7]), Err(MalformedResponse), "it is bounded as any other");
 }
 
-/// All requests in some bytes that come in pieces, and the status that the first bad one is refused with.
+/// All requests in bytes that arrive in pieces, and the status that the first bad one is rejected with.
 fn requests(pieces: &[&[u8]]) -> (Vec<CompleteRequest>, u16) {
     let (mut reader, mut input, mut found) = (RequestReader::default(), Vec::new(), Vec::new());
     for piece in pieces {
@@ -238,8 +238,8 @@
     (found, 0)
 }
 
-/// Every form of a good request, one behind the other.
-const ASKED: &[u8] = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n\
+/// Every form of a good request, one after the other.
+const REQUESTS: &[u8] = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n\
     PUT /b HTTP/1.1\r\nhost: h\r\nContent-Length:5\r\n\r\nhello\r\n\
     PUT /c HTTP/1.1\r\nHOST:  h \r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n\
     PUT /d HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nhi\
@@ -248,7 +248,7 @@
 
 #[test]
 fn requests_of_every_good_form_are_read_completely() {
-    let (found, status) = requests(&[ASKED]);
+    let (found, status) = requests(&[REQUESTS]);
     let bodies: Vec<&[u8]> = found.iter().map(|r| r.body.as_slice()).collect();
     assert_eq!((bodies, status), (vec![&b""[..], b"hello", b"abcde", b"hi", b"", b""], 0));
     assert!(found.iter().all(|r| parse_request_head(&r.head).is_ok()));
@@ -277,11 +277,11 @@
 
 quickcheck! {
     fn any_split_gives_the_same_requests(cuts: Vec<u16>) -> bool {
-        requests(&pieces(ASKED, &cuts)) == requests(&[ASKED])
+        requests(&pieces(REQUESTS, &cuts)) == requests(&[REQUESTS])
     }
 
     fn any_split_of_changed_bytes_gives_the_same_requests(cuts: Vec<u16>, at: u16, byte: u8) -> bool {
-        let mut bytes = ASKED.to_vec();
+        let mut bytes = REQUESTS.to_vec();
         let at = usize::from(at) % bytes.len();
         bytes[at] = byte;
         requests(&pieces(&bytes, &cuts)) == requests(&[&bytes])
--- a/crates/platform/src/connection_table.rs
+++ b/crates/platform/src/connection_table.rs
@@ -52,3 +52,6 @@
         self.slots.iter().enumerate().filter_map(|(key, slot)| Some((key, slot.as_deref()?)))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/platform/src/event_loop.rs
+++ b/crates/platform/src/event_loop.rs
@@ -249,9 +249,8 @@
                 // The new client takes the place of another.
                 Accepted::OutOfDescriptors(_) if self.proxy.evict_client() => {}
                 Accepted::OutOfDescriptors(error) | Accepted::OutOfResources(error) => {
-                    let now = self.proxy.now();
-                    self.listener.pause(now);
-                    self.proxy.log_mut().accept_paused(now, &error);
+                    self.listener.pause(self.proxy.now());
+                    self.proxy.log_accept_paused(&error);
                     return true;
                 }
             }
--- a/crates/platform/src/incoming_request/tests.rs
+++ b/crates/platform/src/incoming_request/tests.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// The status that is given to a request; 0: it is a request.
+/// The status that a head is rejected with; 0: it is a request.
 fn status(head: &str) -> u16 {
     let read = magpiewick_http1::parse_request_head(head.as_bytes())
         .unwrap_or_else(|r| panic!("{head}: {}", r.reason));
--- a/crates/platform/src/proxy.rs
+++ b/crates/platform/src/proxy.rs
@@ -26,6 +26,7 @@
 use magpiewick_engine::Reason;
 use magpiewick_http1::OutgoingResponse;
 use magpiewick_instance_settings::PlatformSettings;
+use std::io;
 
 /// Descriptors that are neither for clients nor for endpoints: the standard ones, the poller's, signals, the listener,
 /// discovery, and a file that is read again.
@@ -88,9 +89,9 @@
         &mut self.reactor
     }
 
-    /// The log of requests and connections.
-    pub fn log_mut(&mut self) -> &mut RequestLog {
-        &mut self.log
+    /// Logs that no connection can be accepted for a while.
+    pub fn log_accept_paused(&mut self, error: &io::Error) {
+        self.log.accept_paused(self.reactor.now(), error);
     }
 
     /// How far a shutdown has come.
--- a/crates/platform/src/request_registry.rs
+++ b/crates/platform/src/request_registry.rs
@@ -196,3 +196,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/platform/src/wall_clock/tests.rs
+++ b/crates/platform/src/wall_clock/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_node_that_starts_after_the_clock_was_set_back_has_just_started() {
     let mut clock = WallClock::new(START, 0.0);
-    // An hour back at 50 s; a node starts at 60 s and is config of at 62 s.
+    // An hour back at 50 s; an endpoint starts at 60 s and is listed at 62 s.
     clock.read(START - HOUR + 62_000.0, 62_000.0);
     assert_eq!(clock.latest(START - HOUR + 60_000.0, 62_000.0), 60_000.0);
 }
