--- a/crates/platform/src/event_loop.rs
+++ b/crates/platform/src/event_loop.rs
@@ -133,9 +133,10 @@
     /// Reads whatever can be read: discovery first, then clients, then endpoints, so that nothing is decided on old
     /// information, and nothing is written for a client whose disconnect can be seen.
     fn dispatch_readable(&mut self, readable: &[usize]) {
+        // Connections in the order of their kinds, then what is no open connection.
         let order = |key: &usize| match Source::from(*key) {
             Source::Connection(key) => {
-                (self.proxy.reactor().kind(key).is_none(), self.proxy.reactor().kind(key))
+                self.proxy.reactor().kind(key).map_or((true, None), |k| (false, Some(k)))
             }
             Source::Fixed(_) => (true, None),
         };
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,9 +2,9 @@
 //! environment and a JSON file. One event loop on one thread drives the engine, which makes every decision on
 //! requests.
 //!
-//! A request passes the [`listener`], a [`client_connection`], the [`request_registry`], the engine, the
-//! [`upstream_pool`] and an [`upstream_connection`]; its response comes back the same way. [`proxy`] is what passes it
-//! on, and [`event_loop`] what tells each owner what has happened. What can be decided without I/O is decided in
+//! A request passes the `listener`, a `client_connection`, the `request_registry`, the engine, the
+//! `upstream_pool` and an `upstream_connection`; its response comes back the same way. `proxy` is what passes it
+//! on, and `event_loop` what tells each owner what has happened. What can be decided without I/O is decided in
 //! modules of its own, which say so.
 
 #![warn(missing_docs)]
