--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,7 +1,7 @@
 //! What a fleet of emulated services is told.
 
 use crate::Ms;
-use magpiewick_extents::Pace;
+use magpiewick_extents::MigrationLimits;
 use magpiewick_hcl_settings::Part;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -62,7 +62,7 @@
     pub extents: u64,
     pub keys: u64,
     pub move_step: Ms,
-    pub pace: Pace,
+    pub pace: MigrationLimits,
     /// The volumes and the shards that hold them at first; the host's part of the file tells them.
     pub volumes: Vec<(u64, Vec<u32>)>,
 }
@@ -106,10 +106,10 @@
         extents: p.field("extents").whole_or(0..=1 << 20, 0),
         keys: p.field("keys").whole_or(1..=1 << 40, 1 << 20),
         move_step: p.field("move_step").time_or(20.0),
-        pace: Pace {
-            at_once: p.field("moves").whole_or(1..=1000, 4) as usize,
-            a_shard: p.field("moves_a_shard").whole_or(1..=1000, 2) as usize,
-            queue: p.field("moves_queue").whole_or(1..=1 << 20, 64) as usize,
+        pace: MigrationLimits {
+            max_concurrent: p.field("moves").whole_or(1..=1000, 4) as usize,
+            max_per_shard: p.field("moves_a_shard").whole_or(1..=1000, 2) as usize,
+            max_queue_length: p.field("moves_queue").whole_or(1..=1 << 20, 64) as usize,
         },
         volumes: Vec::new(),
     })
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -423,7 +423,7 @@
             None => (still, still, MoveStage::Still),
             Some((from, to, Stage::Copying)) => (from, to, MoveStage::Copying),
             Some((from, to, Stage::Copied)) => (from, to, MoveStage::Copied),
-            Some((from, to, Stage::Moved)) => (from, to, MoveStage::Moved),
+            Some((from, to, Stage::Switched)) => (from, to, MoveStage::Moved),
             Some((from, to, Stage::Abandoned)) => (from, to, MoveStage::Abandoned),
         };
         Message::MoveState { volume, start, from, to, stage }
@@ -497,7 +497,7 @@
             let (start, at, shard, version) = (e.start, e.end, e.shard, e.version);
             MapLine { kind: Mapped::Extent, volume, start, at, shard, version }
         };
-        (self.map.map.epoch(), self.map.map.all().map(line).collect())
+        (self.map.map.epoch(), self.map.map.extents().map(line).collect())
     }
 
     fn tell_whole_map(&mut self, index: usize, (epoch, lines): &(u64, Vec<MapLine>)) {
--- a/crates/emulator/src/moves.rs
+++ b/crates/emulator/src/moves.rs
@@ -2,7 +2,8 @@
 //! move are `crates/extents`' machines; this does what they ask.
 
 use magpiewick_extents::{
-    Asked, Change, Changes, Extent, Map, Mover, Pace, Record, Refused, Source, Stage, Target, VolumeMap,
+    Change, Changes, Extent, ExtentMap, Migration, MigrationLimits, MigrationRecord, MigrationSource,
+    MigrationStep, MigrationTarget, Stage, StaleCoordinator, VolumeMap,
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,10 +11,10 @@
 struct Moving {
     from: u32,
     to: u32,
-    record: Record,
-    source: Source,
-    target: Target,
-    mover: Option<Mover>,
+    record: MigrationRecord,
+    source: MigrationSource,
+    target: MigrationTarget,
+    mover: Option<Migration>,
     /// Keys that the source took since a copy began.
     noted: BTreeSet<u64>,
 }
@@ -27,7 +28,7 @@
 }
 
 pub struct Service {
-    pub map: Map,
+    pub map: ExtentMap,
     /// What is stored, by shard, volume and key.
     stores: HashMap<(u32, u64), BTreeMap<u64, Vec<u8>>>,
     moves: BTreeMap<(u64, u64), Moving>,
@@ -41,11 +42,11 @@
     pub denied: bool,
     pub swapped: bool,
     pub halved: bool,
-    pace: Pace,
+    pace: MigrationLimits,
 }
 
 impl Service {
-    pub fn new(volumes: &[(u64, Vec<u32>)], extents: u64, keys: u64, pace: Pace) -> Service {
+    pub fn new(volumes: &[(u64, Vec<u32>)], extents: u64, keys: u64, pace: MigrationLimits) -> Service {
         let mut all = BTreeMap::new();
         for (id, shards) in volumes.iter().filter(|(_, shards)| extents > 0 && !shards.is_empty()) {
             let cut = |i: u64| (i * keys / extents, shards[i as usize % shards.len()], 1);
@@ -55,7 +56,7 @@
                 all.insert(*id, volume);
             }
         }
-        let map = Map::whole(1, all);
+        let map = ExtentMap::new(1, all);
         Service {
             map,
             stores: HashMap::new(),
@@ -76,10 +77,10 @@
         match self.moves.get(&(volume, e.start)) {
             None if e.shard == shard => Ok(()),
             None => Err(Some((e.shard, e.version))),
-            Some(m) if m.from == shard && (m.source.serves() || self.leaky) => Ok(()),
-            Some(m) if m.to == shard && m.target.serves => Ok(()),
-            Some(m) if m.target.serves => Err(Some((m.to, e.version))),
-            Some(m) if m.from != shard && m.source.serves() => Err(Some((m.from, e.version))),
+            Some(m) if m.from == shard && (m.source.is_serving() || self.leaky) => Ok(()),
+            Some(m) if m.to == shard && m.target.serving => Ok(()),
+            Some(m) if m.target.serving => Err(Some((m.to, e.version))),
+            Some(m) if m.from != shard && m.source.is_serving() => Err(Some((m.from, e.version))),
             Some(_) => Err(None),
         }
     }
@@ -149,7 +150,7 @@
 
     /// The extent of this place in a volume, by its number.
     pub fn extent(&self, volume: u64, number: usize) -> Option<Extent> {
-        self.map.all().filter(|(v, _)| *v == volume).nth(number).map(|(_, e)| e)
+        self.map.extents().filter(|(v, _)| *v == volume).nth(number).map(|(_, e)| e)
     }
 
     /// Begins a move; false where there is nothing to move.
@@ -157,17 +158,18 @@
         if e.shard == to || self.moves.contains_key(&(volume, e.start)) {
             return false;
         }
-        let mut record = Record::still(e.version);
-        if record.plan().is_err() {
+        let mut record = MigrationRecord::idle(e.version);
+        if record.begin().is_err() {
             return false;
         }
-        let (source, target, mover) = (Source::new(), Target::default(), Some(Mover::from(&record)));
+        let (source, target, mover) =
+            (MigrationSource::new(), MigrationTarget::default(), Some(Migration::resume(&record)));
         let moving = Moving { from: e.shard, to, record, source, target, mover, noted: BTreeSet::new() };
         self.moves.insert((volume, e.start), moving);
         true
     }
 
-    /// Source, target and stage of an extent's move; none where it lies still.
+    /// MigrationSource, target and stage of an extent's move; none where it lies still.
     pub fn stage(&self, volume: u64, start: u64) -> Option<(u32, u32, Stage)> {
         self.moves.get(&(volume, start)).map(|m| (m.from, m.to, m.record.stage))
     }
@@ -175,8 +177,8 @@
     /// Gives a move up, if it still can be.
     pub fn abandon(&mut self, volume: u64, start: u64) {
         if let Some(m) = self.moves.get_mut(&(volume, start)) {
-            if m.record.abandon(m.record.number).is_ok() {
-                m.mover = Some(Mover::from(&m.record));
+            if m.record.abandon(m.record.id).is_ok() {
+                m.mover = Some(Migration::resume(&m.record));
             }
         }
     }
@@ -191,7 +193,7 @@
 
     /// One step of a move. `waiting` tells how many requests wait at a shard, none where no process runs.
     pub fn step(&mut self, place: (u64, u64), waiting: impl Fn(u32) -> Option<usize>) -> Stepped {
-        let begun = |m: &&Moving| m.target.holds.is_some() || m.record.stage != Stage::Copying;
+        let begun = |m: &&Moving| m.target.copy_of.is_some() || m.record.stage != Stage::Copying;
         let under_way: Vec<(u32, u32)> = self.moves.values().filter(begun).map(|m| (m.from, m.to)).collect();
         let up = |shard: u32| waiting(shard).is_some();
         let Some(m) = self.moves.get_mut(&place) else { return Stepped::Over(None) };
@@ -204,21 +206,25 @@
             return Stepped::Again;
         }
         // A mover that died has a successor, which starts from the record.
-        let mover = *m.mover.get_or_insert_with(|| Mover::from(&m.record));
+        let mover = *m.mover.get_or_insert_with(|| Migration::resume(&m.record));
         let needs_source = matches!(
-            mover.next,
-            Asked::CopyAll
-                | Asked::CopyAgain
-                | Asked::Fence
-                | Asked::CopyRest
-                | Asked::Release
-                | Asked::Unfence
+            mover.next_step,
+            MigrationStep::CopyAll
+                | MigrationStep::CopyAgain
+                | MigrationStep::Fence
+                | MigrationStep::CopyRemainder
+                | MigrationStep::Release
+                | MigrationStep::Unfence
         );
         let needs_target = matches!(
-            mover.next,
-            Asked::CopyAll | Asked::CopyAgain | Asked::CopyRest | Asked::Serve | Asked::DropCopy
+            mover.next_step,
+            MigrationStep::CopyAll
+                | MigrationStep::CopyAgain
+                | MigrationStep::CopyRemainder
+                | MigrationStep::Serve
+                | MigrationStep::DropCopy
         );
-        let recorded = matches!(mover.next, Asked::RecordCopied | Asked::Switch);
+        let recorded = matches!(mover.next_step, MigrationStep::RecordCopied | MigrationStep::Switch);
         if needs_source && !up(m.from) || needs_target && !up(m.to) || recorded && self.down {
             return Stepped::Again;
         }
@@ -227,12 +233,12 @@
         let record = m.record;
         let Some(next) = &mut m.mover else { return Stepped::Again };
         match done {
-            Ok(life) => next.done(life),
-            Err(Refused) => next.refused(&record),
+            Ok(life) => next.on_success(life),
+            Err(StaleCoordinator) => next.on_rejected(&record),
         }
-        let (over, to, number) = (next.next == Asked::Nothing, m.to, record.stage);
+        let (over, to, number) = (next.next_step == MigrationStep::Done, m.to, record.stage);
         let (volume, start) = place;
-        let now_moved = switched != Stage::Moved && number == Stage::Moved;
+        let now_moved = switched != Stage::Switched && number == Stage::Switched;
         let gave_up = over && number == Stage::Abandoned;
         let change = match self.map.find(volume, start) {
             Some(_) if now_moved => {
@@ -260,12 +266,12 @@
 
     fn ask(
         m: &mut Moving,
-        mover: &Mover,
+        mover: &Migration,
         (volume, start): (u64, u64),
-        map: &Map,
+        map: &ExtentMap,
         stores: &mut HashMap<(u32, u64), BTreeMap<u64, Vec<u8>>>,
-    ) -> Result<Option<u8>, Refused> {
-        let number = mover.number;
+    ) -> Result<Option<u8>, StaleCoordinator> {
+        let number = mover.id;
         let range = map.find(volume, start).map_or(start..start, |e| e.start..e.end);
         let mut copy = |keys: &dyn Fn(u64) -> bool| {
             let from = stores.get(&(m.from, volume));
@@ -276,38 +282,38 @@
                 .unwrap_or_default();
             stores.entry((m.to, volume)).or_default().extend(held);
         };
-        match mover.next {
-            Asked::CopyAll | Asked::CopyAgain => {
-                m.target.take(number)?;
+        match mover.next_step {
+            MigrationStep::CopyAll | MigrationStep::CopyAgain => {
+                m.target.receive_copy(number)?;
                 copy(&|_| true);
                 m.noted.clear();
-                return Ok(Some(m.source.life));
+                return Ok(Some(m.source.incarnation));
             }
-            Asked::Fence => m.source.fence(number)?,
-            Asked::CopyRest => {
-                let all = m.source.lacks_all(number, mover.life)?;
-                m.target.take_rest(number)?;
+            MigrationStep::Fence => m.source.fence(number)?,
+            MigrationStep::CopyRemainder => {
+                let all = m.source.needs_full_copy(number, mover.copied_from)?;
+                m.target.receive_remainder(number)?;
                 let noted = std::mem::take(&mut m.noted);
                 copy(&|key| all || noted.contains(&key));
                 m.noted = noted;
             }
-            Asked::RecordCopied => m.record.copied(number)?,
-            Asked::Switch => _ = m.record.switch(number)?,
-            Asked::Serve => m.target.serve(number)?,
-            Asked::Release => {
+            MigrationStep::RecordCopied => m.record.record_copied(number)?,
+            MigrationStep::Switch => _ = m.record.switch(number)?,
+            MigrationStep::Serve => m.target.start_serving(number)?,
+            MigrationStep::Release => {
                 m.source.release(number)?;
                 if let Some(store) = stores.get_mut(&(m.from, volume)) {
                     store.retain(|key, _| !range.contains(key));
                 }
             }
-            Asked::DropCopy => {
+            MigrationStep::DropCopy => {
                 m.target.drop_copy(number)?;
                 if let Some(store) = stores.get_mut(&(m.to, volume)) {
                     store.retain(|key, _| !range.contains(key));
                 }
             }
-            Asked::Unfence => m.source.unfence(number)?,
-            Asked::Nothing => {}
+            MigrationStep::Unfence => m.source.unfence(number)?,
+            MigrationStep::Done => {}
         }
         Ok(None)
     }
--- a/crates/extents/benches/lookup.rs
+++ b/crates/extents/benches/lookup.rs
@@ -1,7 +1,7 @@
-//! What finding an extent costs, by how many there are.
+//! The cost of finding an extent, by the number of extents.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use magpiewick_extents::{Map, VolumeMap};
+use magpiewick_extents::{ExtentMap, VolumeMap};
 use std::collections::BTreeMap;
 
 fn lookup(c: &mut Criterion) {
@@ -9,7 +9,7 @@
     for count in [1_000_u64, 100_000, 1_000_000] {
         let rows: Vec<(u64, u32, u32)> = (0..count).map(|i| (i * 4096, (i % 60) as u32, 1)).collect();
         let volume = VolumeMap::new(1, count * 4096, &rows).expect("rows that rise");
-        let map = Map::whole(1, BTreeMap::from([(1, volume)]));
+        let map = ExtentMap::new(1, BTreeMap::from([(1, volume)]));
         let mut offset = 0;
         group.bench_function(BenchmarkId::from_parameter(count), |b| {
             b.iter(|| {
--- a/crates/extents/tests/map.rs
+++ b/crates/extents/tests/extent_map.rs
@@ -1,4 +1,4 @@
-//! The map beside a plain one: an owner for every offset.
+//! The extent map against a reference model: an owner for every offset.
 
 use magpiewick_extents::*;
 use quickcheck::quickcheck;
@@ -7,11 +7,11 @@
 const SIZE: u64 = 24;
 
 /// Each offset's shard, version and whether an extent starts there.
-type Plain = BTreeMap<u64, Vec<(u32, u32, bool)>>;
+type ReferenceMap = BTreeMap<u64, Vec<(u32, u32, bool)>>;
 
-/// The slow way; none where the change must be refused.
-fn plainly(plain: &Plain, change: &Change) -> Option<Plain> {
-    let mut after = plain.clone();
+/// Applies a change to the reference model; `None` where the change must be rejected.
+fn apply_to_reference(reference: &ReferenceMap, change: &Change) -> Option<ReferenceMap> {
+    let mut after = reference.clone();
     let starts = |row: &Vec<(u32, u32, bool)>, at: u64| row.get(at as usize).is_some_and(|o| o.2);
     let end = |row: &Vec<(u32, u32, bool)>, start: u64| {
         (start + 1..row.len() as u64).find(|at| row[*at as usize].2).unwrap_or(row.len() as u64)
@@ -68,21 +68,21 @@
 }
 
 quickcheck! {
-    fn every_offset_has_the_owner_of_the_plain_map(steps: Vec<Vec<(u8, u8, u8, u8)>>) -> bool {
-        let (mut map, mut plain) = (Map::default(), Plain::new());
+    fn every_offset_has_the_owner_of_the_reference_map(steps: Vec<Vec<(u8, u8, u8, u8)>>) -> bool {
+        let (mut map, mut reference) = (ExtentMap::default(), ReferenceMap::new());
         for step in steps {
             let changes: Vec<Change> = step.into_iter().map(change).collect();
             let before = map.clone();
-            let after = changes.iter().try_fold(plain.clone(), |p, change| plainly(&p, change));
-            let taken = map.apply(&Changes { epoch: map.epoch() + 1, changes });
-            match (taken, after) {
-                (Ok(()), Some(after)) => plain = after,
-                // A refusal changes nothing, not even what stood before the fault.
+            let after = changes.iter().try_fold(reference.clone(), |p, change| apply_to_reference(&p, change));
+            let applied = map.apply(&Changes { epoch: map.epoch() + 1, changes });
+            match (applied, after) {
+                (Ok(()), Some(after)) => reference = after,
+                // An error changes nothing, not even what stood before the fault.
                 (Err(_), None) if map == before => {}
                 _ => return false,
             }
-            for (volume, row) in &plain {
-                let mut spanned = map.span(*volume, 0, SIZE).unwrap_or_default().into_iter();
+            for (volume, row) in &reference {
+                let mut spanned = map.overlapping(*volume, 0, SIZE).unwrap_or_default().into_iter();
                 for (at, (shard, version, starts)) in row.iter().enumerate() {
                     let Some(e) = map.find(*volume, at as u64) else { return false };
                     let here = e.start <= at as u64 && (at as u64) < e.end;
@@ -103,23 +103,23 @@
 }
 
 #[test]
-fn missing_and_repeated_changes_are_told_apart() {
-    let mut map = Map::default();
+fn missing_and_repeated_changes_are_distinguished() {
+    let mut map = ExtentMap::default();
     let create =
         |epoch| Changes { epoch, changes: vec![Change::Create { volume: epoch, size: 9, shard: 0 }] };
-    assert_eq!(map.apply(&create(2)), Err(Fault::Gap { have: 0, got: 2 }));
+    assert_eq!(map.apply(&create(2)), Err(MapError::Gap { have: 0, got: 2 }));
     assert_eq!(map.apply(&create(1)), Ok(()));
-    assert_eq!(map.apply(&create(1)), Err(Fault::Old));
-    assert_eq!((map.epoch(), map.extents()), (1, 1));
+    assert_eq!(map.apply(&create(1)), Err(MapError::AlreadyApplied));
+    assert_eq!((map.epoch(), map.extent_count()), (1, 1));
 }
 
 #[test]
 fn a_million_extents_take_sixteen_bytes_each() {
     let rows: Vec<(u64, u32, u32)> = (0..1_000_000).map(|i| (i * 4096, (i % 60) as u32, 1)).collect();
     let volume = VolumeMap::new(1, 4096 * 1_000_000, &rows).unwrap();
-    let map = Map::whole(7, BTreeMap::from([(1, volume)]));
-    assert_eq!((map.extents(), map.bytes()), (1_000_000, 16_000_000));
+    let map = ExtentMap::new(7, BTreeMap::from([(1, volume)]));
+    assert_eq!((map.extent_count(), map.memory_bytes()), (1_000_000, 16_000_000));
     assert_eq!(map.find(1, 4096 * 77 + 5).map(|e| (e.start, e.shard)), Some((4096 * 77, 17)));
-    assert_eq!(VolumeMap::new(1, 10, &[(0, 0, 1), (0, 1, 1)]), Err(Fault::Disorder { volume: 1 }));
-    assert_eq!(VolumeMap::new(1, 10, &[(3, 0, 1)]), Err(Fault::Disorder { volume: 1 }));
+    assert_eq!(VolumeMap::new(1, 10, &[(0, 0, 1), (0, 1, 1)]), Err(MapError::Disorder { volume: 1 }));
+    assert_eq!(VolumeMap::new(1, 10, &[(3, 0, 1)]), Err(MapError::Disorder { volume: 1 }));
 }
--- /dev/null
+++ b/crates/extents/tests/migration_model.rs
@@ -0,0 +1,235 @@
+//! Exhaustive search over the interleavings of one extent's migrations within small bounds: coordinators that die,
+//! come back late or act twice, lost answers, restarted nodes, a target that loses its copy, migrations abandoned at any step.
+
+use magpiewick_extents::*;
+use std::collections::{HashMap, VecDeque};
+
+/// Bounds: writes, restarts of the source, losses of the target's copy, migrations.
+const WRITES: u8 = 2;
+const RESTARTS: u8 = 1;
+const LOSSES: u8 = 1;
+const MIGRATIONS: u32 = 2;
+
+/// The durable state of one extent's migrations.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct Machine {
+    record: MigrationRecord,
+    source: MigrationSource,
+    target: MigrationTarget,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct State {
+    m: Machine,
+    /// A coordinator, and another that is late: an older one, or what the first sent twice.
+    coordinators: [Option<Migration>; 2],
+    /// Sets of writes as bits: acknowledged, at the source, logged there since a copy began, at the target.
+    acknowledged: u8,
+    source: u8,
+    logged: u8,
+    target: u8,
+    losses: u8,
+}
+
+/// Defects seeded into the state machines, to show that the search finds them.
+#[derive(Clone, Copy, PartialEq)]
+enum Defect {
+    None,
+    /// A restarted source is not noticed.
+    IncarnationIgnored,
+    /// The source goes on serving.
+    FenceIgnored,
+    /// The remainder is accepted without the copy before it.
+    RemainderWithoutCopy,
+}
+
+fn first() -> State {
+    let m = Machine {
+        record: MigrationRecord::idle(1),
+        source: MigrationSource::new(),
+        target: MigrationTarget::default(),
+    };
+    State { m, coordinators: [None; 2], acknowledged: 0, source: 0, logged: 0, target: 0, losses: 0 }
+}
+
+fn serves(s: &State, defect: Defect) -> (bool, bool) {
+    let source = s.m.source.is_serving() || defect == Defect::FenceIgnored && !s.m.source.released;
+    (source, s.m.target.serving)
+}
+
+/// Performs a step; the source's incarnation where it is reported, or that the step was rejected.
+fn perform(s: &mut State, migration: &Migration, defect: Defect) -> Result<Option<u8>, StaleCoordinator> {
+    let id = migration.id;
+    match migration.next_step {
+        MigrationStep::CopyAll | MigrationStep::CopyAgain => {
+            if s.m.source.released {
+                return Err(StaleCoordinator);
+            }
+            let kept = if s.m.target.copy_of == Some(id) { s.target } else { 0 };
+            s.m.target.receive_copy(id)?;
+            (s.target, s.logged) = (kept | s.source, 0);
+            return Ok(Some(s.m.source.incarnation));
+        }
+        MigrationStep::Fence => s.m.source.fence(id)?,
+        MigrationStep::CopyRemainder => {
+            let all = s.m.source.needs_full_copy(id, migration.copied_from)?
+                && defect != Defect::IncarnationIgnored;
+            match defect {
+                Defect::RemainderWithoutCopy => s.m.target.receive_copy(id)?,
+                _ => s.m.target.receive_remainder(id)?,
+            }
+            s.target |= if all { s.source } else { s.logged };
+        }
+        MigrationStep::RecordCopied => s.m.record.record_copied(id)?,
+        MigrationStep::Switch => _ = s.m.record.switch(id)?,
+        MigrationStep::Serve => s.m.target.start_serving(id)?,
+        MigrationStep::Release => s.m.source.release(id)?,
+        MigrationStep::DropCopy => {
+            s.m.target.drop_copy(id)?;
+            s.target = 0;
+        }
+        MigrationStep::Unfence => s.m.source.unfence(id)?,
+        MigrationStep::Done => {}
+    }
+    Ok(None)
+}
+
+fn next(s: &State, defect: Defect) -> Vec<State> {
+    let mut all = Vec::new();
+    let (source, target) = serves(s, defect);
+    for write in (0..WRITES).map(|w| 1 << w).filter(|w| s.acknowledged & w == 0) {
+        if source {
+            let (acknowledged, source, logged) = (s.acknowledged | write, s.source | write, s.logged | write);
+            all.push(State { acknowledged, source, logged, ..*s });
+        }
+        if target {
+            all.push(State { acknowledged: s.acknowledged | write, target: s.target | write, ..*s });
+        }
+    }
+    for slot in 0..2 {
+        // A new coordinator resumes from the record; a duplicate of the first one repeats its step late.
+        let fresh = Migration::resume(&s.m.record);
+        let mut to = *s;
+        to.coordinators[slot] = Some(fresh);
+        all.push(to);
+        let Some(migration) = s.coordinators[slot].filter(|m| m.next_step != MigrationStep::Done) else {
+            continue;
+        };
+        let mut twin = *s;
+        twin.coordinators[1 - slot] = Some(migration);
+        all.push(twin);
+        let mut done = *s;
+        match perform(&mut done, &migration, defect) {
+            Ok(incarnation) => {
+                // The answer may be lost.
+                all.push(done);
+                let mut on = migration;
+                on.on_success(incarnation);
+                done.coordinators[slot] = Some(on);
+            }
+            Err(StaleCoordinator) => {
+                done = *s;
+                let mut back = migration;
+                back.on_rejected(&s.m.record);
+                done.coordinators[slot] = Some(back);
+            }
+        }
+        all.push(done);
+    }
+    let mut planned = *s;
+    if s.m.record.id < MIGRATIONS && s.m.record.stage == Stage::Abandoned && planned.m.record.begin().is_ok()
+    {
+        all.push(planned);
+    }
+    let mut abandoned = *s;
+    if s.m.record.id > 0 && abandoned.m.record.abandon(s.m.record.id).is_ok() {
+        all.push(abandoned);
+    }
+    if s.m.source.incarnation < RESTARTS {
+        let mut anew = State { logged: 0, ..*s };
+        anew.m.source.restart();
+        all.push(anew);
+    }
+    if s.losses < LOSSES && !s.m.target.serving {
+        let m = Machine { target: MigrationTarget::default(), ..s.m };
+        all.push(State { m, target: 0, losses: s.losses + 1, ..*s });
+    }
+    all.retain(|to| to != s);
+    all
+}
+
+fn violation(s: &State, defect: Defect) -> Option<&'static str> {
+    match serves(s, defect) {
+        (true, true) => Some("two owners serve"),
+        (true, false) if s.acknowledged & !s.source != 0 => Some("a write is lost at the source"),
+        (false, true) if s.acknowledged & !s.target != 0 => Some("a write is lost at the target"),
+        _ => None,
+    }
+}
+
+/// Prints the shortest way to a state.
+fn print_path(states: &[State], before: &[Vec<usize>], mut at: usize) {
+    let mut way = vec![at];
+    while let Some(from) = before[at].first() {
+        at = *from;
+        way.push(at);
+    }
+    way.iter().rev().for_each(|at| println!("{:?}", states[*at]));
+}
+
+/// Visits all states; how many, and the first thing found wrong.
+fn search(defect: Defect) -> (usize, Option<&'static str>) {
+    let mut numbers: HashMap<State, usize> = HashMap::from([(first(), 0)]);
+    let mut before: Vec<Vec<usize>> = vec![Vec::new()];
+    let mut states = vec![first()];
+    let mut queue = VecDeque::from([0]);
+    while let Some(at) = queue.pop_front() {
+        let s = states[at];
+        if let Some(wrong) = violation(&s, defect) {
+            if defect == Defect::None {
+                print_path(&states, &before, at);
+            }
+            return (states.len(), Some(wrong));
+        }
+        for to in next(&s, defect) {
+            let number = *numbers.entry(to).or_insert_with(|| {
+                states.push(to);
+                before.push(Vec::new());
+                queue.push_back(states.len() - 1);
+                states.len() - 1
+            });
+            before[number].push(at);
+        }
+    }
+    // From every state there is a way to one in which the move is over and somebody serves.
+    let resolved = |s: &State| {
+        let over = !matches!(s.m.record.stage, Stage::Copying | Stage::Copied);
+        over && (s.m.source.is_serving() || s.m.target.serving)
+    };
+    let mut good: Vec<bool> = states.iter().map(resolved).collect();
+    let mut queue: VecDeque<usize> = (0..states.len()).filter(|at| good[*at]).collect();
+    while let Some(at) = queue.pop_front() {
+        for from in std::mem::take(&mut before[at]) {
+            if !std::mem::replace(&mut good[from], true) {
+                queue.push_back(from);
+            }
+        }
+    }
+    (states.len(), good.contains(&false).then_some("nobody can ever serve again"))
+}
+
+#[test]
+fn no_interleaving_loses_a_write_serves_twice_or_ends_without_an_owner() {
+    let (states, violation) = search(Defect::None);
+    assert_eq!(violation, None);
+    assert!(states > 10_000, "only {states} states");
+    println!("{states} states");
+}
+
+#[test]
+fn the_search_finds_each_seeded_defect() {
+    let found = |defect| search(defect).1;
+    assert_eq!(found(Defect::IncarnationIgnored), Some("a write is lost at the target"));
+    assert_eq!(found(Defect::RemainderWithoutCopy), Some("a write is lost at the target"));
+    assert_eq!(found(Defect::FenceIgnored), Some("two owners serve"));
+}
--- a/crates/gateway/src/floor.rs
+++ b/crates/gateway/src/floor.rs
@@ -205,7 +205,7 @@
     /// How long what was not answered may still take effect.
     rest: Ms,
     pub follower: Follower,
-    pub map: magpiewick_extents::Follower,
+    pub map: magpiewick_extents::ExtentMapView,
     number: u32,
     life: u64,
     bounds: Bounds,
@@ -239,7 +239,7 @@
             coalescer: Coalescer::new(config.merge.clone()),
             rest: config.start.ordering_quiet_period + config.start.round,
             follower: Follower::default(),
-            map: magpiewick_extents::Follower::default(),
+            map: magpiewick_extents::ExtentMapView::default(),
             number: config.number,
             life,
             bounds: config.bounds.clone(),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -18,7 +18,7 @@
 use magpiewick::{Answer, EndpointUpdate, Idempotency, Ms, Outcome, Request};
 use magpiewick_coalescing::{cut, Progress, SplitRead};
 use magpiewick_engine::{Engine, IncomingRequest, StallDetector};
-use magpiewick_extents::{Fault, Place as At};
+use magpiewick_extents::{ExtentLocation, MapError};
 use magpiewick_node_protocol::{
     self as wire, Final, FinalCode, Frames, Hello, List, MapNews, Message, OutcomeCode, Read, Role, Take,
     MOST_PAYLOAD, VERSION,
@@ -388,7 +388,7 @@
                 tracing::info!(epoch = news.epoch, whole = news.whole, "map of extents");
                 self.reroute();
             }
-            Ok(false) | Err(Fault::Old) => {}
+            Ok(false) | Err(MapError::AlreadyApplied) => {}
             Err(fault) => {
                 tracing::warn!(%fault, "news of the map is refused; asking for all of it");
                 self.floor.ask_map();
@@ -399,11 +399,11 @@
     /// Where a piece of data lies: its shard and the extent's version. Without a map of its volume it lies on the
     /// shard of the settings that its key falls to; without a key, anywhere.
     fn place(&self, volume: u64, key: u64) -> (Option<usize>, u32) {
-        match self.floor.map.place(self.floor.now, volume, key) {
-            At::At { shard, version } => (Some(shard as usize), version),
-            At::Flux => (Some(route::NOWHERE), 0),
-            At::Unknown if key == 0 => (None, 0),
-            At::Unknown => {
+        match self.floor.map.locate(self.floor.now, volume, key) {
+            ExtentLocation::At { shard, version } => (Some(shard as usize), version),
+            ExtentLocation::InTransition => (Some(route::NOWHERE), 0),
+            ExtentLocation::Unknown if key == 0 => (None, 0),
+            ExtentLocation::Unknown => {
                 let shards = self.config.volumes.get(&volume).map_or(&[][..], |v| &v.shards);
                 let place = xxh3_64(&key.to_le_bytes()) % shards.len().max(1) as u64;
                 (shards.get(place as usize).copied(), 0)
@@ -434,7 +434,7 @@
         let Some(piece) = self.floor.piece(request_id) else { return };
         let version = self.floor.sent_under(request_id, attempt).unwrap_or(0);
         tracing::debug!(request_id, version, ?owner, "a command was sent by a stale map");
-        if let Some(at) = self.floor.map.refused(self.floor.now, piece, version, owner) {
+        if let Some(at) = self.floor.map.on_shard_moved(self.floor.now, piece, version, owner) {
             self.floor.timers.set(at, Timer::Reroute);
         }
     }
@@ -636,7 +636,7 @@
         if start == 0 || end == u64::MAX {
             return Err("impossible-range");
         }
-        let Some(edges) = self.floor.map.edges(take.volume, start, end) else {
+        let Some(edges) = self.floor.map.extent_starts(take.volume, start, end) else {
             // Without the map of a volume that lies on several shards nobody knows where a range lies.
             let shards = self.config.volumes.get(&take.volume).map_or(0, |v| v.shards.len());
             return if shards > 1 { Err("unmapped-range") } else { Ok(None) };
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -1,20 +1,26 @@
 //! Turns the map service's news, as the wire has it, into the map that a host follows.
 
-use magpiewick_extents::{Change, Changes, Fault, Follower, Line};
+use magpiewick_extents::{Change, Changes, ExtentMapView, MapEntry, MapError};
 use magpiewick_node_protocol::{MapLine, MapNews, Mapped};
 
 /// Stands for a shard that no node holds: requests whose data is on its way wait there, outside all lines.
 pub const NOWHERE: usize = usize::MAX;
 
 /// Takes news; true where places may have changed by it.
-pub fn heard(follower: &mut Follower, news: &MapNews) -> Result<bool, Fault> {
+pub fn heard(follower: &mut ExtentMapView, news: &MapNews) -> Result<bool, MapError> {
     if news.whole {
-        let line = |l: &MapLine| -> Line { (l.volume, l.start, l.at, l.shard, l.version) };
-        let lines: Vec<Line> = news.lines.iter().map(line).collect();
-        return follower.part(news.epoch, news.part, news.last, &lines);
+        let line = |l: &MapLine| MapEntry {
+            volume: l.volume,
+            start: l.start,
+            end: l.at,
+            shard: l.shard,
+            version: l.version,
+        };
+        let lines: Vec<MapEntry> = news.lines.iter().map(line).collect();
+        return follower.on_snapshot_part(news.epoch, news.part, news.last, &lines);
     }
     let changes = news.lines.iter().filter_map(change).collect();
-    follower.changes(&Changes { epoch: news.epoch, changes }).map(|()| true)
+    follower.on_changes(&Changes { epoch: news.epoch, changes }).map(|()| true)
 }
 
 fn change(l: &MapLine) -> Option<Change> {
