--- a/crates/coalescing/benches/planning.rs
+++ b/crates/coalescing/benches/planning.rs
@@ -1,47 +1,52 @@
-//! What planning a write costs, by how many are held: it is held, leaves with its company, and those are held anew.
+//! The cost of coalescing, by the number of pending writes: a write is dispatched with the writes that join its batch,
+//! and all of them are added again.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use magpiewick_coalescing::{Bounds, Coalescer, OverlapLock, Piece, Write};
+use magpiewick_coalescing::{BatchLimits, Coalescer, OverlapLock, PendingWrite, WriteRange};
 
 const BLOCKS: u64 = 1 << 20;
 
-fn piece(request_id: u64) -> Piece {
+fn pending_write(request_id: u64) -> PendingWrite {
     // Steps that neither repeat soon nor follow each other.
     let start = request_id.wrapping_mul(2_654_435_761) % BLOCKS;
     let (volume, shard, class) = (1 + request_id % 4, (request_id % 16) as u32, 0);
-    Piece { volume, shard, class, start, end: start + 1, bytes: 64, units: 1.0 }
+    PendingWrite { volume, shard, class, start, end: start + 1, bytes: 64, units: 1.0 }
 }
 
 fn planning(c: &mut Criterion) {
     let mut group = c.benchmark_group("planning");
-    for held in [10_u64, 1_000, 10_000] {
-        let mut coalescer =
-            Coalescer::new(Bounds { parts: 8, units: 8.0, bytes: 64 << 10, reach: BLOCKS / held.max(1) });
-        (0..held).for_each(|request_id| coalescer.hold(request_id, piece(request_id)));
+    for pending in [10_u64, 1_000, 10_000] {
+        let mut coalescer = Coalescer::new(BatchLimits {
+            max_parts: 8,
+            max_units: 8.0,
+            max_bytes: 64 << 10,
+            max_gap: BLOCKS / pending.max(1),
+        });
+        (0..pending).for_each(|request_id| coalescer.insert(request_id, pending_write(request_id)));
         let mut next = 0;
-        group.bench_function(BenchmarkId::new("company", held), |b| {
+        group.bench_function(BenchmarkId::new("batch", pending), |b| {
             b.iter(|| {
-                next = (next + 7) % held;
+                next = (next + 7) % pending;
                 let mut parts = vec![next];
-                while let Some(other) = coalescer.beside(parts.iter().copied()) {
+                while let Some(other) = coalescer.next_candidate(parts.iter().copied()) {
                     parts.push(other);
                 }
-                coalescer.left(parts.iter().copied());
-                parts.iter().for_each(|request_id| coalescer.hold(*request_id, piece(*request_id)));
+                coalescer.on_dispatched(parts.iter().copied());
+                parts.iter().for_each(|request_id| coalescer.insert(*request_id, pending_write(*request_id)));
                 parts.len()
             });
         });
         let write = |request_id: u64| {
-            let p = piece(request_id);
-            Write { volume: p.volume, start: p.start, end: p.end, line: None }
+            let p = pending_write(request_id);
+            WriteRange { volume: p.volume, start: p.start, end: p.end, ordering_key: None }
         };
-        let mut gate = OverlapLock::default();
-        (0..held).for_each(|request_id| _ = gate.enter(request_id, write(request_id)));
-        let mut next = held;
-        group.bench_function(BenchmarkId::new("gate", held), |b| {
+        let mut lock = OverlapLock::default();
+        (0..pending).for_each(|request_id| _ = lock.acquire(request_id, write(request_id)));
+        let mut next = pending;
+        group.bench_function(BenchmarkId::new("lock", pending), |b| {
             b.iter(|| {
-                let free = gate.enter(next, write(next));
-                gate.leave(next - held);
+                let free = lock.acquire(next, write(next));
+                lock.release(next - pending);
                 next += 1;
                 free
             });
--- a/crates/coalescing/src/coalescer.rs
+++ b/crates/coalescing/src/coalescer.rs
@@ -1,159 +1,236 @@
-//! Which held writes may travel with one that leaves now, as one request of the node.
+//! Which pending writes may join a write that is dispatched now, as one batch.
 //!
-//! Nothing waits for company: a write is known here while it is held anyway, and looked up when a neighbour
-//! leaves. The module has the last word on each, as its limit, its key, the budget and its tag are there.
+//! No write waits for others to join it: a write is known here while it is pending anyway, and found when a
+//! neighbour is dispatched. The scheduler accepts or rejects each candidate, as it knows the rate limits, keys,
+//! retry budgets and tags.
 
 use std::collections::{BTreeSet, HashMap};
+use std::ops::Bound;
 
-/// A held write: where its data lies, and what it weighs. The range is in blocks of the volume.
+/// A pending write: where its data lies, and its size. The range is in blocks of the volume.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Piece {
+pub struct PendingWrite {
+    /// The volume that it writes.
     pub volume: u64,
+    /// The shard that serves the range.
     pub shard: u32,
+    /// The number of its request class.
     pub class: u16,
+    /// The first block.
     pub start: u64,
+    /// The block after the last one.
     pub end: u64,
+    /// Bytes of its payload.
     pub bytes: usize,
+    /// Units of work.
     pub units: f64,
 }
 
-/// What one request of a node may hold.
+/// The limits of a batch.
 #[derive(Clone, Debug)]
-pub struct Bounds {
-    pub parts: usize,
-    pub units: f64,
-    pub bytes: usize,
-    /// The most blocks between a range and the next one.
-    pub reach: u64,
+pub struct BatchLimits {
+    /// Writes in a batch.
+    pub max_parts: usize,
+    /// Units of work of all its writes.
+    pub max_units: f64,
+    /// Bytes of payload of all its writes.
+    pub max_bytes: usize,
+    /// Blocks between a range and the next one.
+    pub max_gap: u64,
+}
+
+/// How many neighbours are examined for each part that a batch may hold, so that the search stays bounded where
+/// most of them do not fit or are rejected.
+const CANDIDATES_PER_PART: usize = 4;
+
+/// Writes that may share a batch: those of one class for one volume on one shard.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct BatchGroup {
+    shard: u32,
+    volume: u64,
+    class: u16,
+}
+
+/// Orders pending writes by group and first block.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Position {
+    group: BatchGroup,
+    start: u64,
+    request_id: u64,
 }
 
-/// How many neighbours are looked at for each part that a batch may hold: those that do not fit, or that the
-/// module keeps back, must not make a search through all that is held.
-const LOOKS: usize = 4;
+impl Position {
+    fn of(request_id: u64, write: &PendingWrite) -> Position {
+        let PendingWrite { shard, volume, class, start, .. } = *write;
+        Position { group: BatchGroup { shard, volume, class }, start, request_id }
+    }
+
+    fn first_of(group: BatchGroup) -> Position {
+        Position { group, start: 0, request_id: 0 }
+    }
 
-/// Shard, volume and class, then the place in the volume, then the request.
-type Spot = (u32, u64, u16, u64, u64);
+    fn last_of(group: BatchGroup) -> Position {
+        Position { group, start: u64::MAX, request_id: u64::MAX }
+    }
+}
 
-struct Forming {
-    row: (u32, u64, u16),
+/// A batch to which candidates are being offered.
+struct Batch {
+    group: BatchGroup,
     ranges: Vec<(u64, u64)>,
     units: f64,
     bytes: usize,
-    low: u64,
-    high: u64,
-    below: Spot,
-    above: Spot,
+    /// The lowest first block and the highest end of its ranges.
+    start: u64,
+    end: u64,
+    /// The neighbours examined last in either direction.
+    examined_below: Position,
+    examined_above: Position,
+    examined_count: usize,
+    /// The candidate offered last.
     offered: Option<u64>,
-    looks: usize,
 }
 
-impl Forming {
-    fn accept(&mut self, p: &Piece) {
-        self.ranges.push((p.start, p.end));
-        (self.units, self.bytes) = (self.units + p.units, self.bytes + p.bytes);
-        (self.low, self.high) = (self.low.min(p.start), self.high.max(p.end));
+impl Batch {
+    fn new(request_id: u64, write: &PendingWrite) -> Batch {
+        let position = Position::of(request_id, write);
+        let mut batch = Batch {
+            group: position.group,
+            ranges: Vec::new(),
+            units: 0.0,
+            bytes: 0,
+            start: write.start,
+            end: write.end,
+            examined_below: position,
+            examined_above: position,
+            examined_count: 0,
+            offered: None,
+        };
+        batch.add(write);
+        batch
     }
 
-    fn fits(&self, p: &Piece, bounds: &Bounds) -> bool {
-        let apart = self.ranges.iter().all(|r| p.end <= r.0 || p.start >= r.1);
-        apart && self.units + p.units <= bounds.units && self.bytes + p.bytes <= bounds.bytes
+    fn add(&mut self, write: &PendingWrite) {
+        self.ranges.push((write.start, write.end));
+        self.units += write.units;
+        self.bytes += write.bytes;
+        self.start = self.start.min(write.start);
+        self.end = self.end.max(write.end);
     }
-}
 
-/// The writes that are held, by place.
-pub struct Coalescer {
-    bounds: Bounds,
-    held: HashMap<u64, Piece>,
-    spots: BTreeSet<Spot>,
-    forming: Option<Forming>,
+    fn fits(&self, write: &PendingWrite, limits: &BatchLimits) -> bool {
+        let disjoint = self.ranges.iter().all(|range| write.end <= range.0 || write.start >= range.1);
+        disjoint
+            && self.units + write.units <= limits.max_units
+            && self.bytes + write.bytes <= limits.max_bytes
+    }
+
+    fn may_examine_more(&self, limits: &BatchLimits) -> bool {
+        self.ranges.len() < limits.max_parts && self.examined_count < CANDIDATES_PER_PART * limits.max_parts
+    }
 }
 
-fn spot(request_id: u64, p: &Piece) -> Spot {
-    (p.shard, p.volume, p.class, p.start, request_id)
+/// The pending writes of a host, by position.
+pub struct Coalescer {
+    limits: BatchLimits,
+    pending: HashMap<u64, PendingWrite>,
+    positions: BTreeSet<Position>,
+    batch: Option<Batch>,
 }
 
 impl Coalescer {
-    pub fn new(bounds: Bounds) -> Coalescer {
-        Coalescer { bounds, held: HashMap::new(), spots: BTreeSet::new(), forming: None }
+    /// A coalescer without pending writes.
+    pub fn new(limits: BatchLimits) -> Coalescer {
+        Coalescer { limits, pending: HashMap::new(), positions: BTreeSet::new(), batch: None }
     }
 
-    /// Notes that a write is held; one that could never travel with another is not kept.
-    pub fn hold(&mut self, request_id: u64, piece: Piece) {
-        self.let_go(request_id);
-        if self.bounds.parts > 1 && piece.units < self.bounds.units && piece.bytes < self.bounds.bytes {
-            self.spots.insert(spot(request_id, &piece));
-            self.held.insert(request_id, piece);
+    /// Adds a pending write; one that fills a batch by itself is not kept.
+    pub fn insert(&mut self, request_id: u64, write: PendingWrite) {
+        self.remove(request_id);
+        let limits = &self.limits;
+        if limits.max_parts > 1 && write.units < limits.max_units && write.bytes < limits.max_bytes {
+            self.positions.insert(Position::of(request_id, &write));
+            self.pending.insert(request_id, write);
         }
     }
 
-    /// Forgets a write that is held no more: it left, or is over.
-    pub fn let_go(&mut self, request_id: u64) {
-        if let Some(piece) = self.held.remove(&request_id) {
-            self.spots.remove(&spot(request_id, &piece));
+    /// Removes a write that is no longer pending.
+    pub fn remove(&mut self, request_id: u64) {
+        if let Some(write) = self.pending.remove(&request_id) {
+            self.positions.remove(&Position::of(request_id, &write));
         }
     }
 
-    /// The next write that may travel with those in `parts`, of which the first one leaves now. One that was
-    /// offered and is not the last of `parts` when this is asked again was kept back. Nearest ranges come first.
-    pub fn beside(&mut self, parts: impl DoubleEndedIterator<Item = u64> + Clone) -> Option<u64> {
+    /// The next write that may join `parts`, of which the first is dispatched now; the nearest come first. A
+    /// candidate counts as rejected unless it is the last of `parts` at the next call.
+    pub fn next_candidate(&mut self, parts: impl DoubleEndedIterator<Item = u64> + Clone) -> Option<u64> {
         let leader = parts.clone().next()?;
-        if self.forming.is_none() {
-            let p = self.held.get(&leader)?;
-            let (row, here) = ((p.shard, p.volume, p.class), spot(leader, p));
-            let (low, high, looks) = (p.start, p.end, 0);
-            let mut forming = Forming {
-                row,
-                ranges: Vec::new(),
-                units: 0.0,
-                bytes: 0,
-                low,
-                high,
-                below: here,
-                above: here,
-                offered: None,
-                looks,
-            };
-            forming.accept(p);
-            self.forming = Some(forming);
+        let mut batch = match self.batch.take() {
+            Some(batch) => batch,
+            None => Batch::new(leader, self.pending.get(&leader)?),
+        };
+        if let Some(accepted) =
+            batch.offered.take().filter(|offered| parts.clone().next_back() == Some(*offered))
+        {
+            batch.add(&self.pending[&accepted]);
         }
-        let forming = self.forming.as_mut()?;
-        if let Some(p) = forming.offered.take().filter(|o| parts.clone().next_back() == Some(*o)) {
-            forming.accept(&self.held[&p]);
-        }
-        while forming.ranges.len() < self.bounds.parts && forming.looks < LOOKS * self.bounds.parts {
-            forming.looks += 1;
-            let (shard, volume, class) = forming.row;
-            let first: Spot = (shard, volume, class, 0, 0);
-            let last: Spot = (shard, volume, class, u64::MAX, u64::MAX);
-            // A range that starts far below may reach up to here past short ones that start nearer.
-            let gap = |s: &Spot| forming.low.saturating_sub(self.held[&s.4].end);
-            let below = self.spots.range(first..forming.below).rev().take(LOOKS * self.bounds.parts);
-            let below = below.map(|s| (gap(s), *s)).find(|b| b.0 <= self.bounds.reach);
-            let above = (std::ops::Bound::Excluded(forming.above), std::ops::Bound::Included(last));
-            let above = self.spots.range(above).next().copied();
-            let above = above.map(|s| (s.3.saturating_sub(forming.high), s));
-            let above = above.filter(|a| a.0 <= self.bounds.reach);
-            let next = match (below, above) {
-                (None, None) => return None,
-                (Some(b), Some(a)) if b.0 < a.0 => (b.1, true),
-                (Some(b), None) => (b.1, true),
-                (_, Some(a)) => (a.1, false),
-            };
-            match next {
-                (s, true) => forming.below = s,
-                (s, false) => forming.above = s,
-            }
-            if forming.fits(&self.held[&next.0 .4], &self.bounds) {
-                forming.offered = Some(next.0 .4);
-                return forming.offered;
+        let candidate = self.find_candidate(&mut batch);
+        batch.offered = candidate;
+        self.batch = Some(batch);
+        candidate
+    }
+
+    fn find_candidate(&self, batch: &mut Batch) -> Option<u64> {
+        while batch.may_examine_more(&self.limits) {
+            batch.examined_count += 1;
+            let neighbour = self.nearest_neighbour(batch)?;
+            if batch.fits(&self.pending[&neighbour], &self.limits) {
+                return Some(neighbour);
             }
         }
         None
     }
 
-    /// The parts left: the next call of `beside` begins anew.
-    pub fn left(&mut self, parts: impl Iterator<Item = u64>) {
-        self.forming = None;
-        parts.for_each(|request_id| self.let_go(request_id));
+    /// Steps to the nearest neighbour that was not examined yet, below or above the batch.
+    fn nearest_neighbour(&self, batch: &mut Batch) -> Option<u64> {
+        let neighbour = match (self.neighbour_below(batch), self.neighbour_above(batch)) {
+            (None, None) => return None,
+            (Some(below), Some(above)) if below.0 >= above.0 => {
+                batch.examined_above = above.1;
+                above.1
+            }
+            (Some(below), _) => {
+                batch.examined_below = below.1;
+                below.1
+            }
+            (None, Some(above)) => {
+                batch.examined_above = above.1;
+                above.1
+            }
+        };
+        Some(neighbour.request_id)
+    }
+
+    /// The next neighbour below, with its gap. Several are searched: a long range that starts far below may reach
+    /// up to the batch past short ones that start nearer.
+    fn neighbour_below(&self, batch: &Batch) -> Option<(u64, Position)> {
+        let gap = |position: &Position| batch.start.saturating_sub(self.pending[&position.request_id].end);
+        let below = self.positions.range(Position::first_of(batch.group)..batch.examined_below).rev();
+        let searched = below.take(CANDIDATES_PER_PART * self.limits.max_parts);
+        searched.map(|position| (gap(position), *position)).find(|(gap, _)| *gap <= self.limits.max_gap)
+    }
+
+    /// The next neighbour above, with its gap.
+    fn neighbour_above(&self, batch: &Batch) -> Option<(u64, Position)> {
+        let above = (Bound::Excluded(batch.examined_above), Bound::Included(Position::last_of(batch.group)));
+        let nearest = *self.positions.range(above).next()?;
+        let gap = nearest.start.saturating_sub(batch.end);
+        (gap <= self.limits.max_gap).then_some((gap, nearest))
+    }
+
+    /// The parts were dispatched: the next call of [`Coalescer::next_candidate`] begins a new batch.
+    pub fn on_dispatched(&mut self, parts: impl Iterator<Item = u64>) {
+        self.batch = None;
+        parts.for_each(|request_id| self.remove(request_id));
     }
 }
--- a/crates/coalescing/src/lib.rs
+++ b/crates/coalescing/src/lib.rs
@@ -1,11 +1,14 @@
-//! Merging and splitting of requests along the extent map: which held writes travel with one that leaves
-//! ([`Coalescer`]), in what order overlapping writes go ([`OverlapLock`]), and how a large read is cut and put together
-//! again ([`cut`], [`SplitRead`]). Free of I/O; when a request leaves and where to is the module's to decide.
+//! Coalescing of small writes and splitting of large reads: which pending writes join a batch that is dispatched
+//! ([`Coalescer`]), in what order overlapping writes run ([`OverlapLock`]), and how a large read is split along
+//! the extent map and reassembled ([`split_range`], [`SplitRead`]). Free of I/O; when a request is dispatched and
+//! where to is the scheduler's decision.
+
+#![warn(missing_docs)]
 
 mod coalescer;
 mod overlap_lock;
-mod split;
+mod split_read;
 
-pub use coalescer::{Bounds, Coalescer, Piece};
-pub use overlap_lock::{OverlapLock, Write};
-pub use split::{cut, Progress, SplitRead};
+pub use coalescer::{BatchLimits, Coalescer, PendingWrite};
+pub use overlap_lock::{OverlapLock, WriteRange};
+pub use split_read::{split_range, Progress, SplitRead};
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -71,7 +71,7 @@
     pub bounds: Bounds,
     pub log: LogConfig,
     /// What travels together; one part where merging is off.
-    pub merge: magpiewick_coalescing::Bounds,
+    pub merge: magpiewick_coalescing::BatchLimits,
     pub split: Split,
 }
 
@@ -94,7 +94,7 @@
 
     /// Sends every request by itself from now on.
     pub fn send_alone(&mut self) {
-        self.merge.parts = 1;
+        self.merge.max_parts = 1;
         self.start.max_batch_units = self.start.max_units;
     }
 }
@@ -174,8 +174,8 @@
         client_buffer: part.field("client_buffer").whole_or(1024..=1 << 30, 4 << 20) as usize,
     };
     let merge = merge(root.part("merge"), units);
-    if merge.parts > 1 {
-        start.max_batch_units = merge.units.max(units);
+    if merge.max_parts > 1 {
+        start.max_batch_units = merge.max_units.max(units);
     }
     Some(HostConfig {
         number: part.field("number").whole_or(0..=u64::from(u32::MAX), 0) as u32,
@@ -217,16 +217,22 @@
 }
 
 /// Without the block a batch weighs at most two of the largest requests.
-fn merge(part: Option<Part>, max_units: f64) -> magpiewick_coalescing::Bounds {
+fn merge(part: Option<Part>, max_units: f64) -> magpiewick_coalescing::BatchLimits {
     let (parts, units, bytes, reach) = (8, 2.0 * max_units, 64 << 10, 64);
-    part.map_or(magpiewick_coalescing::Bounds { parts, units, bytes, reach }, |p| {
-        magpiewick_coalescing::Bounds {
-            parts: p.field("parts").whole_or(1..=256, parts as u64) as usize,
-            units: p.field("units").number_or(units),
-            bytes: p.field("bytes").whole_or(1..=512 << 10, bytes as u64) as usize,
-            reach: p.field("reach").whole_or(0..=1 << 40, reach),
-        }
-    })
+    part.map_or(
+        magpiewick_coalescing::BatchLimits {
+            max_parts: parts,
+            max_units: units,
+            max_bytes: bytes,
+            max_gap: reach,
+        },
+        |p| magpiewick_coalescing::BatchLimits {
+            max_parts: p.field("parts").whole_or(1..=256, parts as u64) as usize,
+            max_units: p.field("units").number_or(units),
+            max_bytes: p.field("bytes").whole_or(1..=512 << 10, bytes as u64) as usize,
+            max_gap: p.field("reach").whole_or(0..=1 << 40, reach),
+        },
+    )
 }
 
 fn split(part: Option<Part>) -> Split {
--- a/crates/gateway/src/floor.rs
+++ b/crates/gateway/src/floor.rs
@@ -6,7 +6,7 @@
 use crate::follow::{address, started, Follower};
 use crate::others::Others;
 use magpiewick::{FinalStatus, GossipReport, Ms, Outcome};
-use magpiewick_coalescing::{Coalescer, OverlapLock, Piece, SplitRead, Write};
+use magpiewick_coalescing::{Coalescer, OverlapLock, PendingWrite, SplitRead, WriteRange};
 use magpiewick_engine::{AttemptRef, Environment, IncomingRequest, Reason};
 use magpiewick_node_protocol::{Attempt, Final, FinalCode, Hello, Message, Role, State, Take, LONG_AGO};
 use magpiewick_transport::{Clock, Connection, Ended, Poll, Timers, NOTHING};
@@ -429,7 +429,7 @@
         if let Some(open) = self.open(request_id).filter(|o| !o.answered) {
             (open.client, open.answered) = (None, true);
             open.tell("none", why);
-            self.coalescer.let_go(request_id);
+            self.coalescer.remove(request_id);
         }
     }
 
@@ -482,7 +482,8 @@
             let (start, end) = o.range();
             let (bytes, units) = (o.payload.len(), f64::from(o.units));
             let (volume, shard, class) = (o.volume, o.shard, o.class);
-            self.coalescer.hold(request_id, Piece { volume, shard, class, start, end, bytes, units });
+            self.coalescer
+                .insert(request_id, PendingWrite { volume, shard, class, start, end, bytes, units });
         }
     }
 
@@ -492,13 +493,13 @@
         let request_id = taken.id;
         let Some(open) = self.open(request_id).filter(|o| o.write && o.key != 0) else { return Some(taken) };
         let (volume, (start, end)) = (open.volume, open.range());
-        if self.gate.enter(request_id, Write { volume, start, end, line }) {
+        if self.gate.acquire(request_id, WriteRange { volume, start, end, ordering_key: line }) {
             return Some(taken);
         }
         if let Some(open) = self.open(request_id) {
             open.gated = Some(taken);
         }
-        self.coalescer.let_go(request_id);
+        self.coalescer.remove(request_id);
         self.timers.set(until, Timer::GateLate { request_id });
         None
     }
@@ -562,7 +563,7 @@
             tracing::info!(target: "request", answer, reason, attempts, node, took_ms = took);
         });
         let (client, piece_of) = (open.client.take(), open.piece_of);
-        self.coalescer.let_go(request_id);
+        self.coalescer.remove(request_id);
         if let Some((whole, piece)) = piece_of {
             let payload = payload.to_vec();
             return self.pieces_ended.push_back(PieceEnded { whole, piece, verdict, back, payload });
@@ -585,7 +586,7 @@
 
     /// Those that waited for this write may go on.
     pub fn leave_gate(&mut self, request_id: u64) {
-        self.freed.extend(self.gate.leave(request_id));
+        self.freed.extend(self.gate.release(request_id));
     }
 
     // Attempts.
@@ -935,7 +936,7 @@
     fn send(&mut self, node: u32, parts: &[AttemptRef]) {
         let index = self.peer(node);
         let sent = self.now;
-        self.coalescer.left(parts.iter().map(|p| p.request_id));
+        self.coalescer.on_dispatched(parts.iter().map(|p| p.request_id));
         for &AttemptRef { request_id, attempt, timeout: time_out, .. } in parts {
             let Some(open) = self.open(request_id) else { continue };
             (open.attempts, open.last_node) = (attempt + 1, Some(node));
@@ -962,7 +963,7 @@
     }
 
     fn next_coalesced(&mut self, parts: &[AttemptRef]) -> Option<u64> {
-        self.coalescer.beside(parts.iter().map(|p| p.request_id))
+        self.coalescer.next_candidate(parts.iter().map(|p| p.request_id))
     }
 
     fn cancel(&mut self, request_id: u64, attempt: u32) {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -16,7 +16,7 @@
 use floor::{key_of, place_of, Admitted, Floor, PieceEnded, Place, Timer, Whole, WHOLE};
 use follow::Heard;
 use magpiewick::{Answer, EndpointUpdate, Idempotency, Ms, Outcome, Request};
-use magpiewick_coalescing::{cut, Progress, SplitRead};
+use magpiewick_coalescing::{split_range, Progress, SplitRead};
 use magpiewick_engine::{Engine, IncomingRequest, StallDetector};
 use magpiewick_extents::{ExtentLocation, MapError};
 use magpiewick_node_protocol::{
@@ -141,7 +141,7 @@
 
     /// Requests without their final answer, wherever they wait.
     fn in_hand(&self) -> usize {
-        self.engine.pending() + self.floor.gate.waiting()
+        self.engine.pending() + self.floor.gate.blocked_count()
     }
 
     fn sleep(&self) -> Ms {
@@ -644,7 +644,7 @@
         let class = &self.config.start.classes[usize::from(take.class)];
         let cuts = !take.write && class.idempotency == Idempotency::Idempotent && !class.ordered;
         let most = if cuts { self.config.split.blocks } else { u64::MAX };
-        let pieces = cut(start, end, edges.into_iter(), most);
+        let pieces = split_range(start, end, edges.into_iter(), most);
         // Half of a write cannot be taken back, and pieces of what has an order or a mark would be idempotency.
         if pieces.len() > 1 && !cuts {
             return Err("crosses-extents");
@@ -696,8 +696,8 @@
 
     /// A write that still waits for an earlier one is the module's to end: no time is left to send it.
     fn gate_late(&mut self, request_id: u64) {
-        if self.floor.gate.waits(request_id) {
-            self.floor.gate.pass(request_id);
+        if self.floor.gate.is_blocked(request_id) {
+            self.floor.gate.unblock(request_id);
             if let Some(mut taken) = self.floor.ungate(request_id) {
                 taken.request.client_timeout = 0.0;
                 self.engine.submit(self.floor.now, taken, &mut self.floor);
@@ -738,7 +738,7 @@
         loop {
             let now = self.floor.now;
             let Some(whole) = self.floor.wholes.get_mut(&id) else { return };
-            let Some(piece) = whole.gather.begin() else { return };
+            let Some(piece) = whole.gather.start_next() else { return };
             let (start, end) = whole.pieces[piece];
             let take = Take {
                 request_id: 0,
@@ -767,9 +767,9 @@
             self.end_pieces(id);
             return self.floor.end_whole(id, verdict, back, &payload);
         }
-        match whole.gather.brought(piece, payload) {
+        match whole.gather.on_received(piece, payload) {
             Progress::Pending => self.begin_pieces(id),
-            Progress::Whole(all) => self.floor.end_whole(id, FinalCode::Succeeded, 0.0, &all),
+            Progress::Complete(all) => self.floor.end_whole(id, FinalCode::Succeeded, 0.0, &all),
             Progress::TooLarge => {
                 self.end_pieces(id);
                 self.floor.end_whole(id, FinalCode::Rejected, 0.0, b"too-large");
@@ -780,7 +780,7 @@
     /// Stops the wait for the pieces of a read that are out.
     fn end_pieces(&mut self, id: u64) {
         let Some(whole) = self.floor.wholes.get_mut(&id) else { return };
-        let out: Vec<u64> = whole.gather.end().into_iter().filter_map(|piece| whole.ids[piece]).collect();
+        let out: Vec<u64> = whole.gather.cancel().into_iter().filter_map(|piece| whole.ids[piece]).collect();
         for request_id in out {
             self.floor.forsake(request_id, "piece-not-wanted");
             self.engine.on_client_disconnect(self.floor.now, request_id);
--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -25,6 +25,7 @@
     Drain,
     Cold,
     Order,
+    #[serde(rename = "budget")]
     RetryBudget,
     Limits,
     /// Not one of the seven: an acknowledged write is where its piece of data lies.
