--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -5,11 +5,12 @@
 mod logs;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use magpiewick_emulator::{play, Handle};
+use magpiewick_emulator::{play_script, EmulatorHandle};
 use magpiewick_gateway::config::LogConfig;
 use magpiewick_gateway::{Gateway, HostEnd};
 use magpiewick_scenario::{
-    bench, bench_reads, drill, load, relay, Planted, Rule, Said, ScenarioReport, Sheet,
+    bench, bench_reads, offer_load, relay, run_scenario, ClientEvent, Config, Rule, RunOptions,
+    ScenarioReport, ScenarioSettings, SeededDefect,
 };
 use magpiewick_transport::Clock;
 
@@ -84,7 +85,7 @@
         format: Form,
         /// Break this rule, or another promise, in the rig, to see the audit find it
         #[arg(long, value_parser = planted)]
-        plant: Option<Planted>,
+        plant: Option<SeededDefect>,
         /// Play it a second time with hosts that damp no storm, and report both
         #[arg(long)]
         undamped: bool,
@@ -154,9 +155,10 @@
     Json,
 }
 
-fn planted(name: &str) -> Result<Planted, String> {
+fn planted(name: &str) -> Result<SeededDefect, String> {
     let known = Rule::ALL.map(Rule::name).join(", ");
-    Planted::named(name).ok_or_else(|| format!("expected one of {known}, {}", Planted::OTHERS))
+    SeededDefect::from_name(name)
+        .ok_or_else(|| format!("expected one of {known}, {}", SeededDefect::OTHER_NAMES))
 }
 
 /// A number that no other start of a process has.
@@ -193,7 +195,7 @@
     }
 }
 
-fn run(task: Task, mut config: Sheet, file: &Path) -> io::Result<u8> {
+fn run(task: Task, mut config: Config, file: &Path) -> io::Result<u8> {
     match task {
         Task::Check { .. } => {
             let host = &config.host;
@@ -219,7 +221,7 @@
             serve(config, bare)
         }
         Task::Node { number, .. } => {
-            let Some(fleet) = &mut config.fleet else { return Ok(missing(file, "standin")) };
+            let Some(fleet) = &mut config.emulator else { return Ok(missing(file, "standin")) };
             fleet.nodes.retain(|n| n.number == number);
             if fleet.nodes.is_empty() {
                 eprintln!("{}: no node {number} in the block standin", file.display());
@@ -227,18 +229,21 @@
             }
             stand_in(config, false)
         }
-        Task::List { .. } if config.fleet.is_some() => stand_in(config, true),
+        Task::List { .. } if config.emulator.is_some() => stand_in(config, true),
         Task::List { .. } => Ok(missing(file, "standin")),
         Task::Drill { seed, format, plant, undamped, pairs, .. } => {
-            let Some(fleet) = &config.fleet else { return Ok(missing(file, "standin")) };
-            let Some(drill_sheet) = &config.drill else { return Ok(missing(file, "traffic")) };
+            let Some(fleet) = &config.emulator else { return Ok(missing(file, "standin")) };
+            let Some(drill_sheet) = &config.scenario else { return Ok(missing(file, "traffic")) };
             logs::start(&config.host.log);
             let program = std::env::current_exe()?;
-            let play =
-                |undamped| drill(&program, file, (&config.host, fleet, drill_sheet), seed, plant, undamped);
+            let settings = ScenarioSettings { host: &config.host, emulator: fleet, scenario: drill_sheet };
+            let play = |without_overload_protection| {
+                let options = RunOptions { seed, defect: plant, without_overload_protection };
+                run_scenario(&program, file, settings, options)
+            };
             let mut drilled = play(false)?;
             if undamped {
-                drilled.undamped = Some(Box::new(play(true)?));
+                drilled.without_overload_protection = Some(Box::new(play(true)?));
             }
             if let Some(path) = pairs {
                 write_pairs(&path, &drilled)?;
@@ -247,16 +252,16 @@
             Ok(if drilled.ok { 0 } else { BROKEN })
         }
         Task::Load { host, rate, seed, format, .. } => {
-            let Some(drill_sheet) = &mut config.drill else { return Ok(missing(file, "traffic")) };
+            let Some(drill_sheet) = &mut config.scenario else { return Ok(missing(file, "traffic")) };
             drill_sheet.traffic.rate = rate.unwrap_or(drill_sheet.traffic.rate);
             config.host.start.hosts = 1.0;
-            let report = load(&config.host, drill_sheet, host.unwrap_or(config.host.listen), seed)?;
+            let report = offer_load(&config.host, drill_sheet, host.unwrap_or(config.host.listen), seed)?;
             match format {
                 Form::Json => println!("{}", serde_json::to_string_pretty(&report)?),
                 Form::Text => {
                     let r = &report;
-                    println!("offered {:.0}/s, settled {:.0}/s", r.offered_a_second, r.settled_a_second);
-                    println!("settled {}, bounced {}, scrapped {}", r.settled, r.bounced, r.scrapped);
+                    println!("offered {:.0}/s, settled {:.0}/s", r.offered_a_second, r.succeeded_a_second);
+                    println!("settled {}, bounced {}, scrapped {}", r.succeeded, r.rejected, r.failed);
                     println!("p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms", r.p50_ms, r.p99_ms, r.p999_ms);
                 }
             }
@@ -287,7 +292,7 @@
         Task::Bench { nodes, reads: true, .. } => {
             for m in bench_reads(&std::env::current_exe()?, nodes)? {
                 let (how, slow) =
-                    (if m.cut { "cut" } else { "whole" }, if m.slow { "one slow" } else { "all well" });
+                    (if m.split { "cut" } else { "whole" }, if m.slow { "one slow" } else { "all well" });
                 println!(
                     "{:>3} nodes, {how:5}, {slow}: p50 {}, p99 {}",
                     m.nodes,
@@ -316,8 +321,8 @@
                     "{:9} {:>5} {:>24} {:>9.0} {:>22} {:>22} {:>22} {:>18} {:>24}",
                     m.way,
                     m.nodes,
-                    show(m.most_a_second, 0),
-                    m.at,
+                    show(m.max_a_second, 0),
+                    m.rate,
                     show(m.p50_ms, 3),
                     show(m.p99_ms, 3),
                     show(m.p999_ms, 3),
@@ -348,13 +353,13 @@
     Ok(read)
 }
 
-fn serve(mut config: Sheet, bare: bool) -> io::Result<u8> {
+fn serve(mut config: Config, bare: bool) -> io::Result<u8> {
     logs::start(&config.host.log);
     let stop = signals()?;
-    let stand_ins = match config.fleet.take().filter(|_| !bare) {
+    let stand_ins = match config.emulator.take().filter(|_| !bare) {
         Some(fleet) => {
-            let handle = Handle::start(fleet, Clock::start(), None)?;
-            handle.order(|fleet| fleet.forget_records());
+            let handle = EmulatorHandle::start(fleet, Clock::start(), None)?;
+            handle.execute(|emulator| emulator.disable_recording());
             config.host.list.address = handle.list;
             Some(handle)
         }
@@ -371,28 +376,28 @@
     })
 }
 
-fn stand_in(config: Sheet, list: bool) -> io::Result<u8> {
+fn stand_in(config: Config, list: bool) -> io::Result<u8> {
     logs::start(&config.host.log);
     let mut stop = signals()?;
-    let Some(fleet) = config.fleet else { return Ok(USAGE) };
+    let Some(fleet) = config.emulator else { return Ok(USAGE) };
     let known: Vec<u32> = fleet.nodes.iter().map(|n| n.number).collect();
     let clock = Clock::start();
     let zones: Vec<(u64, u32)> = fleet.nodes.iter().map(|n| (u64::from(n.zone), n.number)).collect();
-    let handle = Handle::start(fleet, clock, None)?;
-    handle.order(|fleet| fleet.forget_records());
-    let addresses = handle.ask(|fleet| fleet.addresses()).unwrap_or_default();
+    let handle = EmulatorHandle::start(fleet, clock, None)?;
+    handle.execute(|emulator| emulator.disable_recording());
+    let addresses = handle.query(|emulator| emulator.node_addresses()).unwrap_or_default();
     match list {
         true => println!("ready {}", handle.list),
         false => println!("ready {}", addresses.first().map_or(handle.list, |a| a.1)),
     }
     io::stdout().flush()?;
-    let troubles = config.drill.map_or(Vec::new(), |d| d.troubles);
+    let troubles = config.scenario.map_or(Vec::new(), |d| d.faults);
     let zone = |zone: u64| zones.iter().filter(|z| z.0 == zone).map(|z| z.1).collect();
     let steps = troubles.iter().flat_map(|t| t.steps(zone)).collect();
     tracing::info!(nodes = known.len(), "stand-ins run");
     stop.set_nonblocking(true)?;
     let told = || io::Read::read(&mut &stop, &mut [0; 1]).is_ok();
-    play(&handle, &clock, clock.now(), steps, |_| {}, told);
+    play_script(&handle, &clock, clock.now(), steps, |_| {}, told);
     stop.set_nonblocking(false)?;
     // Whatever the read says, the wait is over.
     _ = io::Read::read(&mut stop, &mut [0; 1]);
@@ -402,20 +407,24 @@
 /// One line a try: what was asked, when, and its one final answer.
 fn write_pairs(path: &Path, drilled: &ScenarioReport) -> io::Result<()> {
     let mut out = io::BufWriter::new(std::fs::File::create(path)?);
-    for (at, said) in &drilled.said {
+    for (at, said) in &drilled.client_events {
         let line = match said {
-            Said::Took(t) => serde_json::json!({
-                "at_ms": at, "try": t.number, "command": t.mark, "host": t.at_host, "band": t.class,
-                "volume": t.volume, "key": t.key, "limit_ms": t.limit, "later": t.later
+            ClientEvent::Sent(t) => serde_json::json!({
+                "at_ms": at, "try": t.number, "command": t.mark, "host": t.host_number, "band": t.class,
+                "volume": t.volume, "key": t.key, "limit_ms": t.timeout, "later": t.is_retry
             }),
-            Said::Answered { number, verdict, back } => serde_json::json!({
-                "at_ms": at, "try": number, "answer": format!("{verdict:?}").to_lowercase(), "back_ms": back
+            ClientEvent::Answered { number, code, retry_after } => serde_json::json!({
+                "at_ms": at, "try": number, "answer": format!("{code:?}").to_lowercase(), "back_ms": retry_after
             }),
-            Said::Found { number, block, mark } => serde_json::json!({
+            ClientEvent::BlockRead { number, block, mark } => serde_json::json!({
                 "at_ms": at, "try": number, "block": block, "found": mark
             }),
-            Said::GaveUp { number } => serde_json::json!({ "at_ms": at, "try": number, "answer": "none" }),
-            Said::Lost { number } => serde_json::json!({ "at_ms": at, "try": number, "answer": "host-died" }),
+            ClientEvent::TimedOut { number } => {
+                serde_json::json!({ "at_ms": at, "try": number, "answer": "none" })
+            }
+            ClientEvent::ConnectionLost { number } => {
+                serde_json::json!({ "at_ms": at, "try": number, "answer": "host-died" })
+            }
         };
         writeln!(out, "{line}")?;
     }
@@ -423,8 +432,11 @@
 }
 
 fn tell_storms(d: &ScenarioReport, which: &str) {
-    let Some(storms) = &d.verdict.storms else { return };
-    println!("{which}quiet payoff {:.3}, {:.2} tries a command", storms.quiet_payoff, storms.tries);
+    let Some(storms) = &d.verdict.retry_storms else { return };
+    println!(
+        "{which}quiet payoff {:.3}, {:.2} tries a command",
+        storms.quiet_earned_share, storms.sends_per_request
+    );
     for r in &storms.returns {
         let back =
             r.recovered_ms.map_or("never".to_string(), |after| format!("after {:.1} s", after / 1000.0));
@@ -433,9 +445,9 @@
              fell {} times; payoff back {back}",
             r.nodes,
             r.at_ms / 1000.0,
-            r.most_load,
-            r.later * 100.0,
-            r.fell
+            r.peak_load,
+            r.retry_share * 100.0,
+            r.overloads
         );
     }
 }
@@ -448,30 +460,33 @@
     println!("{} hosts, {} nodes, {} s, seed {}", d.hosts, d.nodes, d.seconds, d.seed);
     println!(
         "taken {}: settled {}, bounced {}, scrapped {}, host died {}, unanswered {}",
-        d.taken, d.settled, d.bounced, d.scrapped, d.host_died, d.unanswered
+        d.sent, d.succeeded, d.rejected, d.failed, d.host_died, d.unanswered
+    );
+    println!(
+        "payoff within the soft limit {:.3}; p50 {:.1} ms, p99 {:.1} ms",
+        d.earned_share, d.p50_ms, d.p99_ms
     );
-    println!("payoff within the soft limit {:.3}; p50 {:.1} ms, p99 {:.1} ms", d.payoff, d.p50_ms, d.p99_ms);
     println!(
         "hand-offs {}, further {}; hosts ended with {:?}",
-        d.verdict.attempts, d.verdict.further, d.exit_codes
+        d.verdict.attempts, d.verdict.retries, d.exit_codes
     );
     for h in d.verdict.by_host.iter().filter(|h| h.writes > 0) {
-        let (merged, part) = (h.node_commands as f64 / h.sent.max(1) as f64, h.payoff);
+        let (merged, part) = (h.node_requests as f64 / h.writes_sent.max(1) as f64, h.earned_share);
         println!(
             "host {}: {} of {} writes sent in {} commands of nodes ({merged:.2} each), payoff {part:.3}; {} long reads, \
              p50 {:.1} ms, p99 {:.1} ms",
-            h.host, h.sent, h.writes, h.node_commands, h.long_reads, h.long_p50_ms, h.long_p99_ms
+            h.host, h.writes_sent, h.writes, h.node_requests, h.long_reads, h.long_p50_ms, h.long_p99_ms
         );
     }
-    if d.verdict.switched > 0 {
+    if d.verdict.extents_switched > 0 {
         let v = &d.verdict;
         println!(
             "extents switched {}; stale hand-offs {}, their commands settled {}, bounced {}, scrapped {}",
-            v.switched, v.stale, v.stale_settled, v.stale_bounced, v.stale_scrapped
+            v.extents_switched, v.stale_attempts, v.stale_succeeded, v.stale_rejected, v.stale_failed
         );
     }
     tell_storms(d, "");
-    if let Some(undamped) = &d.undamped {
+    if let Some(undamped) = &d.without_overload_protection {
         tell_storms(undamped, "undamped: ");
     }
     for rule in Rule::ALL {
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,69 +1,95 @@
-//! What a fleet of emulated services is told.
+//! The settings of the emulated services, as a file (HCL) gives them.
 
 use crate::Ms;
 use magpiewick_extents::MigrationLimits;
 use magpiewick_hcl_settings::Part;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// How a node that has just started does its work.
+/// How a node that has just started warms up, and what overloads it meanwhile.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
-    pub share: f64,
-    pub time: Ms,
-    /// It falls when sent more than this multiple of what it can do for this time, but bears these units.
-    pub fall_multiple: f64,
-    pub fall_time: Ms,
-    pub units: f64,
+pub struct SlowStartConfig {
+    /// The part of its capacity that it starts with.
+    pub initial_capacity: f64,
+    /// How long it takes to reach its full capacity.
+    pub duration: Ms,
+    /// It is overloaded when it is sent more than this multiple of its capacity over a window.
+    pub overload_factor: f64,
+    /// The length of that window.
+    pub overload_window: Ms,
+    /// Units that it tolerates in its first window in any case.
+    pub allowance: f64,
 }
 
+/// The nodes that share a deduplication window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
+    /// All nodes.
     All,
+    /// The nodes of a zone.
     Zone,
+    /// The nodes of a shard.
     Shard,
 }
 
+/// The settings of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
+    /// The node's number.
     pub number: u32,
+    /// Where it listens.
     pub listen: SocketAddr,
+    /// The zone that it is in.
     pub zone: u16,
+    /// The shard that it serves.
     pub shard: u32,
+    /// Requests that it executes at once.
     pub cores: usize,
+    /// A multiple of the usual speed.
     pub speed: f64,
-    /// Not started until a script does.
+    /// Not started until a script starts it.
     pub spare: bool,
 }
 
+/// The settings of the emulated services.
 #[derive(Clone, Debug)]
 pub struct EmulatorConfig {
+    /// The seed of all that is drawn.
     pub seed: u64,
+    /// Where the endpoint list service listens.
     pub list: SocketAddr,
-    /// How late the endpoint list service tells its news.
-    pub list_late: Ms,
-    /// Work of a unit at a speed of 1.
+    /// How late the endpoint list service publishes an update.
+    pub publication_delay: Ms,
+    /// The work of a unit at a speed of 1.
     pub unit_work: Ms,
-    /// Work of a request of the node, whatever it holds.
-    pub command_work: Ms,
+    /// The work of a request of the node, whatever it holds.
+    pub request_work: Ms,
     /// Bytes of a block in the answer to a read of several.
-    pub block: usize,
-    pub queue: usize,
-    pub cold: Cold,
-    /// The classes, by number, whose repeats are dropped, among which nodes, and for how long.
-    pub fingerprinted: Vec<u16>,
-    pub group: DeduplicationScope,
-    pub memory: Ms,
-    /// The part of a write's work that is put off, and how often what was put off is done in one go.
-    pub put_off: f64,
-    pub put_off_every: Ms,
+    pub block_size: usize,
+    /// Requests that a node queues.
+    pub queue_capacity: usize,
+    /// How nodes warm up.
+    pub slow_start: SlowStartConfig,
+    /// The numbers of the classes whose repeats are dropped.
+    pub deduplicated_classes: Vec<u16>,
+    /// Among which nodes repeats are dropped.
+    pub deduplication_scope: DeduplicationScope,
+    /// For how long repeats are dropped.
+    pub deduplication_window: Ms,
+    /// The part of a write's work that is deferred.
+    pub deferred_part: f64,
+    /// How often deferred work is done, during which the node executes nothing else.
+    pub deferred_work_interval: Ms,
+    /// The nodes.
     pub nodes: Vec<NodeConfig>,
-    /// Into how many extents each volume is cut (0: no map), how many keys a volume has room for, and how long a
-    /// step of a move takes.
-    pub extents: u64,
-    pub keys: u64,
-    pub move_step: Ms,
-    pub pace: MigrationLimits,
-    /// The volumes and the shards that hold them at first; the host's part of the file tells them.
+    /// Into how many extents each volume is divided; 0: there is no map.
+    pub extents_per_volume: u64,
+    /// How many keys a volume has room for.
+    pub keys_per_volume: u64,
+    /// How long a step of a migration takes.
+    pub migration_step: Ms,
+    /// The limits on concurrent migrations.
+    pub migration_limits: MigrationLimits,
+    /// The volumes and the shards that hold them at first; the host's part of the file gives them.
     pub volumes: Vec<(u64, Vec<u32>)>,
 }
 
@@ -72,41 +98,41 @@
     ("zone", DeduplicationScope::Zone),
     ("shard", DeduplicationScope::Shard),
 ];
-const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Reads the block `standin` of a file, where it has one.
-pub fn fleet(root: &Part) -> Option<EmulatorConfig> {
+pub fn read_config(root: &Part) -> Option<EmulatorConfig> {
     let p = root.part("standin")?;
     let cores = p.field("cores").whole_or(1..=1024, 2);
     let speed = p.field("speed").number_or(1.0);
     if speed <= 0.0 {
         p.fault_at("speed", "a speed of 0: nothing would ever be done");
     }
-    let nodes = p.labelled("node").iter().map(|n| node(n, cores, speed)).collect::<Vec<_>>();
+    let nodes = p.labelled("node").iter().map(|n| read_node(n, cores, speed)).collect::<Vec<_>>();
     if nodes.is_empty() {
         p.fault("no node; expected at least one block node \"number\"");
     }
     let classes = p.field("fingerprinted");
-    let fingerprinted = if classes.given() { classes.wholes() } else { Vec::new() };
+    let classes = if classes.given() { classes.wholes() } else { Vec::new() };
     Some(EmulatorConfig {
         seed: p.field("seed").whole_or(0..=u64::MAX, 1),
-        list: p.field("list").address_or(ANY),
-        list_late: p.field("list_late").time_or(0.0),
+        list: p.field("list").address_or(ANY_PORT),
+        publication_delay: p.field("list_late").time_or(0.0),
         unit_work: p.field("unit_work").time_or(1.0),
-        command_work: p.field("command_work").time_or(0.0),
-        block: p.field("block").whole_or(8..=1 << 20, 64) as usize,
-        queue: p.field("queue").whole_or(1..=1 << 20, 256) as usize,
-        cold: cold(p.part("cold")),
-        fingerprinted: fingerprinted.into_iter().map(|class| class as u16).collect(),
-        group: p.field("group").one_of_or(&SCOPES, DeduplicationScope::Shard),
-        memory: p.field("memory").time_or(0.0),
-        put_off: p.field("put_off").part_or(0.0),
-        put_off_every: p.field("put_off_every").time_or(1000.0),
+        request_work: p.field("command_work").time_or(0.0),
+        block_size: p.field("block").whole_or(8..=1 << 20, 64) as usize,
+        queue_capacity: p.field("queue").whole_or(1..=1 << 20, 256) as usize,
+        slow_start: read_slow_start(p.part("cold")),
+        deduplicated_classes: classes.into_iter().map(|class| class as u16).collect(),
+        deduplication_scope: p.field("group").one_of_or(&SCOPES, DeduplicationScope::Shard),
+        deduplication_window: p.field("memory").time_or(0.0),
+        deferred_part: p.field("put_off").part_or(0.0),
+        deferred_work_interval: p.field("put_off_every").time_or(1000.0),
         nodes,
-        extents: p.field("extents").whole_or(0..=1 << 20, 0),
-        keys: p.field("keys").whole_or(1..=1 << 40, 1 << 20),
-        move_step: p.field("move_step").time_or(20.0),
-        pace: MigrationLimits {
+        extents_per_volume: p.field("extents").whole_or(0..=1 << 20, 0),
+        keys_per_volume: p.field("keys").whole_or(1..=1 << 40, 1 << 20),
+        migration_step: p.field("move_step").time_or(20.0),
+        migration_limits: MigrationLimits {
             max_concurrent: p.field("moves").whole_or(1..=1000, 4) as usize,
             max_per_shard: p.field("moves_a_shard").whole_or(1..=1000, 2) as usize,
             max_queue_length: p.field("moves_queue").whole_or(1..=1 << 20, 64) as usize,
@@ -115,25 +141,31 @@
     })
 }
 
-fn cold(part: Option<Part>) -> Cold {
-    let warm = Cold { share: 1.0, time: 0.0, fall_multiple: 1.0, fall_time: 0.0, units: f64::INFINITY };
-    part.map_or(warm, |p| Cold {
-        share: p.field("share").part_or(1.0),
-        time: p.field("time").time(),
-        fall_multiple: p.field("fall_multiple").number(),
-        fall_time: p.field("fall_time").time(),
-        units: p.field("units").number_or(0.0),
+fn read_slow_start(part: Option<Part>) -> SlowStartConfig {
+    let always_warm = SlowStartConfig {
+        initial_capacity: 1.0,
+        duration: 0.0,
+        overload_factor: 1.0,
+        overload_window: 0.0,
+        allowance: f64::INFINITY,
+    };
+    part.map_or(always_warm, |p| SlowStartConfig {
+        initial_capacity: p.field("share").part_or(1.0),
+        duration: p.field("time").time(),
+        overload_factor: p.field("fall_multiple").number(),
+        overload_window: p.field("fall_time").time(),
+        allowance: p.field("units").number_or(0.0),
     })
 }
 
-fn node(p: &Part, cores: u64, speed: f64) -> NodeConfig {
+fn read_node(p: &Part, cores: u64, speed: f64) -> NodeConfig {
     let number = p.label().parse().unwrap_or_else(|_| {
         p.fault(format!("the label {:?} of a node is not its number", p.label()));
         0
     });
     NodeConfig {
         number,
-        listen: p.field("listen").address_or(ANY),
+        listen: p.field("listen").address_or(ANY_PORT),
         zone: p.field("zone").whole_or(0..=u64::from(u16::MAX), 0) as u16,
         shard: p.field("shard").whole(0..=u64::from(u16::MAX)) as u32,
         cores: p.field("cores").whole_or(1..=1024, cores) as usize,
--- /dev/null
+++ b/crates/emulator/src/connections.rs
@@ -0,0 +1,78 @@
+//! The connections of hosts and clients to nodes and to the endpoint list service.
+
+use crate::received_attempt::ConnectionId;
+use magpiewick_node_protocol::Message;
+use magpiewick_transport::{Connection, Poll, NOTHING};
+use slab::Slab;
+use std::io;
+use std::net::TcpStream;
+
+/// Where the poller keys of connections begin; those of listeners are below.
+pub(crate) const FIRST_CONNECTION_KEY: usize = 1 << 32;
+
+pub(crate) struct Peer {
+    pub connection: Connection,
+    pub id: ConnectionId,
+    /// The index of the node it is connected to; `None` for the endpoint list service.
+    pub node: Option<usize>,
+    /// The host's incarnation, known from its hello.
+    pub host: u64,
+    /// Whether the service has sent its hello.
+    pub greeted: bool,
+    pub watches_endpoints: bool,
+    pub watches_map: bool,
+}
+
+#[derive(Default)]
+pub(crate) struct Connections {
+    peers: Slab<Peer>,
+    last_serial: u64,
+}
+
+impl Connections {
+    /// Adds an accepted connection; returns its index.
+    pub fn accept(&mut self, poll: &Poll, stream: TcpStream, node: Option<usize>) -> io::Result<usize> {
+        let entry = self.peers.vacant_entry();
+        let index = entry.key();
+        let connection = Connection::accepted(poll, stream, FIRST_CONNECTION_KEY + index)?;
+        self.last_serial += 1;
+        entry.insert(Peer {
+            connection,
+            id: ConnectionId { index, serial: self.last_serial },
+            node,
+            host: 0,
+            greeted: false,
+            watches_endpoints: false,
+            watches_map: false,
+        });
+        Ok(index)
+    }
+
+    /// The indexes of the peers that a condition holds for.
+    pub fn indexes(&self, condition: impl Fn(&Peer) -> bool) -> Vec<usize> {
+        self.peers.iter().filter(|(_, peer)| condition(peer)).map(|(index, _)| index).collect()
+    }
+
+    /// Identifies the connection at an index, where there is one.
+    pub fn id(&self, index: usize) -> Option<ConnectionId> {
+        self.peers.get(index).map(|peer| peer.id)
+    }
+
+    /// The peer of a connection that is still open.
+    pub fn get(&mut self, id: ConnectionId) -> Option<&mut Peer> {
+        self.peers.get_mut(id.index).filter(|peer| peer.id == id)
+    }
+
+    /// The peer at an index that is known to be open.
+    pub fn at(&mut self, index: usize) -> &mut Peer {
+        &mut self.peers[index]
+    }
+
+    pub fn send(&mut self, index: usize, message: &Message) {
+        self.peers[index].connection.queue(message, NOTHING);
+    }
+
+    pub fn remove(&mut self, index: usize) -> Peer {
+        self.peers.remove(index)
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/data_store.rs
@@ -0,0 +1,50 @@
+//! The data of all shards.
+
+use std::collections::{BTreeMap, HashMap};
+use std::ops::Range;
+
+/// What is stored, by shard, volume and key.
+#[derive(Default)]
+pub(crate) struct DataStore {
+    volumes: HashMap<(u32, u64), BTreeMap<u64, Vec<u8>>>,
+}
+
+impl DataStore {
+    pub fn write(&mut self, shard: u32, volume: u64, key: u64, payload: &[u8]) {
+        self.volumes.entry((shard, volume)).or_default().insert(key, payload.to_vec());
+    }
+
+    pub fn read(&self, shard: u32, volume: u64, key: u64) -> Option<&[u8]> {
+        self.volumes.get(&(shard, volume))?.get(&key).map(Vec::as_slice)
+    }
+
+    /// Copies the selected keys of a range from one shard to another.
+    pub fn copy(
+        &mut self,
+        volume: u64,
+        (from, to): (u32, u32),
+        range: Range<u64>,
+        selects: impl Fn(u64) -> bool,
+    ) {
+        let source = self.volumes.get(&(from, volume));
+        let copied: Vec<(u64, Vec<u8>)> = source.map_or(Vec::new(), |keys| {
+            let selected = keys.range(range).filter(|(key, _)| selects(**key));
+            selected.map(|(key, payload)| (*key, payload.clone())).collect()
+        });
+        self.volumes.entry((to, volume)).or_default().extend(copied);
+    }
+
+    /// Removes a range of keys from a shard.
+    pub fn remove(&mut self, shard: u32, volume: u64, range: Range<u64>) {
+        if let Some(keys) = self.volumes.get_mut(&(shard, volume)) {
+            keys.retain(|key, _| !range.contains(key));
+        }
+    }
+
+    /// All data: shard, volume, key, payload.
+    pub fn iter(&self) -> impl Iterator<Item = (u32, u64, u64, &[u8])> + '_ {
+        self.volumes.iter().flat_map(|((shard, volume), keys)| {
+            keys.iter().map(move |(key, payload)| (*shard, *volume, *key, payload.as_slice()))
+        })
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/emulator.rs
@@ -0,0 +1,395 @@
+//! The emulator: its event loop, its sockets and its nodes' processes.
+
+use crate::config::EmulatorConfig;
+use crate::connections::{Connections, FIRST_CONNECTION_KEY};
+use crate::deduplication::DeduplicationWindow;
+use crate::endpoint_list::EndpointList;
+use crate::faults::{EmulatorDefects, NodeFaults};
+use crate::map_publication::MapSnapshot;
+use crate::map_service::{ExtentKey, MapService};
+use crate::node::{Batch, Node};
+use crate::node_event::NodeEvent;
+use crate::received_attempt::{AttemptInterceptor, ReceivedAttempt};
+use crate::timer_queue::TimerQueue;
+use crate::Ms;
+use magpiewick_node_protocol::{Frames, Hello, MapNews, Message, Role, LONG_AGO};
+use magpiewick_transport::{listen, Clock, Poll, Registered, Woken};
+use nanorand::{Rng, WyRand};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::mpsc::Receiver;
+
+/// The poller key of the endpoint list service's listener; those of the nodes' listeners follow.
+const LIST_KEY: usize = 0;
+const FIRST_NODE_KEY: usize = 1;
+
+/// What an emulator does between two turns of its event loop.
+pub(crate) type Command = Box<dyn FnOnce(&mut Emulator) + Send>;
+
+pub(crate) enum Timer {
+    /// A node has executed a batch.
+    BatchDone {
+        node: usize,
+        batch: Batch,
+    },
+    /// An attempt that an interceptor delayed arrives.
+    DelayedAttempt {
+        node: usize,
+        attempt: Box<ReceivedAttempt>,
+    },
+    /// A node does the work that writes have deferred.
+    DeferredWork {
+        node: usize,
+    },
+    /// A node has done its deferred work.
+    Resume {
+        node: usize,
+    },
+    PublishEndpoints,
+    PublishMap(Box<MapNews>),
+    MigrationStep(ExtentKey),
+}
+
+/// The events that the services record.
+pub(crate) struct EventLog {
+    clock: Clock,
+    events: Vec<(Ms, NodeEvent)>,
+    is_recording: bool,
+}
+
+impl EventLog {
+    pub fn record(&mut self, event: NodeEvent) {
+        if self.is_recording {
+            self.events.push((self.clock.now(), event));
+        }
+    }
+}
+
+/// Emulated storage nodes and an endpoint list service.
+pub struct Emulator {
+    pub(crate) config: EmulatorConfig,
+    clock: Clock,
+    poll: Poll,
+    rng: WyRand,
+    pub(crate) nodes: Vec<Node>,
+    /// The listeners of the nodes whose process runs.
+    node_listeners: Vec<Option<Registered<TcpListener>>>,
+    list_listener: Registered<TcpListener>,
+    pub(crate) endpoint_list: EndpointList,
+    pub(crate) connections: Connections,
+    pub(crate) timers: TimerQueue<Timer>,
+    /// Numbers the requests of nodes.
+    pub(crate) last_batch: u64,
+    pub(crate) deduplication: DeduplicationWindow,
+    pub(crate) map: MapService,
+    pub(crate) saved_map: Option<MapSnapshot>,
+    pub(crate) events: EventLog,
+    pub(crate) interceptor: Option<Box<dyn AttemptInterceptor>>,
+    pub(crate) defects: EmulatorDefects,
+    pub(crate) now: Ms,
+    is_shutting_down: bool,
+}
+
+impl Emulator {
+    pub(crate) fn new(
+        config: EmulatorConfig,
+        clock: Clock,
+        interceptor: Option<Box<dyn AttemptInterceptor>>,
+    ) -> io::Result<Emulator> {
+        let poll = Poll::new()?;
+        let list_listener = poll.register(listen(config.list)?, LIST_KEY)?;
+        let mut emulator = Emulator {
+            rng: WyRand::new_seed(config.seed),
+            nodes: config.nodes.iter().cloned().map(Node::new).collect(),
+            node_listeners: config.nodes.iter().map(|_| None).collect(),
+            list_listener,
+            endpoint_list: EndpointList::new(),
+            connections: Connections::default(),
+            timers: TimerQueue::new(),
+            last_batch: 0,
+            deduplication: DeduplicationWindow::new(config.deduplication_window),
+            map: MapService::new(&config),
+            saved_map: None,
+            events: EventLog { clock, events: Vec::new(), is_recording: true },
+            interceptor,
+            defects: EmulatorDefects::default(),
+            now: clock.now(),
+            is_shutting_down: false,
+            clock,
+            poll,
+            config,
+        };
+        emulator.start_nodes()?;
+        Ok(emulator)
+    }
+
+    fn start_nodes(&mut self) -> io::Result<()> {
+        for node in 0..self.nodes.len() {
+            if !self.nodes[node].config.spare {
+                self.start_node(node, false)?;
+                self.nodes[node].is_listed = true;
+            }
+            if self.config.deferred_part > 0.0 {
+                // The nodes do not pause together.
+                let first = self.now + self.draw() * self.config.deferred_work_interval;
+                self.timers.set(first, Timer::DeferredWork { node });
+            }
+        }
+        Ok(())
+    }
+
+    pub(crate) fn poll(&self) -> Poll {
+        self.poll.clone()
+    }
+
+    pub(crate) fn list_address(&self) -> io::Result<SocketAddr> {
+        self.list_listener.local_addr()
+    }
+
+    /// A number from 0 up to, not including, 1.
+    pub(crate) fn draw(&mut self) -> f64 {
+        f64::from(self.rng.generate::<u32>()) / (f64::from(u32::MAX) + 1.0)
+    }
+
+    pub(crate) fn run(&mut self, inbox: &Receiver<Command>) {
+        let mut woken = Woken::default();
+        while !self.is_shutting_down {
+            let wait = self.timers.next_at().map(|at| Clock::until(self.clock.now(), at));
+            if let Err(error) = self.poll.wait(&mut woken, wait) {
+                return tracing::error!(%error, "emulator_poll_failed");
+            }
+            self.now = self.clock.now();
+            inbox.try_iter().for_each(|command| command(self));
+            while let Some(timer) = self.timers.pop_due(self.now) {
+                self.on_timer(timer);
+            }
+            for key in std::mem::take(&mut woken.readable) {
+                self.on_readable(key);
+            }
+            self.flush_connections();
+        }
+    }
+
+    fn on_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::BatchDone { node, batch } => self.finish_batch(node, batch),
+            Timer::DelayedAttempt { node, attempt } => self.enqueue(node, vec![*attempt]),
+            Timer::DeferredWork { node } => self.do_deferred_work(node),
+            Timer::Resume { node } => self.begin_batches(node),
+            Timer::PublishEndpoints => self.publish_endpoints(),
+            Timer::PublishMap(update) => self.publish_map_update(&update),
+            Timer::MigrationStep(key) => self.step_migration(key),
+        }
+    }
+
+    fn do_deferred_work(&mut self, node: usize) {
+        let target = &mut self.nodes[node];
+        let done_at = self.now + std::mem::take(&mut target.deferred_work);
+        target.paused_until = target.paused_until.max(done_at);
+        let next = self.now + self.config.deferred_work_interval;
+        self.timers.set(next, Timer::DeferredWork { node });
+    }
+
+    fn flush_connections(&mut self) {
+        for index in self.connections.indexes(|peer| peer.connection.pending() > 0) {
+            if self.connections.at(index).connection.flush().is_err() {
+                self.close_connection(index);
+            }
+        }
+    }
+
+    /// Records no events any more; for runs without an audit.
+    pub fn disable_recording(&mut self) {
+        self.events.is_recording = false;
+    }
+
+    pub(crate) fn take_events(&mut self) -> Vec<(Ms, NodeEvent)> {
+        std::mem::take(&mut self.events.events)
+    }
+
+    pub(crate) fn shut_down(&mut self) {
+        self.is_shutting_down = true;
+    }
+
+    /// Seeds defects, to show that an audit finds them.
+    pub fn seed_defects(&mut self, defects: EmulatorDefects) {
+        self.map.set_fence_ignored(defects.fence_ignored);
+        self.defects = defects;
+    }
+
+    /// What the owner of each key holds: volume, key, payload.
+    pub fn stored(&mut self) -> Vec<(u64, u64, Vec<u8>)> {
+        self.map.stored()
+    }
+
+    /// Where the running nodes listen, by number.
+    pub fn node_addresses(&self) -> Vec<(u32, SocketAddr)> {
+        let running = self.nodes.iter().filter(|node| node.is_up);
+        running.map(|node| (node.config.number, node.address)).collect()
+    }
+
+    /// The index of the node of a number.
+    pub(crate) fn node_index(&self, number: u32) -> Option<usize> {
+        self.nodes.iter().position(|node| node.config.number == number)
+    }
+
+    /// Changes the faults of a node, by its index in the settings.
+    pub fn change_faults(&mut self, node: usize, change: impl FnOnce(&mut NodeFaults)) {
+        change(&mut self.nodes[node].faults);
+        for index in self.connections.indexes(|peer| peer.node == Some(node) && !peer.greeted) {
+            self.greet(index);
+        }
+        self.begin_batches(node);
+    }
+
+    /// Starts a node's process at the address that it had before; it warms up, or counts as one that has run for
+    /// long.
+    pub(crate) fn start_node(&mut self, node: usize, warming_up: bool) -> io::Result<()> {
+        let incarnation = self.rng.generate::<u64>();
+        let listener = listen(self.nodes[node].address)?;
+        self.nodes[node].address = listener.local_addr()?;
+        self.node_listeners[node] = Some(self.poll.register(listener, FIRST_NODE_KEY + node)?);
+        let target = &mut self.nodes[node];
+        target.start(incarnation, warming_up.then_some(self.now));
+        self.map.on_shard_restarted(target.config.shard);
+        let node = target.config.number;
+        self.events.record(NodeEvent::Started { node, incarnation, warming_up });
+        Ok(())
+    }
+
+    /// Ends a node's process without notice.
+    pub(crate) fn stop_node(&mut self, node: usize) {
+        let target = &mut self.nodes[node];
+        target.is_up = false;
+        target.queue.clear();
+        let (number, incarnation) = (target.config.number, target.incarnation);
+        self.node_listeners[node] = None;
+        for index in self.connections.indexes(|peer| peer.node == Some(node)) {
+            let peer = self.connections.remove(index);
+            self.events.record(NodeEvent::ConnectionClosed { node: number, host: peer.host });
+            peer.connection.reset();
+        }
+        self.events.record(NodeEvent::Stopped { node: number, incarnation });
+    }
+
+    fn on_readable(&mut self, key: usize) {
+        match key.checked_sub(FIRST_CONNECTION_KEY) {
+            Some(index) => self.on_connection_readable(index),
+            None => self.accept_connections(key.checked_sub(FIRST_NODE_KEY)),
+        }
+    }
+
+    /// Accepts connections to a node, or to the endpoint list service.
+    fn accept_connections(&mut self, node: Option<usize>) {
+        loop {
+            let listener = match node {
+                None => Some(&self.list_listener),
+                Some(node) => self.node_listeners[node].as_ref(),
+            };
+            let Some(Ok((stream, _))) = listener.map(|listener| listener.accept()) else { return };
+            if node.is_none() && self.endpoint_list.is_down() {
+                continue;
+            }
+            if let Ok(index) = self.connections.accept(&self.poll, stream, node) {
+                self.greet(index);
+            }
+        }
+    }
+
+    /// Sends the hello of the service; a node that hangs does so once it continues.
+    fn greet(&mut self, index: usize) {
+        let node = self.connections.at(index).node;
+        if node.is_some_and(|node| self.nodes[node].faults.hung) {
+            return;
+        }
+        let hello = self.hello(node);
+        self.connections.at(index).greeted = true;
+        self.connections.send(index, &hello);
+    }
+
+    fn hello(&self, node: Option<usize>) -> Message<'static> {
+        let hello = match node.map(|node| &self.nodes[node]) {
+            None => Hello::of(Role::List, 0, 0, LONG_AGO),
+            Some(node) => Hello::of(Role::Node, node.config.number, node.incarnation, age_us(node, self.now)),
+        };
+        Message::Hello(hello)
+    }
+
+    fn on_connection_readable(&mut self, index: usize) {
+        let Some(id) = self.connections.id(index) else { return };
+        let peer = self.connections.at(index);
+        let mut ended = peer.connection.fill().is_err();
+        let input = peer.connection.take_input();
+        let mut frames = Frames::new(&input);
+        while !ended {
+            let Some(message) = frames.next() else { break };
+            ended = !message.is_ok_and(|message| self.on_message(index, &message));
+            // The message may have had the connection closed.
+            if self.connections.get(id).is_none() {
+                return;
+            }
+        }
+        let used = frames.used();
+        self.connections.at(index).connection.give_back(input, used);
+        if ended {
+            self.close_connection(index);
+        }
+    }
+
+    pub(crate) fn close_connection(&mut self, index: usize) {
+        let peer = self.connections.remove(index);
+        if let Some(node) = peer.node {
+            let node = self.nodes[node].config.number;
+            self.events.record(NodeEvent::ConnectionClosed { node, host: peer.host });
+        }
+    }
+
+    /// Does what a host or a client sent; false where it may not be sent there.
+    fn on_message(&mut self, index: usize, message: &Message) -> bool {
+        let peer = self.connections.at(index);
+        if let Message::Hello(hello) = message {
+            peer.host = hello.life;
+            return true;
+        }
+        let host = peer.host;
+        match peer.node {
+            Some(node) => self.on_node_message(index, node, host, message),
+            None => self.on_list_message(index, message),
+        }
+    }
+
+    fn on_list_message(&mut self, index: usize, message: &Message) -> bool {
+        match *message {
+            Message::Watch { .. } => self.watch_endpoints(index),
+            Message::WatchMap => self.watch_map(index),
+            Message::Move { volume, start, shard, abandon } => {
+                let state = self.on_migration_request(ExtentKey { volume, start }, shard, abandon);
+                self.connections.send(index, &state);
+            }
+            _ => return false,
+        }
+        true
+    }
+
+    fn on_node_message(&mut self, index: usize, node: usize, host: u64, message: &Message) -> bool {
+        match message {
+            Message::Attempt(attempt) => self.on_attempts(index, node, std::slice::from_ref(attempt)),
+            Message::Batch(parts) => self.on_attempts(index, node, parts),
+            Message::Take(take) => self.on_direct_request(index, node, take),
+            Message::Cancel { request_id, attempt } => self.on_cancel(node, host, *request_id, *attempt),
+            Message::Probe { number } => {
+                let node = &self.nodes[node];
+                let (queue, busy) = (node.queue.len() as u32, node.busy());
+                self.connections.send(index, &Message::Probed { number: *number, queue, busy });
+            }
+            _ => return false,
+        }
+        true
+    }
+}
+
+/// The age of a node's process in microseconds.
+pub(crate) fn age_us(node: &Node, now: Ms) -> u64 {
+    let started_at = node.slow_start.started_at();
+    started_at.map_or(LONG_AGO, |started_at| ((now - started_at).max(0.0) * 1000.0) as u64)
+}
--- /dev/null
+++ b/crates/emulator/src/endpoint_list.rs
@@ -0,0 +1,121 @@
+//! The endpoint list service: what it publishes of the nodes, and when.
+
+use crate::emulator::{age_us, Emulator, Timer};
+use crate::node::Node;
+use crate::node_event::NodeEvent;
+use crate::Ms;
+use magpiewick_node_protocol::{Line, List, Message, State};
+use std::net::IpAddr;
+
+/// The state of the endpoint list service.
+pub(crate) struct EndpointList {
+    epoch: u64,
+    /// Nodes whose state has changed, each with the time from which on it is published.
+    unpublished: Vec<(Ms, u32)>,
+    is_down: bool,
+}
+
+impl EndpointList {
+    pub fn new() -> EndpointList {
+        EndpointList { epoch: 1, unpublished: Vec::new(), is_down: false }
+    }
+
+    pub fn is_down(&self) -> bool {
+        self.is_down
+    }
+
+    /// The whole list. A change that is not published yet is in it: an entry may be early, never wrong.
+    fn snapshot(&self, nodes: &[Node], now: Ms) -> List {
+        let listed = nodes.iter().filter(|node| node.is_listed);
+        let lines = listed.filter_map(|node| entry(node, now)).collect();
+        List { whole: true, epoch: self.epoch, lines }
+    }
+
+    /// The update that is due now, under the next epoch.
+    fn next_update(&mut self, nodes: &[Node], now: Ms) -> Option<List> {
+        let unpublished = std::mem::take(&mut self.unpublished);
+        let (due, later): (Vec<_>, Vec<_>) = unpublished.into_iter().partition(|change| change.0 <= now);
+        self.unpublished = later;
+        if due.is_empty() {
+            return None;
+        }
+        self.epoch += 1;
+        let node = |number: u32| nodes.iter().find(|node| node.config.number == number);
+        let lines = due.into_iter().filter_map(|(_, number)| entry(node(number)?, now)).collect();
+        Some(List { whole: false, epoch: self.epoch, lines })
+    }
+}
+
+fn entry(node: &Node, now: Ms) -> Option<Line> {
+    let IpAddr::V4(address) = node.address.ip() else { return None };
+    let state = match (node.is_listed, node.is_draining) {
+        (false, _) => State::Gone,
+        (true, true) => State::Draining,
+        (true, false) => State::Ready,
+    };
+    Some(Line {
+        node: node.config.number,
+        shard: node.config.shard,
+        zone: node.config.zone,
+        state,
+        life: node.incarnation,
+        age_us: age_us(node, now),
+        address: address.octets(),
+        port: node.address.port(),
+    })
+}
+
+impl Emulator {
+    /// Changes a node's entry: ready, draining, or not listed.
+    pub(crate) fn set_listed(&mut self, node: usize, is_listed: bool, is_draining: bool) {
+        let publish_at = self.now + self.config.publication_delay;
+        let node = &mut self.nodes[node];
+        node.is_listed = is_listed;
+        node.is_draining = is_draining;
+        self.endpoint_list.unpublished.push((publish_at, node.config.number));
+        self.timers.set(publish_at, Timer::PublishEndpoints);
+    }
+
+    /// Stops the endpoint list service, or starts it again.
+    pub(crate) fn set_list_down(&mut self, is_down: bool) {
+        self.endpoint_list.is_down = is_down;
+        if is_down {
+            for index in self.connections.indexes(|peer| peer.node.is_none()) {
+                self.connections.remove(index).connection.reset();
+            }
+        }
+    }
+
+    pub(crate) fn publish_endpoints(&mut self) {
+        let Some(update) = self.endpoint_list.next_update(&self.nodes, self.now) else { return };
+        if self.endpoint_list.is_down {
+            return;
+        }
+        for index in self.connections.indexes(|peer| peer.watches_endpoints) {
+            self.send_list(index, &update);
+        }
+    }
+
+    /// Sends a host the whole list, and the updates from then on.
+    pub(crate) fn watch_endpoints(&mut self, index: usize) {
+        let peer = self.connections.at(index);
+        peer.watches_endpoints = true;
+        let host = peer.host;
+        let snapshot = self.endpoint_list.snapshot(&self.nodes, self.now);
+        self.send_list(index, &snapshot);
+        // The host learns of nodes that are not listed any more by their absence.
+        for node in self.nodes.iter().filter(|node| !node.is_listed) {
+            let (node, incarnation) = (node.config.number, node.incarnation);
+            self.events.record(NodeEvent::DrainNotified { host, node, incarnation });
+        }
+    }
+
+    fn send_list(&mut self, index: usize, list: &List) {
+        let host = self.connections.at(index).host;
+        for entry in list.lines.iter().filter(|entry| entry.state != State::Ready) {
+            let (node, incarnation) = (entry.node, entry.life);
+            self.events.record(NodeEvent::DrainNotified { host, node, incarnation });
+        }
+        self.connections.send(index, &Message::List(list.clone()));
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/map_publication.rs
@@ -0,0 +1,175 @@
+//! Publication of the extent map: its snapshot, its updates, and what operators ask of migrations.
+
+use crate::emulator::{Emulator, Timer};
+use crate::map_service::{ExtentKey, MigrationStatus};
+use crate::node_event::NodeEvent;
+use magpiewick_extents::{Change, Changes, Extent, Stage};
+use magpiewick_node_protocol::{MapLine, MapNews, Mapped, Message, MoveStage, MOST_MAP_LINES};
+
+/// The map at one epoch, as it is sent.
+#[derive(Clone)]
+pub(crate) struct MapSnapshot {
+    epoch: u64,
+    lines: Vec<MapLine>,
+}
+
+impl Emulator {
+    /// Begins to migrate an extent, by its index in the volume.
+    pub(crate) fn migrate_extent(&mut self, volume: u64, index: usize, target: u32) {
+        if let Some(extent) = self.map.extent(volume, index) {
+            self.begin_migration(volume, extent, target);
+        }
+    }
+
+    /// Abandons the migration of an extent, by its index in the volume.
+    pub(crate) fn abandon_migration(&mut self, volume: u64, index: usize) {
+        if let Some(extent) = self.map.extent(volume, index) {
+            self.map.abandon(ExtentKey { volume, start: extent.start });
+        }
+    }
+
+    fn begin_migration(&mut self, volume: u64, extent: Extent, target: u32) {
+        let target_exists = self.nodes.iter().any(|node| node.config.shard == target);
+        if target_exists && self.map.begin_migration(volume, extent, target) {
+            let key = ExtentKey { volume, start: extent.start };
+            self.timers.set(self.now, Timer::MigrationStep(key));
+        }
+    }
+
+    /// Does what an operator asks of an extent's migration; how far it is then.
+    pub(crate) fn on_migration_request(
+        &mut self,
+        key: ExtentKey,
+        target: u32,
+        abandon: bool,
+    ) -> Message<'static> {
+        let ExtentKey { volume, start } = key;
+        let extent = self.map.map().find(volume, start).filter(|extent| extent.start == start);
+        match extent {
+            Some(_) if abandon => self.map.abandon(key),
+            Some(extent) => self.begin_migration(volume, extent, target),
+            None => {}
+        }
+        let (from, to, stage) = match self.map.status(key) {
+            Some(MigrationStatus { source, target, stage }) => (source, target, wire_stage(stage)),
+            None => {
+                let owner = extent.map_or(u32::MAX, |extent| extent.shard);
+                (owner, owner, MoveStage::Still)
+            }
+        };
+        Message::MoveState { volume, start, from, to, stage }
+    }
+
+    /// Takes one step of a migration, and publishes the change that it makes.
+    pub(crate) fn step_migration(&mut self, key: ExtentKey) {
+        let nodes = &self.nodes;
+        let queue_length = |shard: u32| {
+            let of_shard = nodes.iter().filter(|node| node.is_up && node.config.shard == shard);
+            of_shard.map(|node| node.queue.len()).max()
+        };
+        let outcome = self.map.step(key, queue_length);
+        if let Some(changes) = outcome.changes {
+            self.schedule_map_update(&changes);
+        }
+        if !outcome.finished {
+            let next_step_at = self.now + self.config.migration_step;
+            self.timers.set(next_step_at, Timer::MigrationStep(key));
+        }
+    }
+
+    fn schedule_map_update(&mut self, changes: &Changes) {
+        let lines: Vec<MapLine> = changes.changes.iter().filter_map(switch_line).collect();
+        for line in &lines {
+            let MapLine { volume, start, shard, version, .. } = *line;
+            self.events.record(NodeEvent::ExtentSwitched { volume, start, shard, version });
+        }
+        let update = MapNews { whole: false, epoch: changes.epoch, part: 0, last: true, lines };
+        let publish_at = self.now + self.config.publication_delay;
+        self.timers.set(publish_at, Timer::PublishMap(Box::new(update)));
+    }
+
+    pub(crate) fn publish_map_update(&mut self, update: &MapNews) {
+        if self.endpoint_list.is_down() {
+            return;
+        }
+        let mut sent = update.clone();
+        if self.defects.half_map_updates {
+            sent.lines.truncate(sent.lines.len() / 2);
+        }
+        let watching = self.connections.indexes(|peer| peer.watches_map);
+        for index in &watching {
+            self.connections.send(*index, &Message::Map(sent.clone()));
+        }
+        // The record is of the whole update: what the defect leaves out is missed by the host.
+        for line in update.lines.iter().filter(|line| line.kind == Mapped::Switch) {
+            let MapLine { volume, start, version, .. } = *line;
+            let end = self.map.map().find(volume, start).map_or(start, |extent| extent.end);
+            for index in &watching {
+                let host = self.connections.at(*index).host;
+                self.events.record(NodeEvent::MapUpdateSent { host, volume, start, end, version });
+            }
+        }
+    }
+
+    /// Sends a host the whole map, and the updates from then on.
+    pub(crate) fn watch_map(&mut self, index: usize) {
+        self.connections.at(index).watches_map = true;
+        let snapshot = self.map_snapshot();
+        self.send_map_snapshot(index, &snapshot);
+    }
+
+    fn map_snapshot(&self) -> MapSnapshot {
+        let line = |(volume, extent): (u64, Extent)| MapLine {
+            kind: Mapped::Extent,
+            volume,
+            start: extent.start,
+            at: extent.end,
+            shard: extent.shard,
+            version: extent.version,
+        };
+        let map = self.map.map();
+        MapSnapshot { epoch: map.epoch(), lines: map.extents().map(line).collect() }
+    }
+
+    fn send_map_snapshot(&mut self, index: usize, snapshot: &MapSnapshot) {
+        let parts = snapshot.lines.chunks(MOST_MAP_LINES).count().max(1);
+        for part in 0..parts {
+            let lines = snapshot.lines.chunks(MOST_MAP_LINES).nth(part).unwrap_or_default().to_vec();
+            let (epoch, last) = (snapshot.epoch, part + 1 == parts);
+            let update = MapNews { whole: true, epoch, part: part as u32, last, lines };
+            self.connections.send(index, &Message::Map(update));
+        }
+    }
+
+    /// Saves the map as it is now.
+    pub(crate) fn save_map(&mut self) {
+        self.saved_map = Some(self.map_snapshot());
+    }
+
+    /// Sends all hosts the map that was saved, as a service does that lost changes.
+    pub(crate) fn replay_saved_map(&mut self) {
+        let Some(saved) = self.saved_map.take().filter(|_| !self.endpoint_list.is_down()) else { return };
+        for index in self.connections.indexes(|peer| peer.watches_map) {
+            self.send_map_snapshot(index, &saved);
+        }
+    }
+}
+
+/// The line of an update for a change; the service makes no others.
+fn switch_line(change: &Change) -> Option<MapLine> {
+    match *change {
+        Change::Switch { volume, start, shard, version } => {
+            Some(MapLine { kind: Mapped::Switch, volume, start, at: 0, shard, version })
+        }
+        _ => None,
+    }
+}
+
+fn wire_stage(stage: Stage) -> MoveStage {
+    match stage {
+        Stage::Copying => MoveStage::Copying,
+        Stage::Copied => MoveStage::Copied,
+        Stage::Switched => MoveStage::Moved,
+        Stage::Abandoned => MoveStage::Abandoned,
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/map_service.rs
@@ -0,0 +1,407 @@
+//! The map service: the extent map, the data of the shards, and the migrations of extents between them. The state
+//! machines of a migration are those of `crates/extents`; this performs their steps.
+
+use crate::config::EmulatorConfig;
+use crate::data_store::DataStore;
+use magpiewick_extents::{
+    Change, Changes, Extent, ExtentMap, Migration, MigrationLimits, MigrationRecord, MigrationSource,
+    MigrationStep, MigrationTarget, Stage, StaleCoordinator, VolumeMap,
+};
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Range;
+
+/// An extent's volume and first offset.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ExtentKey {
+    pub volume: u64,
+    pub start: u64,
+}
+
+/// A shard does not serve an extent; the owner, where its nodes know it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct WrongShard {
+    pub owner: Option<Owner>,
+}
+
+/// The owner of an extent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Owner {
+    pub shard: u32,
+    pub version: u32,
+}
+
+/// How far the migration of an extent is.
+pub(crate) struct MigrationStatus {
+    pub source: u32,
+    pub target: u32,
+    pub stage: Stage,
+}
+
+/// What a step of a migration came to.
+pub(crate) struct StepOutcome {
+    /// The change of the map, to be published.
+    pub changes: Option<Changes>,
+    /// Whether the migration is over.
+    pub finished: bool,
+}
+
+impl StepOutcome {
+    /// The step could not be taken yet.
+    const WAITING: StepOutcome = StepOutcome { changes: None, finished: false };
+}
+
+/// The range of keys that a request reads or writes.
+#[derive(Clone, Copy)]
+pub(crate) struct KeyRange {
+    pub volume: u64,
+    /// The key, or the first block.
+    pub key: u64,
+    /// Blocks from the key on; 0 where the key is a piece of data by itself.
+    pub blocks: u32,
+}
+
+impl KeyRange {
+    fn keys(&self) -> Range<u64> {
+        self.key..self.key + u64::from(self.blocks.max(1))
+    }
+}
+
+/// One extent that is being migrated.
+struct ExtentMigration {
+    source_shard: u32,
+    target_shard: u32,
+    record: MigrationRecord,
+    source: MigrationSource,
+    target: MigrationTarget,
+    /// `None` while the coordinator is dead.
+    coordinator: Option<Migration>,
+    /// Keys that the source wrote since the copy began.
+    written_keys: BTreeSet<u64>,
+}
+
+impl ExtentMigration {
+    fn has_begun(&self) -> bool {
+        self.target.copy_of.is_some() || self.record.stage != Stage::Copying
+    }
+
+    /// Performs a step on the extent's range of keys; the source's incarnation where the step reports it.
+    fn perform(
+        &mut self,
+        coordinator: &Migration,
+        volume: u64,
+        range: Range<u64>,
+        store: &mut DataStore,
+    ) -> Result<Option<u8>, StaleCoordinator> {
+        let id = coordinator.id;
+        let shards = (self.source_shard, self.target_shard);
+        match coordinator.next_step {
+            MigrationStep::CopyAll | MigrationStep::CopyAgain => {
+                self.target.receive_copy(id)?;
+                store.copy(volume, shards, range, |_| true);
+                self.written_keys.clear();
+                return Ok(Some(self.source.incarnation));
+            }
+            MigrationStep::Fence => self.source.fence(id)?,
+            MigrationStep::CopyRemainder => {
+                let copy_all = self.source.needs_full_copy(id, coordinator.copied_from)?;
+                self.target.receive_remainder(id)?;
+                store.copy(volume, shards, range, |key| copy_all || self.written_keys.contains(&key));
+            }
+            MigrationStep::RecordCopied => self.record.record_copied(id)?,
+            MigrationStep::Switch => _ = self.record.switch(id)?,
+            MigrationStep::Serve => self.target.start_serving(id)?,
+            MigrationStep::Release => {
+                self.source.release(id)?;
+                store.remove(self.source_shard, volume, range);
+            }
+            MigrationStep::DropCopy => {
+                self.target.drop_copy(id)?;
+                store.remove(self.target_shard, volume, range);
+            }
+            MigrationStep::Unfence => self.source.unfence(id)?,
+            MigrationStep::Done => {}
+        }
+        Ok(None)
+    }
+}
+
+/// Whether a step needs a process of the source shard.
+fn needs_source(step: MigrationStep) -> bool {
+    matches!(
+        step,
+        MigrationStep::CopyAll
+            | MigrationStep::CopyAgain
+            | MigrationStep::Fence
+            | MigrationStep::CopyRemainder
+            | MigrationStep::Release
+            | MigrationStep::Unfence
+    )
+}
+
+/// Whether a step needs a process of the target shard.
+fn needs_target(step: MigrationStep) -> bool {
+    matches!(
+        step,
+        MigrationStep::CopyAll
+            | MigrationStep::CopyAgain
+            | MigrationStep::CopyRemainder
+            | MigrationStep::Serve
+            | MigrationStep::DropCopy
+    )
+}
+
+/// Whether a step changes the service's record.
+fn needs_service(step: MigrationStep) -> bool {
+    matches!(step, MigrationStep::RecordCopied | MigrationStep::Switch)
+}
+
+pub(crate) struct MapService {
+    map: ExtentMap,
+    store: DataStore,
+    migrations: BTreeMap<ExtentKey, ExtentMigration>,
+    limits: MigrationLimits,
+    coordinators_down: bool,
+    /// Whether the service records nothing.
+    is_down: bool,
+    /// The defect of a source that serves on after its fence.
+    fence_ignored: bool,
+}
+
+impl MapService {
+    pub fn new(config: &EmulatorConfig) -> MapService {
+        MapService {
+            map: initial_map(config),
+            store: DataStore::default(),
+            migrations: BTreeMap::new(),
+            limits: config.migration_limits,
+            coordinators_down: false,
+            is_down: false,
+            fence_ignored: false,
+        }
+    }
+
+    pub fn map(&self) -> &ExtentMap {
+        &self.map
+    }
+
+    pub fn set_coordinators_down(&mut self, down: bool) {
+        self.coordinators_down = down;
+    }
+
+    pub fn set_down(&mut self, is_down: bool) {
+        self.is_down = is_down;
+    }
+
+    pub fn set_fence_ignored(&mut self, ignored: bool) {
+        self.fence_ignored = ignored;
+    }
+
+    /// Whether a shard serves a key at the moment.
+    pub fn check_owner(&self, shard: u32, volume: u64, key: u64) -> Result<(), WrongShard> {
+        let Some(extent) = self.map.find(volume, key) else { return Ok(()) };
+        let owned_by = |shard: u32| {
+            let version = extent.version;
+            Err(WrongShard { owner: Some(Owner { shard, version }) })
+        };
+        let Some(migration) = self.migrations.get(&ExtentKey { volume, start: extent.start }) else {
+            return if extent.shard == shard { Ok(()) } else { owned_by(extent.shard) };
+        };
+        let (source, target) = (migration.source_shard, migration.target_shard);
+        let source_serves = migration.source.is_serving();
+        let target_serves = migration.target.serving;
+        if source == shard && (source_serves || self.fence_ignored) || target == shard && target_serves {
+            return Ok(());
+        }
+        if target_serves {
+            return owned_by(target);
+        }
+        if source != shard && source_serves {
+            return owned_by(source);
+        }
+        Err(WrongShard { owner: None })
+    }
+
+    /// As [`MapService::check_owner`], for the first and the last key of a range.
+    pub fn check_range_owner(&self, shard: u32, range: KeyRange) -> Result<(), WrongShard> {
+        self.check_owner(shard, range.volume, range.key)?;
+        self.check_owner(shard, range.volume, range.keys().end - 1)
+    }
+
+    /// Writes a range, whose blocks are equal parts of the payload.
+    pub fn write(&mut self, shard: u32, range: KeyRange, payload: &[u8]) {
+        let block_size = payload.len().div_ceil(range.blocks.max(1) as usize).max(1);
+        for (key, block) in range.keys().zip(payload.chunks(block_size)) {
+            self.write_key(shard, range.volume, key, block);
+        }
+    }
+
+    fn write_key(&mut self, shard: u32, volume: u64, key: u64, payload: &[u8]) {
+        self.store.write(shard, volume, key, payload);
+        let Some(extent) = self.map.find(volume, key) else { return };
+        let migration = self.migrations.get_mut(&ExtentKey { volume, start: extent.start });
+        if let Some(migration) = migration.filter(|migration| migration.source_shard == shard) {
+            migration.written_keys.insert(key);
+        }
+    }
+
+    /// Reads a key as it is, or a range in blocks of one size.
+    pub fn read(&self, shard: u32, range: KeyRange, block_size: usize) -> Vec<u8> {
+        if range.blocks == 0 {
+            return self.store.read(shard, range.volume, range.key).unwrap_or_default().to_vec();
+        }
+        let mut payload = Vec::with_capacity(range.blocks as usize * block_size);
+        for (n, key) in range.keys().enumerate() {
+            let stored = self.store.read(shard, range.volume, key).unwrap_or_default();
+            payload.extend_from_slice(&stored[..stored.len().min(block_size)]);
+            payload.resize((n + 1) * block_size, 0);
+        }
+        payload
+    }
+
+    /// What the owner of each key holds, without a map whichever shard holds it: volume, key, payload.
+    pub fn stored(&self) -> Vec<(u64, u64, Vec<u8>)> {
+        let owned = self.store.iter().filter(|(shard, volume, key, _)| {
+            self.map.find(*volume, *key).is_none_or(|extent| extent.shard == *shard)
+        });
+        owned.map(|(_, volume, key, payload)| (volume, key, payload.to_vec())).collect()
+    }
+
+    /// An extent by its index in the volume.
+    pub fn extent(&self, volume: u64, index: usize) -> Option<Extent> {
+        self.map.extents().filter(|(of, _)| *of == volume).nth(index).map(|(_, extent)| extent)
+    }
+
+    /// Begins a migration; false where the extent lies there or is being migrated already.
+    pub fn begin_migration(&mut self, volume: u64, extent: Extent, target_shard: u32) -> bool {
+        let key = ExtentKey { volume, start: extent.start };
+        if extent.shard == target_shard || self.migrations.contains_key(&key) {
+            return false;
+        }
+        let mut record = MigrationRecord::idle(extent.version);
+        if record.begin().is_err() {
+            return false;
+        }
+        let migration = ExtentMigration {
+            source_shard: extent.shard,
+            target_shard,
+            record,
+            source: MigrationSource::new(),
+            target: MigrationTarget::default(),
+            coordinator: Some(Migration::resume(&record)),
+            written_keys: BTreeSet::new(),
+        };
+        self.migrations.insert(key, migration);
+        true
+    }
+
+    /// The migration of an extent; `None` where there is none.
+    pub fn status(&self, key: ExtentKey) -> Option<MigrationStatus> {
+        let migration = self.migrations.get(&key)?;
+        let (source, target) = (migration.source_shard, migration.target_shard);
+        Some(MigrationStatus { source, target, stage: migration.record.stage })
+    }
+
+    /// Abandons a migration, where it still can be.
+    pub fn abandon(&mut self, key: ExtentKey) {
+        let Some(migration) = self.migrations.get_mut(&key) else { return };
+        if migration.record.abandon(migration.record.id).is_ok() {
+            migration.coordinator = Some(Migration::resume(&migration.record));
+        }
+    }
+
+    /// A shard's process restarted: it has lost what it noted since copies began.
+    pub fn on_shard_restarted(&mut self, shard: u32) {
+        let sources = self.migrations.values_mut().filter(|migration| migration.source_shard == shard);
+        for migration in sources {
+            migration.source.restart();
+            migration.written_keys.clear();
+        }
+    }
+
+    /// Takes one step of a migration. `queue_length` gives the requests queued at a shard, `None` where no process
+    /// of it runs.
+    pub fn step(&mut self, key: ExtentKey, queue_length: impl Fn(u32) -> Option<usize>) -> StepOutcome {
+        let running = self.running_migrations();
+        let Some(migration) = self.migrations.get_mut(&key) else {
+            return StepOutcome { changes: None, finished: true };
+        };
+        if self.coordinators_down {
+            migration.coordinator = None;
+            return StepOutcome::WAITING;
+        }
+        let (source, target) = (migration.source_shard, migration.target_shard);
+        let load = queue_length(source).max(queue_length(target)).unwrap_or(0);
+        if !migration.has_begun() && !self.limits.may_begin(&running, (source, target), load) {
+            return StepOutcome::WAITING;
+        }
+        // A coordinator that died has a successor, which resumes from the record.
+        let record = migration.record;
+        let mut coordinator = migration.coordinator.unwrap_or_else(|| Migration::resume(&record));
+        let step = coordinator.next_step;
+        let is_down = |shard: u32| queue_length(shard).is_none();
+        if needs_source(step) && is_down(source)
+            || needs_target(step) && is_down(target)
+            || needs_service(step) && self.is_down
+        {
+            migration.coordinator = Some(coordinator);
+            return StepOutcome::WAITING;
+        }
+        let ExtentKey { volume, start } = key;
+        let range = self.map.find(volume, start).map_or(start..start, |extent| extent.start..extent.end);
+        match migration.perform(&coordinator, volume, range, &mut self.store) {
+            Ok(incarnation) => coordinator.on_success(incarnation),
+            Err(StaleCoordinator) => coordinator.on_rejected(&migration.record),
+        }
+        migration.coordinator = Some(coordinator);
+        let finished = coordinator.next_step == MigrationStep::Done;
+        let changes = self.change_map(key, record.stage, finished);
+        if finished {
+            self.migrations.remove(&key);
+        }
+        StepOutcome { changes, finished }
+    }
+
+    /// The migrations that have begun, as pairs of source and target shard.
+    fn running_migrations(&self) -> Vec<(u32, u32)> {
+        let running = self.migrations.values().filter(|migration| migration.has_begun());
+        running.map(|migration| (migration.source_shard, migration.target_shard)).collect()
+    }
+
+    /// Changes the map where a migration has switched the owner, or has ended without.
+    fn change_map(&mut self, key: ExtentKey, previous_stage: Stage, finished: bool) -> Option<Changes> {
+        let ExtentKey { volume, start } = key;
+        let extent = self.map.find(volume, start)?;
+        let migration = self.migrations.get(&key)?;
+        let record = migration.record;
+        let (shard, version) = if previous_stage != Stage::Switched && record.stage == Stage::Switched {
+            (migration.target_shard, record.version)
+        } else if finished && record.stage == Stage::Abandoned {
+            // A new version tells hosts that the extent is served again.
+            (extent.shard, extent.version + 1)
+        } else {
+            return None;
+        };
+        let change = Change::Switch { volume, start, shard, version };
+        let changes = Changes { epoch: self.map.epoch() + 1, changes: vec![change] };
+        // The service makes its own changes one after the other: none can be applied twice or leave a gap.
+        if let Err(error) = self.map.apply(&changes) {
+            tracing::error!(%error, "map_change_rejected");
+        }
+        Some(changes)
+    }
+}
+
+/// The map that divides each volume into extents of equal length, which its shards hold in turn.
+fn initial_map(config: &EmulatorConfig) -> ExtentMap {
+    let (extents, keys) = (config.extents_per_volume, config.keys_per_volume);
+    let mut volumes = BTreeMap::new();
+    for (id, shards) in config.volumes.iter().filter(|(_, shards)| extents > 0 && !shards.is_empty()) {
+        let extent = |i: u64| (i * keys / extents, shards[i as usize % shards.len()], 1);
+        let rows: Vec<(u64, u32, u32)> = (0..extents).map(extent).collect();
+        // More extents than keys are no map; the volume goes without one.
+        if let Ok(volume) = VolumeMap::new(*id, keys, &rows) {
+            volumes.insert(*id, volume);
+        }
+    }
+    ExtentMap::new(1, volumes)
+}
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,66 +1,37 @@
-//! A node's work: what waits, what runs, what is stored, and how fast it is at the moment.
+//! A node: its process, its queue and its speed.
 
-use crate::config::{Cold, NodeConfig};
-use crate::fleet::Arrived;
+use crate::config::{EmulatorConfig, NodeConfig};
+use crate::faults::NodeFaults;
+use crate::received_attempt::ReceivedAttempt;
+use crate::slow_start::SlowStart;
+use crate::usage_meter::UsageMeter;
 use crate::Ms;
-use std::collections::{HashMap, VecDeque};
+use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// What a script does to a node.
-#[derive(Clone, Copy, Debug)]
-pub struct Ailing {
-    /// Takes work, does it, answers nothing.
-    pub silent: bool,
-    /// The part of its answers that are lost.
-    pub losing: f64,
-    /// Its work takes this many times as long.
-    pub slow: f64,
-    /// Turns everything away.
-    pub full: bool,
-    /// Greets nobody, begins nothing and answers nothing; what comes is noted when it comes, for the record.
-    pub deaf: bool,
-    /// The part of requests that it turns away, fails or answers in vain, each a third.
-    pub partly: f64,
-    /// Breaks the next answer off in its middle, and the connection with it.
-    pub breaking: bool,
-    /// Tells nothing of what it served through other hosts.
-    pub mute_meter: bool,
-}
-
-pub const WELL: Ailing = Ailing {
-    silent: false,
-    losing: 0.0,
-    slow: 1.0,
-    full: false,
-    deaf: false,
-    partly: 0.0,
-    breaking: false,
-    mute_meter: false,
-};
+/// The parts of one request of a node, which it executes together.
+pub(crate) type Batch = Vec<ReceivedAttempt>;
 
-pub struct Node {
+pub(crate) struct Node {
     pub config: NodeConfig,
     /// Where it listens once it has started; the same over restarts.
     pub address: SocketAddr,
-    pub up: bool,
-    pub listed: bool,
-    pub draining: bool,
-    pub life: u64,
-    /// None: long ago.
-    pub started: Option<Ms>,
-    pub ailing: Ailing,
-    /// What came together is one request of the node.
-    pub waiting: VecDeque<Vec<Arrived>>,
+    /// Whether its process runs.
+    pub is_up: bool,
+    /// Whether the endpoint list holds it.
+    pub is_listed: bool,
+    pub is_draining: bool,
+    pub incarnation: u64,
+    pub faults: NodeFaults,
+    pub queue: VecDeque<Batch>,
+    /// Batches that are executed at the moment.
     pub running: usize,
-    /// Until when it stands still, and the work that it has put off.
-    pub still_until: Ms,
-    pub put_off: Ms,
-    /// What was sent to it lately while it was cold.
-    sent: VecDeque<(Ms, f64)>,
-    /// Units served by volume, in all and through each host; and those of others as each host was last told.
-    served: HashMap<u64, f64>,
-    through: HashMap<(u64, u64), f64>,
-    told: HashMap<(u64, u64), f64>,
+    /// Until when deferred work keeps it from beginning anything.
+    pub paused_until: Ms,
+    /// Work that writes have deferred.
+    pub deferred_work: Ms,
+    pub slow_start: SlowStart,
+    pub usage: UsageMeter,
 }
 
 impl Node {
@@ -68,73 +39,71 @@
         Node {
             address: config.listen,
             config,
-            up: false,
-            listed: false,
-            draining: false,
-            life: 0,
-            started: None,
-            ailing: WELL,
-            waiting: VecDeque::new(),
+            is_up: false,
+            is_listed: false,
+            is_draining: false,
+            incarnation: 0,
+            faults: NodeFaults::NONE,
+            queue: VecDeque::new(),
             running: 0,
-            still_until: 0.0,
-            put_off: 0.0,
-            sent: VecDeque::new(),
-            served: HashMap::new(),
-            through: HashMap::new(),
-            told: HashMap::new(),
+            paused_until: 0.0,
+            deferred_work: 0.0,
+            slow_start: SlowStart::default(),
+            usage: UsageMeter::default(),
         }
     }
 
-    /// A new process: what waited and ran is lost; what was stored is its shard's.
-    pub fn begin(&mut self, life: u64, started: Option<Ms>) {
-        (self.up, self.life, self.started, self.draining) = (true, life, started, false);
-        self.waiting.clear();
-        self.sent.clear();
-        (self.running, self.put_off, self.still_until) = (0, 0.0, 0.0);
-        self.ailing = WELL;
+    /// Starts a new process, which warms up from `started_at` on, or has run for long. What was queued and
+    /// executed is lost; what was stored is its shard's.
+    pub fn start(&mut self, incarnation: u64, started_at: Option<Ms>) {
+        self.is_up = true;
+        self.is_draining = false;
+        self.incarnation = incarnation;
+        self.faults = NodeFaults::NONE;
+        self.queue.clear();
+        self.running = 0;
+        self.paused_until = 0.0;
+        self.deferred_work = 0.0;
+        self.slow_start = SlowStart::new(started_at);
     }
 
-    /// The part of its work that it can do now.
-    pub fn warmth(&self, now: Ms, cold: &Cold) -> f64 {
-        let age = self.started.map_or(f64::INFINITY, |at| now - at);
-        if age >= cold.time {
-            1.0
-        } else {
-            cold.share + (1.0 - cold.share) * (age / cold.time).max(0.0)
-        }
+    /// Whether it can begin a batch: it has one, a free core, and does not hang.
+    pub fn can_begin(&self) -> bool {
+        let has_free_core = self.running < self.config.cores;
+        self.is_up && !self.faults.hung && has_free_core && !self.queue.is_empty()
     }
 
-    /// How long a request's work takes from now on.
-    pub fn work(&self, now: Ms, units: f64, unit_work: Ms, cold: &Cold) -> Ms {
-        units * unit_work * self.ailing.slow / (self.config.speed * self.warmth(now, cold))
+    /// The part of its cores that are busy.
+    pub fn busy(&self) -> f32 {
+        self.running as f32 / self.config.cores as f32
     }
 
-    /// Counts what was sent to it; true where that pushes it over.
-    pub fn pushed_over(&mut self, now: Ms, units: f64, unit_work: Ms, cold: &Cold) -> bool {
-        let Some(started) = self.started.filter(|at| now - at < cold.time + cold.fall_time) else {
-            return false;
-        };
-        self.sent.push_back((now, units));
-        while self.sent.front().is_some_and(|s| s.0 < now - cold.fall_time) {
-            self.sent.pop_front();
+    /// How long a batch takes, begun now; a part of a write's work is deferred.
+    pub fn begin(&mut self, now: Ms, batch: &Batch, config: &EmulatorConfig) -> Ms {
+        let units: f64 = batch.iter().map(|part| part.units).sum();
+        let capacity = self.slow_start.capacity(now, &config.slow_start);
+        let mut time = units * config.unit_work * self.faults.slowdown / (self.config.speed * capacity);
+        if batch[0].write {
+            self.deferred_work += time * config.deferred_part / self.config.cores as f64;
+            time *= 1.0 - config.deferred_part;
         }
-        let sum: f64 = self.sent.iter().map(|s| s.1).sum();
-        let a_second = self.config.cores as f64 * self.config.speed / unit_work;
-        let could = cold.fall_multiple * a_second * self.warmth(now, cold) * cold.fall_time;
-        let first = now - started <= cold.fall_time;
-        sum > could.max(if first { cold.units } else { 0.0 })
+        self.running += 1;
+        time + config.request_work * self.faults.slowdown / self.config.speed
+    }
+
+    /// Counts units that it was sent; true where they overload it.
+    pub fn is_overloaded_by(&mut self, now: Ms, units: f64, config: &EmulatorConfig) -> bool {
+        let full_rate = self.config.cores as f64 * self.config.speed / config.unit_work;
+        self.slow_start.is_overloaded_by(now, units, full_rate, &config.slow_start)
     }
 
-    /// Counts what a host's volume was served; what others were served since this host was last told.
-    pub fn served(&mut self, volume: u64, host: u64, units: f64) -> f64 {
-        let all = self.served.entry(volume).or_default();
-        *all += units;
-        let own = self.through.entry((volume, host)).or_default();
-        *own += units;
-        if self.ailing.mute_meter {
+    /// Counts units that a volume was served; returns those served through other hosts since the host's last
+    /// report.
+    pub fn record_usage(&mut self, volume: u64, host: u64, units: f64) -> f64 {
+        self.usage.record(volume, host, units);
+        if self.faults.usage_withheld {
             return 0.0;
         }
-        let others = *all - *own;
-        others - self.told.insert((volume, host), others).unwrap_or(0.0)
+        self.usage.report(volume, host)
     }
 }
--- /dev/null
+++ b/crates/emulator/src/usage_meter.rs
@@ -0,0 +1,28 @@
+//! Measures the units that a node served by volume, which it reports to hosts with its answers.
+
+use std::collections::HashMap;
+
+/// The units that a node served, by volume and host.
+#[derive(Default)]
+pub(crate) struct UsageMeter {
+    by_volume: HashMap<u64, f64>,
+    by_volume_and_host: HashMap<(u64, u64), f64>,
+    /// Units of a volume served through other hosts, as each host was last sent.
+    reported: HashMap<(u64, u64), f64>,
+}
+
+impl UsageMeter {
+    /// Counts units that a volume was served through a host.
+    pub fn record(&mut self, volume: u64, host: u64, units: f64) {
+        *self.by_volume.entry(volume).or_default() += units;
+        *self.by_volume_and_host.entry((volume, host)).or_default() += units;
+    }
+
+    /// The units that a volume was served through other hosts since this host's last report.
+    pub fn report(&mut self, volume: u64, host: u64) -> f64 {
+        let all = self.by_volume.get(&volume).copied().unwrap_or(0.0);
+        let own = self.by_volume_and_host.get(&(volume, host)).copied().unwrap_or(0.0);
+        let others = all - own;
+        others - self.reported.insert((volume, host), others).unwrap_or(0.0)
+    }
+}
--- /dev/null
+++ b/crates/scenario/src/audit/at_most_once.rs
@@ -0,0 +1,97 @@
+//! Rule 2: no effect twice, and no attempt and no rejection that could bring one.
+
+use super::evidence::{Run, TrackedAttempt, TrackedRequest};
+use super::verdict::{Finding, Rule, Verdict};
+use magpiewick::{DeduplicationScope, Idempotency};
+use magpiewick_emulator::NodeEvent;
+use magpiewick_node_protocol::FinalCode;
+use std::collections::HashMap;
+
+pub(super) fn check(run: &Run, verdict: &mut Verdict) {
+    check_effects(run, verdict);
+    let classes = &run.evidence.host.start.classes;
+    for tracked in &run.requests {
+        if classes[usize::from(tracked.request.class)].idempotency != Idempotency::Idempotent {
+            check_attempts(run, tracked, verdict);
+            check_rejection(run, tracked, verdict);
+        }
+    }
+}
+
+fn check_effects(run: &Run, verdict: &mut Verdict) {
+    let classes = &run.evidence.host.start.classes;
+    let idempotency = |class: u16| {
+        classes.get(usize::from(class)).map_or(Idempotency::NonIdempotent, |class| class.idempotency)
+    };
+    let mut effects: HashMap<u64, u32> = HashMap::new();
+    for (at, event) in run.evidence.node_events {
+        let NodeEvent::EffectApplied { node, host, class, mark, .. } = *event else { continue };
+        if idempotency(class) == Idempotency::Idempotent {
+            continue;
+        }
+        let count = effects.entry(mark).or_default();
+        *count += 1;
+        if *count == 2 {
+            verdict.findings.push(Finding {
+                rule: Rule::AtMostOnce,
+                at: *at,
+                host: Some(host),
+                node: Some(node),
+                request_id: Some(mark),
+                what: "its effect took place twice".to_string(),
+            });
+        }
+    }
+    verdict.add_checked(Rule::AtMostOnce, effects.len());
+}
+
+/// Finds attempts that repeat one which may have been executed, where no deduplication covers them.
+fn check_attempts(run: &Run, tracked: &TrackedRequest, verdict: &mut Verdict) {
+    let attempts: Vec<&TrackedAttempt> = run.attempts_of(tracked).collect();
+    for (index, attempt) in attempts.iter().enumerate() {
+        let earlier = attempts[..index].iter().find(|earlier| !earlier.known_not_executed(attempt.at));
+        let Some(earlier) = earlier else { continue };
+        if let Some(what) = unsafe_repeat(run, tracked, earlier, attempt) {
+            verdict.add_attempt(Rule::AtMostOnce, attempt.at, attempt, what);
+        }
+    }
+}
+
+fn unsafe_repeat(
+    run: &Run,
+    tracked: &TrackedRequest,
+    earlier: &TrackedAttempt,
+    attempt: &TrackedAttempt,
+) -> Option<&'static str> {
+    let class = &run.evidence.host.start.classes[usize::from(tracked.request.class)];
+    let remembered_until = earlier.at + class.deduplication_window + run.evidence.scenario.clock_tolerance;
+    match class.idempotency {
+        Idempotency::NonIdempotent => Some("a non-idempotent request retried that may have been executed"),
+        _ if attempt.at > remembered_until => Some("retried after its deduplication window"),
+        _ if !in_same_scope(run, class.deduplication_scope, earlier.node, attempt.node) => {
+            Some("retried outside its deduplication scope")
+        }
+        _ => None,
+    }
+}
+
+/// Finds a rejection of a request that may have been executed: the client would retry it.
+fn check_rejection(run: &Run, tracked: &TrackedRequest, verdict: &mut Verdict) {
+    let Some((at, FinalCode::Rejected)) = tracked.answer else { return };
+    let class = &run.evidence.host.start.classes[usize::from(tracked.request.class)];
+    let deduplicated_everywhere = class.idempotency == Idempotency::IdempotentWithKey
+        && class.deduplication_scope == DeduplicationScope::All;
+    let executed = run.attempts_of(tracked).find(|attempt| !attempt.known_not_executed(at));
+    if let Some(attempt) = executed.filter(|_| !deduplicated_everywhere) {
+        verdict.add_attempt(Rule::AtMostOnce, at, attempt, "rejected though it may have been executed");
+    }
+}
+
+fn in_same_scope(run: &Run, scope: DeduplicationScope, a: u32, b: u32) -> bool {
+    match (scope, run.evidence.node(a), run.evidence.node(b)) {
+        (DeduplicationScope::All, ..) => true,
+        (DeduplicationScope::Zone, Some(a), Some(b)) => a.zone == b.zone,
+        (DeduplicationScope::Shard, Some(a), Some(b)) => a.shard == b.shard,
+        _ => false,
+    }
+}
--- /dev/null
+++ b/crates/scenario/src/audit/data_integrity.rs
@@ -0,0 +1,127 @@
+//! Data integrity: keys hold what was written last, reads return what was stored in their time, and no attempt
+//! leaves under a version of an extent older than its host was sent.
+
+use super::evidence::{BlockWrite, Run};
+use super::verdict::{Finding, Rule, Verdict};
+use crate::client_event::ClientEvent;
+use crate::Ms;
+use magpiewick_emulator::NodeEvent;
+use magpiewick_node_protocol::FinalCode;
+use std::collections::{BTreeMap, HashMap, HashSet};
+
+/// Each key holds, at its owner, what was written to it last, and no request succeeded without being executed.
+pub(super) fn check_stored(run: &Run, verdict: &mut Verdict) {
+    check_successes(run, verdict);
+    let mut last_writes: BTreeMap<(u64, u64), BlockWrite> = BTreeMap::new();
+    for write in run.evidence.block_writes() {
+        last_writes.insert(write.block, write);
+    }
+    let stored = run.evidence.stored.iter();
+    let stored: HashMap<(u64, u64), u64> =
+        stored.map(|(volume, key, payload)| ((*volume, *key), mark_of(payload))).collect();
+    verdict.add_checked(Rule::DataIntegrity, last_writes.len());
+    for ((volume, key), write) in last_writes {
+        let held = stored.get(&(volume, key));
+        if held != Some(&write.mark) {
+            let what = format!("key {key} of volume {volume} holds {held:?}");
+            verdict.add_request(Rule::DataIntegrity, write.at, write.mark, what);
+        }
+    }
+}
+
+fn check_successes(run: &Run, verdict: &mut Verdict) {
+    let executed: HashSet<u64> = run
+        .evidence
+        .node_events
+        .iter()
+        .filter_map(|(_, event)| match *event {
+            NodeEvent::EffectApplied { mark, .. } => Some(mark),
+            _ => None,
+        })
+        .collect();
+    for tracked in &run.requests {
+        let mark = tracked.request.mark;
+        if let Some((at, FinalCode::Succeeded)) = tracked.answer.filter(|_| !executed.contains(&mark)) {
+            verdict.add_request(Rule::DataIntegrity, at, mark, "succeeded though it was never executed");
+        }
+    }
+}
+
+/// A written payload begins with the mark of its request.
+fn mark_of(payload: &[u8]) -> u64 {
+    payload.first_chunk::<8>().map_or(0, |mark| u64::from_le_bytes(*mark))
+}
+
+/// Each block of a successful read holds what was stored there at some moment of the read.
+pub(super) fn check_reads(run: &Run, verdict: &mut Verdict) {
+    let tolerance = run.evidence.scenario.clock_tolerance;
+    let mut writes: HashMap<(u64, u64), Vec<(Ms, u64)>> = HashMap::new();
+    for write in run.evidence.block_writes() {
+        writes.entry(write.block).or_default().push((write.at, write.mark));
+    }
+    let by_number: HashMap<u64, usize> =
+        run.requests.iter().enumerate().map(|(index, tracked)| (tracked.request.number, index)).collect();
+    let mut checked = 0;
+    for (at, event) in run.evidence.client_events {
+        let ClientEvent::BlockRead { number, block, mark } = *event else { continue };
+        let Some(tracked) = by_number.get(&number).map(|index| &run.requests[*index]) else { continue };
+        let (from, to, volume) = (tracked.sent_at - tolerance, at + tolerance, tracked.request.volume);
+        let block_writes = writes.get(&(volume, block)).map_or(&[][..], |all| all);
+        let first = block_writes.partition_point(|write| write.0 <= from);
+        let last = block_writes.partition_point(|write| write.0 <= to);
+        let was_stored = block_writes[first.saturating_sub(1)..last].iter().any(|write| write.1 == mark);
+        let was_empty = first == 0 && mark == 0;
+        checked += 1;
+        if !was_stored && !was_empty {
+            let what = format!("block {block} of volume {volume} was read as {mark}");
+            verdict.add_request(Rule::DataIntegrity, *at, tracked.request.mark, what);
+        }
+    }
+    verdict.add_checked(Rule::DataIntegrity, checked);
+}
+
+/// A version of an extent that a host was sent.
+struct KnownVersion {
+    start: u64,
+    end: u64,
+    received_at: Ms,
+    version: u32,
+}
+
+/// No attempt leaves under a version of an extent that is older than what its host was sent.
+pub(super) fn check_versions(run: &Run, verdict: &mut Verdict) {
+    let tolerance = run.evidence.scenario.clock_tolerance;
+    let mut known: HashMap<(u64, u64), Vec<KnownVersion>> = HashMap::new();
+    let mut checked = 0;
+    for (at, event) in run.evidence.node_events {
+        match *event {
+            NodeEvent::MapUpdateSent { host, volume, start, end, version } => {
+                let received_at = run.received_at(host, *at);
+                let update = KnownVersion { start, end, received_at, version };
+                known.entry((host, volume)).or_default().push(update);
+            }
+            NodeEvent::AttemptReceived { node, host, volume, key, mark, version, .. } if version > 0 => {
+                let of_volume = known.get(&(host, volume)).map_or(&[][..], |all| all);
+                let of_extent = of_volume
+                    .iter()
+                    .filter(|k| k.start <= key && key < k.end && at - k.received_at > tolerance);
+                checked += usize::from(of_extent.clone().next().is_some());
+                if let Some(newer) = of_extent.clone().find(|known| known.version > version) {
+                    verdict.findings.push(Finding {
+                        rule: Rule::DataIntegrity,
+                        at: *at,
+                        host: Some(host),
+                        node: Some(node),
+                        request_id: Some(mark),
+                        what: format!(
+                            "sent under version {version}, after version {} was known",
+                            newer.version
+                        ),
+                    });
+                }
+            }
+            _ => {}
+        }
+    }
+    verdict.add_checked(Rule::DataIntegrity, checked);
+}
--- /dev/null
+++ b/crates/scenario/src/audit/evidence.rs
@@ -0,0 +1,273 @@
+//! The evidence of a run, and the requests and attempts reconstructed from it.
+
+use super::verdict::{Finding, Rule, Verdict};
+use crate::client_event::{ClientEvent, ClientRequest};
+use crate::config::ScenarioConfig;
+use crate::Ms;
+use magpiewick_emulator::{EmulatorConfig, NodeConfig, NodeEvent};
+use magpiewick_gateway::config::HostConfig;
+use magpiewick_node_protocol::FinalCode;
+use std::collections::HashMap;
+
+/// A host that the script stopped for a while.
+#[derive(Clone, Copy, Debug)]
+pub struct Stall {
+    /// The host's number.
+    pub host: usize,
+    /// When it was stopped.
+    pub from: Ms,
+    /// When it continued.
+    pub to: Ms,
+}
+
+/// All that is known of a run.
+pub struct Evidence<'a> {
+    /// The settings of the hosts.
+    pub host: &'a HostConfig,
+    /// The settings of the emulated services.
+    pub emulator: &'a EmulatorConfig,
+    /// The settings of the scenario.
+    pub scenario: &'a ScenarioConfig,
+    /// What nodes and the endpoint list service saw, by time.
+    pub node_events: &'a [(Ms, NodeEvent)],
+    /// What clients saw, by time.
+    pub client_events: &'a [(Ms, ClientEvent)],
+    /// Hosts that the script stopped for a while.
+    pub stalls: &'a [Stall],
+    /// What the owner of each key holds at the end: volume, key, payload.
+    pub stored: &'a [(u64, u64, Vec<u8>)],
+}
+
+impl Evidence<'_> {
+    /// The node of a number.
+    pub(super) fn node(&self, number: u32) -> Option<&NodeConfig> {
+        self.emulator.nodes.iter().find(|node| node.number == number)
+    }
+
+    /// Units that a node can do in a millisecond, so long after it started to warm up.
+    pub(super) fn units_per_ms(&self, node: &NodeConfig, since_start: Ms) -> f64 {
+        let slow_start = self.emulator.slow_start;
+        let warmed_up = (1.0 - slow_start.initial_capacity) * since_start / slow_start.duration;
+        let capacity = (slow_start.initial_capacity + warmed_up).min(1.0);
+        node.cores as f64 * node.speed / self.emulator.unit_work * capacity
+    }
+
+    /// The effects of writes, block by block.
+    pub(super) fn block_writes(&self) -> impl Iterator<Item = BlockWrite> + '_ {
+        self.node_events.iter().flat_map(|(at, event)| {
+            let (host, volume, blocks, mark) = match *event {
+                NodeEvent::EffectApplied { host, volume, key, mark, write: true, blocks, .. } => {
+                    (host, volume, key..key + u64::from(blocks), mark)
+                }
+                _ => (0, 0, 0..0, 0),
+            };
+            blocks.map(move |block| BlockWrite { at: *at, host, block: (volume, block), mark })
+        })
+    }
+}
+
+/// The effect of a write on one block.
+pub(super) struct BlockWrite {
+    pub at: Ms,
+    /// The incarnation of the host that sent it.
+    pub host: u64,
+    /// Volume and block.
+    pub block: (u64, u64),
+    /// The mark of the request.
+    pub mark: u64,
+}
+
+/// A request as its client sent it, and how it ended for the client.
+pub(super) struct TrackedRequest {
+    pub request: ClientRequest,
+    pub sent_at: Ms,
+    pub answer: Option<(Ms, FinalCode)>,
+    /// When the client stopped waiting, or lost its connection.
+    pub ended: Option<Ms>,
+    /// Indexes of its attempts.
+    pub attempts: Vec<usize>,
+}
+
+impl TrackedRequest {
+    /// When it was over for its client; infinite where it never was.
+    pub fn over_at(&self) -> Ms {
+        let answered = self.answer.map_or(f64::INFINITY, |answer| answer.0);
+        answered.min(self.ended.unwrap_or(f64::INFINITY))
+    }
+}
+
+/// An attempt as a node saw it.
+pub(super) struct TrackedAttempt {
+    pub at: Ms,
+    pub node: u32,
+    /// The node's incarnation that received it.
+    pub incarnation: u64,
+    /// The incarnation of the host that sent it.
+    pub host: u64,
+    pub request_id: u64,
+    pub attempt: u16,
+    pub volume: u64,
+    pub units: f64,
+    pub mark: u64,
+    /// When the node answered, and whether it executed the attempt.
+    pub answered: Option<(Ms, bool)>,
+    /// When the host stopped waiting, by a cancel or a closed connection.
+    pub dropped: Option<Ms>,
+}
+
+impl TrackedAttempt {
+    /// Whether the node had answered by then that it did not execute the attempt.
+    pub fn known_not_executed(&self, by: Ms) -> bool {
+        self.answered.is_some_and(|(at, executed)| !executed && at <= by)
+    }
+}
+
+/// A run: its evidence, and the requests and attempts reconstructed from it.
+pub(super) struct Run<'a> {
+    pub evidence: &'a Evidence<'a>,
+    pub requests: Vec<TrackedRequest>,
+    pub attempts: Vec<TrackedAttempt>,
+    /// The numbers of hosts by incarnation.
+    pub host_numbers: HashMap<u64, usize>,
+}
+
+impl<'a> Run<'a> {
+    /// Reconstructs a run; what fits no request is a finding.
+    pub fn reconstruct(evidence: &'a Evidence<'a>, verdict: &mut Verdict) -> Run<'a> {
+        let requests = reconstruct_requests(evidence, verdict);
+        let attempts = reconstruct_attempts(evidence);
+        let host_numbers = requests.iter().map(|r| (r.request.host, r.request.host_number)).collect();
+        let mut run = Run { evidence, requests, attempts, host_numbers };
+        run.assign_attempts(verdict);
+        verdict.attempts = run.attempts.len() as u64;
+        verdict.retries = run.attempts.iter().filter(|attempt| attempt.attempt > 0).count() as u64;
+        run
+    }
+
+    /// The attempts of a request.
+    pub fn attempts_of<'b>(
+        &'b self,
+        request: &'b TrackedRequest,
+    ) -> impl Iterator<Item = &'b TrackedAttempt> + 'b {
+        request.attempts.iter().map(|index| &self.attempts[*index])
+    }
+
+    /// Whether a host was stopped at some time within a span.
+    pub fn is_stalled(&self, host: usize, from: Ms, to: Ms) -> bool {
+        self.evidence.stalls.iter().any(|stall| stall.host == host && stall.from <= to && stall.to >= from)
+    }
+
+    /// When a host could read what it was sent: at once, or when it continued after a stall.
+    pub fn received_at(&self, host: u64, sent_at: Ms) -> Ms {
+        let number = self.host_numbers.get(&host);
+        let stalls = self.evidence.stalls.iter();
+        let stalls = stalls.filter(|s| Some(&s.host) == number && s.from <= sent_at && sent_at < s.to);
+        stalls.map(|stall| stall.to).fold(sent_at, f64::max)
+    }
+
+    /// Assigns each attempt to the latest request of its mark that its host had taken by then.
+    fn assign_attempts(&mut self, verdict: &mut Verdict) {
+        let mut by_mark: HashMap<(u64, u64), Vec<usize>> = HashMap::new();
+        for (index, tracked) in self.requests.iter().enumerate() {
+            by_mark.entry((tracked.request.host, tracked.request.mark)).or_default().push(index);
+        }
+        let mut by_request_id: HashMap<(u64, u64), Option<usize>> = HashMap::new();
+        for (index, attempt) in self.attempts.iter().enumerate() {
+            let candidates = by_mark.get(&(attempt.host, attempt.mark));
+            let latest = || {
+                let mut taken = candidates?.iter().rev();
+                taken.find(|request| self.requests[**request].sent_at <= attempt.at).copied()
+            };
+            match *by_request_id.entry((attempt.host, attempt.request_id)).or_insert_with(latest) {
+                Some(request) => self.requests[request].attempts.push(index),
+                None => {
+                    let what = "an attempt of a request that no client sent";
+                    verdict.add_attempt(Rule::FinalAnswer, attempt.at, attempt, what);
+                }
+            }
+        }
+    }
+}
+
+fn reconstruct_requests(evidence: &Evidence, verdict: &mut Verdict) -> Vec<TrackedRequest> {
+    let mut requests: Vec<TrackedRequest> = Vec::new();
+    let mut by_number: HashMap<u64, usize> = HashMap::new();
+    for (at, event) in evidence.client_events {
+        match *event {
+            ClientEvent::Sent(request) => {
+                by_number.insert(request.number, requests.len());
+                let (answer, ended, attempts) = (None, None, Vec::new());
+                requests.push(TrackedRequest { request, sent_at: *at, answer, ended, attempts });
+            }
+            ClientEvent::Answered { number, code, .. } => {
+                let Some(&index) = by_number.get(&number) else {
+                    let what = format!("an answer to {number}, which was never sent");
+                    let (rule, at) = (Rule::FinalAnswer, *at);
+                    let finding = Finding { rule, at, host: None, node: None, request_id: None, what };
+                    verdict.findings.push(finding);
+                    continue;
+                };
+                let tracked = &mut requests[index];
+                if tracked.answer.is_some() {
+                    let mark = tracked.request.mark;
+                    verdict.add_request(Rule::FinalAnswer, *at, mark, "a second final answer");
+                }
+                tracked.answer.get_or_insert((*at, code));
+            }
+            ClientEvent::BlockRead { .. } => {}
+            ClientEvent::TimedOut { number } | ClientEvent::ConnectionLost { number } => {
+                if let Some(&index) = by_number.get(&number) {
+                    requests[index].ended = Some(*at);
+                }
+            }
+        }
+    }
+    requests
+}
+
+/// How many attempts back the outstanding ones of a closed connection are searched for.
+const CLOSED_CONNECTION_SEARCH: usize = 10_000;
+
+fn reconstruct_attempts(evidence: &Evidence) -> Vec<TrackedAttempt> {
+    let mut attempts: Vec<TrackedAttempt> = Vec::new();
+    let mut incarnations: HashMap<u32, u64> = HashMap::new();
+    let mut by_id: HashMap<(u64, u64, u16), usize> = HashMap::new();
+    for (at, event) in evidence.node_events {
+        match *event {
+            NodeEvent::Started { node, incarnation, .. } => _ = incarnations.insert(node, incarnation),
+            NodeEvent::AttemptReceived { node, host, request_id, attempt, volume, units, mark, .. } => {
+                by_id.insert((host, request_id, attempt), attempts.len());
+                attempts.push(TrackedAttempt {
+                    at: *at,
+                    node,
+                    incarnation: incarnations.get(&node).copied().unwrap_or(0),
+                    host,
+                    request_id,
+                    attempt,
+                    volume,
+                    units,
+                    mark,
+                    answered: None,
+                    dropped: None,
+                });
+            }
+            NodeEvent::Answered { host, request_id, attempt, executed, .. } => {
+                if let Some(&index) = by_id.get(&(host, request_id, attempt)) {
+                    attempts[index].answered.get_or_insert((*at, executed));
+                }
+            }
+            NodeEvent::AttemptCancelled { host, request_id, attempt, .. } => {
+                if let Some(&index) = by_id.get(&(host, request_id, attempt)) {
+                    attempts[index].dropped.get_or_insert(*at);
+                }
+            }
+            NodeEvent::ConnectionClosed { node, host } => {
+                let recent = attempts.iter_mut().rev().take(CLOSED_CONNECTION_SEARCH);
+                let outstanding = recent.filter(|a| a.node == node && a.host == host && a.answered.is_none());
+                outstanding.for_each(|attempt| _ = attempt.dropped.get_or_insert(*at));
+            }
+            _ => {}
+        }
+    }
+    attempts
+}
--- /dev/null
+++ b/crates/scenario/src/audit/mod.rs
@@ -0,0 +1,50 @@
+//! Audits the seven rules from what nodes and clients saw. Pure: events in, a verdict out.
+//!
+//! The audit is a model of the rules written for correctness, not speed. It is independent of the scheduler: they
+//! share no code but the types of the settings.
+
+mod at_most_once;
+mod data_integrity;
+mod draining;
+mod evidence;
+mod final_answers;
+mod ordering;
+mod rate_limits;
+mod retry_budget;
+mod retry_storm;
+mod slow_start;
+mod statistics;
+mod verdict;
+
+pub use evidence::{Evidence, Stall};
+pub use retry_storm::{NodeReturn, RetryStormReport};
+pub use verdict::{Finding, HostStatistics, Rule, Verdict};
+
+use evidence::Run;
+
+/// Audits a run.
+pub fn audit(evidence: &Evidence) -> Verdict {
+    let expectation = &evidence.scenario.retry_storm;
+    let mut verdict = Verdict::default();
+    let rules = Rule::ALL.into_iter().filter(|rule| *rule != Rule::RetryStorm || expectation.is_some());
+    rules.for_each(|rule| verdict.add_checked(rule, 0));
+    let run = Run::reconstruct(evidence, &mut verdict);
+    final_answers::check(&run, &mut verdict);
+    at_most_once::check(&run, &mut verdict);
+    draining::check(&run, &mut verdict);
+    slow_start::check(&run, &mut verdict);
+    ordering::check_keys(&run, &mut verdict);
+    retry_budget::check(&run, &mut verdict);
+    rate_limits::check(&run, &mut verdict);
+    data_integrity::check_stored(&run, &mut verdict);
+    data_integrity::check_reads(&run, &mut verdict);
+    ordering::check_overlapping_writes(&run, &mut verdict);
+    data_integrity::check_versions(&run, &mut verdict);
+    statistics::count_stale_attempts(&run, &mut verdict);
+    statistics::measure_hosts(&run, &mut verdict);
+    if let Some(expectation) = expectation {
+        retry_storm::check(evidence, expectation, &mut verdict);
+    }
+    verdict.findings.sort_by(|a, b| a.at.total_cmp(&b.at));
+    verdict
+}
--- /dev/null
+++ b/crates/scenario/src/benchmark.rs
@@ -0,0 +1,331 @@
+//! Measures what a host costs: requests a second, latency, processor time and memory, against a bare relay and
+//! against clients directly at a node, in one run with the same emulated services and clients.
+
+use crate::config::{read_config, Config, ScenarioConfig};
+use crate::host_process::{HostProcess, HostProgram};
+use crate::load::{offer_session, LoadReport};
+use crate::load_generator::Session;
+use crate::Ms;
+use magpiewick_emulator::{EmulatorConfig, EmulatorHandle};
+use magpiewick_gateway::config::HostConfig;
+use magpiewick_hcl_settings::read_text;
+use magpiewick_transport::Clock;
+use serde::Serialize;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::Command;
+
+/// How long each figure is measured.
+const MEASURING_TIME: Ms = 2000.0;
+/// How often each figure is measured, for its spread.
+const REPEATS: u64 = 3;
+/// Requests in flight at the highest load.
+const FLOOD_IN_FLIGHT: usize = 256;
+/// Blocks of a large read.
+const READ_BLOCKS: u64 = 64;
+/// How many times as long a slow node takes.
+const SLOWDOWN: f64 = 4.0;
+const BYTES_PER_MB: f64 = (1 << 20) as f64;
+
+/// The figures of one way from clients to nodes, at one number of nodes: medians, and the least and most of the
+/// repeats.
+#[derive(Serialize)]
+pub struct Measured {
+    /// The way: through a host, through the relay, or straight to a node.
+    pub way: &'static str,
+    /// How many nodes there were.
+    pub nodes: usize,
+    /// Requests a second at the highest load.
+    #[serde(rename = "most_a_second")]
+    pub max_a_second: [f64; 3],
+    /// Requests a second at which the figures below were taken.
+    #[serde(rename = "at")]
+    pub rate: f64,
+    /// The median latency.
+    pub p50_ms: [f64; 3],
+    /// The 99th percentile latency.
+    pub p99_ms: [f64; 3],
+    /// The 99.9th percentile latency.
+    pub p999_ms: [f64; 3],
+    /// Processor time a request of the process between clients and nodes; 0 where there is none.
+    pub cpu_us: [f64; 3],
+    /// Its resident memory: before any load, after the highest load, and after the figures above.
+    pub memory_mb: [f64; 3],
+    /// Requests that were rejected.
+    #[serde(rename = "bounced")]
+    pub rejected: u64,
+}
+
+/// How long reads of many blocks take to their last byte.
+#[derive(Serialize)]
+pub struct ReadMeasured {
+    /// How many nodes there were.
+    pub nodes: usize,
+    /// Whether reads are split, in a volume of many extents; else the volume is one extent on one node.
+    #[serde(rename = "cut")]
+    pub split: bool,
+    /// Whether one node, the one that holds the whole volume where it is one extent, is slowed down.
+    pub slow: bool,
+    /// The median time.
+    pub p50_ms: [f64; 3],
+    /// The 99th percentile time.
+    pub p99_ms: [f64; 3],
+}
+
+/// The median, least and most of some figures.
+pub fn spread(mut figures: Vec<f64>) -> [f64; 3] {
+    figures.sort_by(f64::total_cmp);
+    [figures[figures.len() / 2], figures[0], figures[figures.len() - 1]]
+}
+
+/// Measures at these numbers of nodes, latencies at `rate` or half of what the host can do at the most. Straight
+/// to a node only where there is one, as a client does not route.
+pub fn bench(program: &Path, node_counts: &[usize], rate: Option<f64>) -> io::Result<Vec<Measured>> {
+    let mut all = Vec::new();
+    for &nodes in node_counts {
+        let text = settings_text(nodes);
+        all.extend(with_file(&text, |file, settings| measure_ways(program, file, settings, rate))?);
+    }
+    Ok(all)
+}
+
+/// Measures large reads at these numbers of nodes: one client that always has one in flight.
+pub fn bench_reads(program: &Path, node_counts: &[usize]) -> io::Result<Vec<ReadMeasured>> {
+    let mut all = Vec::new();
+    for &nodes in node_counts {
+        for split in [false, true] {
+            let text = read_settings_text(nodes, split);
+            all.extend(with_file(&text, |file, settings| measure_reads(program, file, settings, split))?);
+        }
+    }
+    Ok(all)
+}
+
+/// The settings of a measurement.
+struct Settings {
+    host: HostConfig,
+    scenario: ScenarioConfig,
+    emulator: EmulatorConfig,
+}
+
+/// Reads a text as a settings file, and keeps it in a file while it is used.
+fn with_file<T>(text: &str, measure: impl FnOnce(&Path, Settings) -> io::Result<T>) -> io::Result<T> {
+    let settings = read_text("bench", text, |root| {
+        let Config { host, emulator, scenario } = read_config(root, 1)?;
+        Some(Settings { host, scenario: scenario?, emulator: emulator? })
+    });
+    let settings = settings.map_err(|faults| io::Error::other(faults.to_string()))?;
+    let Some(settings) = settings else { return Err(io::Error::other("no bench")) };
+    let file = std::env::temp_dir().join(format!("magpiewick-bench-{}.hcl", std::process::id()));
+    std::fs::write(&file, text)?;
+    let result = measure(&file, settings);
+    std::fs::remove_file(&file)?;
+    result
+}
+
+fn settings_text(nodes: usize) -> String {
+    let shards: Vec<String> = (0..nodes).map(|n| n.to_string()).collect();
+    let text = format!(
+        "host {{\n  most_units = 1\n  most_clients = 64\n}}\nlog {{\n  level = \"error\"\n}}\n\
+         band \"read\" {{\n  soft_limit = \"200ms\"\n  time_limit = \"1s\"\n  repeats = \"retriable\"\n}}\n\
+         plan \"all\" {{\n  rate = 100000\n}}\n\
+         volume \"v\" {{\n  id = 1\n  plan = \"all\"\n  shards = [{}]\n}}\n\
+         drill {{\n  time = \"2s\"\n}}\n\
+         traffic {{\n  rate = 1000\n  clients = 4\n  keys = 10000\n  mix \"read\" {{\n    share = 1\n  }}\n}}\n\
+         standin {{\n  unit_work = \"0ms\"\n  cores = 64\n  queue = 100000\n",
+        shards.join(", ")
+    );
+    with_nodes(text, nodes)
+}
+
+fn read_settings_text(nodes: usize, split: bool) -> String {
+    let shards: Vec<String> = (0..nodes).map(|n| n.to_string()).collect();
+    // Extents of four blocks, so that a read touches as many nodes as there are.
+    let (extents, piece) = if split { (256, READ_BLOCKS) } else { (1, 1 << 20) };
+    let text = format!(
+        "host {{\n  most_units = {READ_BLOCKS}\n}}\nlog {{\n  level = \"error\"\n}}\nlist {{\n  map = true\n}}\n\
+         split {{\n  blocks = {piece}\n  at_once = 16\n}}\n\
+         band \"read\" {{\n  soft_limit = \"2s\"\n  time_limit = \"4s\"\n  repeats = \"retriable\"\n}}\n\
+         plan \"all\" {{\n  rate = 100000\n}}\n\
+         volume \"v\" {{\n  id = 1\n  plan = \"all\"\n  shards = [{}]\n}}\n\
+         drill {{\n  time = \"2s\"\n}}\n\
+         traffic {{\n  rate = 10\n  clients = 1\n  keys = 1023\n  \
+         mix \"read\" {{\n    share = 1\n    blocks = {READ_BLOCKS}\n    units = {READ_BLOCKS}\n  }}\n}}\n\
+         standin {{\n  unit_work = \"0.5ms\"\n  cores = 2\n  extents = {extents}\n  keys = 1024\n",
+        shards.join(", ")
+    );
+    with_nodes(text, nodes)
+}
+
+fn with_nodes(mut text: String, nodes: usize) -> String {
+    (0..nodes).for_each(|n| text += &format!("  node \"{n}\" {{\n    shard = {n}\n  }}\n"));
+    text + "}\n"
+}
+
+fn host_program(program: &Path, file: &Path, list: SocketAddr) -> HostProgram {
+    HostProgram {
+        program: program.to_path_buf(),
+        file: file.to_path_buf(),
+        list,
+        seed: 1,
+        hosts_without_coalescing: Vec::new(),
+        without_overload_protection: false,
+    }
+}
+
+fn start_emulator(config: EmulatorConfig) -> io::Result<EmulatorHandle> {
+    let handle = EmulatorHandle::start(config, Clock::start(), None)?;
+    handle.execute(|emulator| emulator.disable_recording());
+    Ok(handle)
+}
+
+fn measure_reads(
+    program: &Path,
+    file: &Path,
+    settings: Settings,
+    split: bool,
+) -> io::Result<Vec<ReadMeasured>> {
+    let Settings { host, scenario, emulator } = settings;
+    let nodes = emulator.nodes.len();
+    let emulator = start_emulator(emulator)?;
+    let process = HostProcess::start(&host_program(program, file, emulator.list), 0)?;
+    let mut all = Vec::new();
+    for slow in [false, true] {
+        let slowdown = if slow { SLOWDOWN } else { 1.0 };
+        _ = emulator.query(move |emulator| emulator.change_faults(0, |faults| faults.slowdown = slowdown));
+        let measure_once = |seed| {
+            let session = Session::open(Clock::start(), MEASURING_TIME, seed);
+            let session = Session { in_flight: Some(1), ..session };
+            offer_session(&host, &scenario, process.address, &session)
+        };
+        let reports = (0..REPEATS).map(measure_once).collect::<io::Result<Vec<_>>>()?;
+        let figure = |of: fn(&LoadReport) -> f64| spread(reports.iter().map(of).collect());
+        let (p50_ms, p99_ms) = (figure(|report| report.p50_ms), figure(|report| report.p99_ms));
+        all.push(ReadMeasured { nodes, split, slow, p50_ms, p99_ms });
+    }
+    Ok(all)
+}
+
+/// A way from clients to nodes.
+struct Way {
+    name: &'static str,
+    address: SocketAddr,
+    /// The process between them.
+    process: Option<HostProcess>,
+}
+
+impl Way {
+    fn cpu_seconds(&self) -> io::Result<f64> {
+        self.process.as_ref().map_or(Ok(0.0), |process| process.usage().map(|usage| usage.0))
+    }
+
+    fn memory_mb(&self) -> io::Result<f64> {
+        let memory = |process: &HostProcess| process.usage().map(|usage| usage.1 as f64 / BYTES_PER_MB);
+        self.process.as_ref().map_or(Ok(0.0), memory)
+    }
+
+    fn offer(
+        &self,
+        host: &HostConfig,
+        scenario: &ScenarioConfig,
+        load: Load,
+        seed: u64,
+    ) -> io::Result<LoadReport> {
+        let mut scenario = scenario.clone();
+        let session = Session::open(Clock::start(), MEASURING_TIME, seed);
+        let session = match load {
+            Load::Flood => {
+                scenario.traffic.rate = 1.0;
+                Session { in_flight: Some(FLOOD_IN_FLIGHT), ..session }
+            }
+            Load::Rate(rate) => {
+                scenario.traffic.rate = rate;
+                session
+            }
+        };
+        offer_session(host, &scenario, self.address, &session)
+    }
+}
+
+#[derive(Clone, Copy)]
+enum Load {
+    /// As much as the way can do.
+    Flood,
+    /// Requests a second.
+    Rate(f64),
+}
+
+/// A report at a rate, and the processor time of a request.
+struct RateSample {
+    report: LoadReport,
+    cpu_us: f64,
+}
+
+fn start_ways(program: &Path, file: &Path, emulator: &EmulatorHandle) -> io::Result<Vec<Way>> {
+    let nodes = emulator.query(|emulator| emulator.node_addresses()).unwrap_or_default();
+    let nodes: Vec<SocketAddr> = nodes.into_iter().map(|node| node.1).collect();
+    let mut relay = Command::new(program);
+    relay.arg("relay").args(nodes.iter().map(SocketAddr::to_string));
+    let host = HostProcess::start(&host_program(program, file, emulator.list), 0)?;
+    let relay = HostProcess::run(relay)?;
+    let mut ways = vec![
+        Way { name: "host", address: host.address, process: Some(host) },
+        Way { name: "relay", address: relay.address, process: Some(relay) },
+    ];
+    if let [node] = nodes[..] {
+        ways.push(Way { name: "straight", address: node, process: None });
+    }
+    Ok(ways)
+}
+
+fn measure_ways(
+    program: &Path,
+    file: &Path,
+    settings: Settings,
+    rate: Option<f64>,
+) -> io::Result<Vec<Measured>> {
+    let Settings { host, scenario, emulator } = settings;
+    let nodes = emulator.nodes.len();
+    let emulator = start_emulator(emulator)?;
+    let ways = start_ways(program, file, &emulator)?;
+    let memory = || ways.iter().map(Way::memory_mb).collect::<io::Result<Vec<f64>>>();
+    let memory_idle = memory()?;
+    // The ways take turns, so that a change of the machine's speed affects all alike.
+    let mut max_rates: Vec<Vec<f64>> = ways.iter().map(|_| Vec::new()).collect();
+    for seed in 0..REPEATS {
+        for (way, rates) in ways.iter().zip(&mut max_rates) {
+            rates.push(way.offer(&host, &scenario, Load::Flood, seed)?.succeeded_a_second);
+        }
+    }
+    let memory_flooded = memory()?;
+    let max_rates: Vec<[f64; 3]> = max_rates.into_iter().map(spread).collect();
+    let rate = rate.unwrap_or(max_rates[0][0] / 2.0);
+    let mut samples: Vec<Vec<RateSample>> = ways.iter().map(|_| Vec::new()).collect();
+    for seed in 0..REPEATS {
+        for (way, samples) in ways.iter().zip(&mut samples) {
+            let before = way.cpu_seconds()?;
+            let report = way.offer(&host, &scenario, Load::Rate(rate), seed)?;
+            let cpu_us = (way.cpu_seconds()? - before) * 1e6 / report.sent.max(1) as f64;
+            samples.push(RateSample { report, cpu_us });
+        }
+    }
+    let memory_after = memory()?;
+    let measured = ways.iter().zip(max_rates).zip(samples).enumerate();
+    let measured = measured.map(|(i, ((way, max_a_second), samples))| {
+        let figure = |of: fn(&RateSample) -> f64| spread(samples.iter().map(of).collect());
+        Measured {
+            way: way.name,
+            nodes,
+            max_a_second,
+            rate,
+            p50_ms: figure(|sample| sample.report.p50_ms),
+            p99_ms: figure(|sample| sample.report.p99_ms),
+            p999_ms: figure(|sample| sample.report.p999_ms),
+            cpu_us: figure(|sample| sample.cpu_us),
+            memory_mb: [memory_idle[i], memory_flooded[i], memory_after[i]],
+            rejected: samples.iter().map(|sample| sample.report.rejected).sum(),
+        }
+    });
+    Ok(measured.collect())
+}
--- a/crates/scenario/src/config.rs
+++ b/crates/scenario/src/config.rs
@@ -1,184 +1,216 @@
-//! What a scenario or a load is told.
+//! The settings of a scenario or a load, as a file (HCL) gives them.
 
-use magpiewick_emulator::{read_fleet, read_troubles, EmulatorConfig, Trouble};
-use magpiewick_gateway::config::{host, HostConfig, Volume};
+use crate::Ms;
+use magpiewick_emulator::{read_config as read_emulator, read_faults, EmulatorConfig, Fault};
+use magpiewick_gateway::config::{host as read_host, HostConfig, Volume};
 use magpiewick_hcl_settings::Part;
 
-type Ms = f64;
-
-/// The traffic of one class.
+/// The traffic of one request class.
 #[derive(Clone, Debug)]
 pub struct Mix {
+    /// The number of the class.
     pub class: u16,
+    /// The relative share of this traffic.
     pub share: f64,
+    /// Whether its requests write.
     pub write: bool,
-    /// Requests ask 1 to so many units.
-    pub units: u64,
+    /// Requests have 1 to so many units of work.
+    pub max_units: u64,
     /// Bytes of each block that is written.
     pub payload: usize,
-    /// Blocks from the key on; 0 where a key is a piece by itself.
+    /// Blocks from the key on; 0 where a key is a piece of data by itself.
     pub blocks: u64,
 }
 
-/// How a client waits before it asks again.
+/// How long a client waits before a retry that is not told when to come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
-    AtOnce,
+pub enum Backoff {
+    /// Not at all.
+    None,
+    /// The same delay each time.
     Fixed,
-    /// Doubled with each try, and spread over half to one and a half of it.
+    /// A delay that doubles with each retry, spread over half to one and a half of it.
     Exponential,
 }
 
-/// What some of the clients do with a request that was not succeeded.
+/// How some of the clients retry a request that did not succeed.
 #[derive(Clone, Copy, Debug)]
-pub struct Habit {
+pub struct RetryBehaviour {
+    /// The relative share of the clients that behave so.
     pub share: f64,
-    pub again: Again,
-    pub wait: Ms,
-    /// Tries in all.
-    pub tries: u32,
-    /// The part of the times to come back that they are told which they follow.
-    pub heeds: f64,
+    /// How the delay grows.
+    pub backoff: Backoff,
+    /// The first delay.
+    pub delay: Ms,
+    /// How often a request is sent at most.
+    pub max_sends: u32,
+    /// The part of the retry-after times that are followed.
+    pub retry_after_compliance: f64,
 }
 
-impl Habit {
-    /// The wait before the try that follows so many; `heeds` and `spread` are drawn from 0 to 1.
-    pub fn wait_after(&self, tries: u32, back: Ms, heeds: f64, spread: f64) -> Ms {
-        match self.again {
-            _ if back > 0.0 && heeds < self.heeds => back,
-            Again::AtOnce => 0.0,
-            Again::Fixed => self.wait,
-            Again::Exponential => self.wait * f64::from(1 << tries.clamp(1, 16) >> 1) * (0.5 + spread),
+impl RetryBehaviour {
+    /// The delay of the retry after so many sends; `compliance` and `spread` are drawn from 0 to 1.
+    pub fn delay_after(&self, sends: u32, retry_after: Ms, compliance: f64, spread: f64) -> Ms {
+        if retry_after > 0.0 && compliance < self.retry_after_compliance {
+            return retry_after;
+        }
+        match self.backoff {
+            Backoff::None => 0.0,
+            Backoff::Fixed => self.delay,
+            Backoff::Exponential => self.delay * f64::from(1 << sends.clamp(1, 16) >> 1) * (0.5 + spread),
         }
     }
 }
 
-/// What a scenario on storms of later tries must show.
+/// What a scenario expects of retry storms.
 #[derive(Clone, Debug)]
-pub struct Storm {
-    /// The most units that a node that came back may be sent in 100 ms, as a multiple of what it can do in them.
+pub struct RetryStormExpectation {
+    /// The most units that a node that came back may be sent in 100 ms, as a multiple of its capacity in them.
     pub ceiling: f64,
-    /// Until when the traffic is quiet; to which part of that priority weight, and within what time, it comes back.
+    /// For how long the traffic is quiet at the beginning.
     pub quiet: Ms,
+    /// The part of the quiet traffic's earned weight that counts as recovered.
     pub recovers_to: f64,
+    /// The time within which it recovers.
     pub recovers_in: Ms,
 }
 
+/// The traffic of the clients.
 #[derive(Clone, Debug)]
-pub struct Traffic {
+pub struct TrafficConfig {
     /// Requests a second over all hosts.
     pub rate: f64,
     /// Connections to each host.
-    pub clients: usize,
-    /// Pieces of data in each volume.
+    pub connections_per_host: usize,
+    /// Keys in each volume.
     pub keys: u64,
-    /// How many requests follow each other through a volume, one behind the other, on average.
-    pub run: u64,
-    /// Whether a rejected client comes back once, when it was told to.
+    /// How many requests follow each other sequentially through a volume, on average.
+    pub mean_run_length: u64,
+    /// Whether a rejected request is retried once after its retry-after time, where no behaviours are given.
     pub retries: bool,
+    /// The traffic by class.
     pub mixes: Vec<Mix>,
-    /// None: a rejected client comes back as `retries` says.
-    pub habits: Vec<Habit>,
+    /// How clients retry; none where `retries` says it.
+    pub retry_behaviours: Vec<RetryBehaviour>,
 }
 
+/// The settings of a scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioConfig {
-    pub time: Ms,
-    /// How late something may still be sent to a node that is known to drain.
-    pub drain_within: Ms,
-    /// By how much what two threads of one machine saw may lie apart.
-    pub noise: Ms,
-    /// Hosts that send every request by itself, to compare with.
-    pub alone: Vec<u64>,
-    pub traffic: Traffic,
-    pub troubles: Vec<Trouble>,
-    pub storm: Option<Storm>,
+    /// How long clients send.
+    pub duration: Ms,
+    /// How long something may still be sent to a node that is known to drain.
+    pub drain_grace: Ms,
+    /// By how much the times seen by two threads of one machine may differ.
+    pub clock_tolerance: Ms,
+    /// Hosts that coalesce nothing, to compare with.
+    pub hosts_without_coalescing: Vec<u64>,
+    /// The traffic of the clients.
+    pub traffic: TrafficConfig,
+    /// The faults to inject.
+    pub faults: Vec<Fault>,
+    /// What is expected of retry storms, where the scenario states it.
+    pub retry_storm: Option<RetryStormExpectation>,
+}
+
+/// All settings that a file may hold.
+pub struct Config {
+    /// The block `host` and those that belong to it.
+    pub host: HostConfig,
+    /// The block `standin`.
+    pub emulator: Option<EmulatorConfig>,
+    /// The blocks `drill`, `traffic`, `trouble` and `storm`.
+    pub scenario: Option<ScenarioConfig>,
 }
 
-/// Reads the blocks `scenario`, `traffic` and `fault` of a file, where it has a `traffic` block.
-pub fn read(root: &Part, host: &HostConfig) -> Option<ScenarioConfig> {
-    let troubles = read_troubles(root);
-    let drill = root.part("drill");
+/// Reads a whole file; `None` where it has no host, which is a fault of the file.
+pub fn read_config(root: &Part, seed: u64) -> Option<Config> {
+    let host = read_host(root, seed);
+    let mut emulator = read_emulator(root);
+    if let (Some(emulator), Some(host)) = (&mut emulator, &host) {
+        let shards = |volume: &Volume| volume.shards.iter().map(|shard| *shard as u32).collect();
+        emulator.volumes = host.volumes.iter().map(|(id, volume)| (*id, shards(volume))).collect();
+    }
+    // Without a host nothing can be said of a scenario; its blocks are known all the same.
+    let scenario = host.as_ref().and_then(|host| read_scenario(root, host));
+    Some(Config { host: host?, emulator, scenario })
+}
+
+fn read_scenario(root: &Part, host: &HostConfig) -> Option<ScenarioConfig> {
+    let faults = read_faults(root);
+    let scenario = root.part("drill");
     let traffic = root.part("traffic");
-    let number = |name, absent| drill.as_ref().map_or(absent, |p: &Part| p.field(name).time_or(absent));
-    let (time, drain_within, noise) =
-        (number("time", 10_000.0), number("drain_within", 250.0), number("noise", 60.0));
-    let alone = drill.as_ref().map(|p| p.field("alone")).filter(|f| f.given());
-    let alone = alone.map_or(Vec::new(), |f| f.wholes());
+    let time = |name, absent| scenario.as_ref().map_or(absent, |p: &Part| p.field(name).time_or(absent));
+    let (duration, drain_grace, clock_tolerance) =
+        (time("time", 10_000.0), time("drain_within", 250.0), time("noise", 60.0));
+    let alone = scenario.as_ref().map(|p| p.field("alone")).filter(|field| field.given());
+    let hosts_without_coalescing = alone.map_or(Vec::new(), |field| field.wholes());
     let traffic = traffic.map(|p| read_traffic(&p, host));
-    let storm = root.part("storm").map(|p| Storm {
+    let retry_storm = root.part("storm").map(|p| read_retry_storm(&p));
+    if traffic.is_none() && scenario.is_some() {
+        root.fault("the block traffic is missing; a drill needs clients");
+    }
+    Some(ScenarioConfig {
+        duration,
+        drain_grace,
+        clock_tolerance,
+        hosts_without_coalescing,
+        traffic: traffic?,
+        faults,
+        retry_storm,
+    })
+}
+
+fn read_retry_storm(p: &Part) -> RetryStormExpectation {
+    RetryStormExpectation {
         ceiling: p.field("ceiling").number(),
         quiet: p.field("quiet").time(),
         recovers_to: p.field("recovers_to").part_or(0.9),
         recovers_in: p.field("recovers_in").time_or(10_000.0),
-    });
-    if traffic.is_none() && drill.is_some() {
-        root.fault("the block traffic is missing; a drill needs clients");
     }
-    Some(ScenarioConfig { time, drain_within, noise, alone, traffic: traffic?, troubles, storm })
 }
 
-fn read_traffic(p: &Part, host: &HostConfig) -> Traffic {
-    let classes: Vec<(&str, u16)> = host.classes.iter().map(String::as_str).zip(0..).collect();
-    let mixes = p.labelled("mix");
-    let mixes = mixes.iter().filter_map(|m| {
-        let class = classes.iter().find(|(name, _)| *name == m.label());
-        if class.is_none() {
-            m.fault(format!("a mix of the unknown band {:?}", m.label()));
-        }
-        Some(Mix {
-            share: m.field("share").number(),
-            write: m.field("write").flag_or(false),
-            units: m.field("units").whole_or(1..=host.start.max_units.max(1.0) as u64, 1),
-            blocks: m.field("blocks").whole_or(0..=1 << 16, 0),
-            payload: m.field("payload").whole_or(0..=1 << 20, 64) as usize,
-            class: class?.1,
-        })
-    });
-    let mixes: Vec<Mix> = mixes.collect();
-    if mixes.iter().map(|m| m.share).sum::<f64>() <= 0.0 {
+fn read_traffic(p: &Part, host: &HostConfig) -> TrafficConfig {
+    let mixes: Vec<Mix> = p.labelled("mix").iter().filter_map(|mix| read_mix(mix, host)).collect();
+    if mixes.iter().map(|mix| mix.share).sum::<f64>() <= 0.0 {
         p.fault("no mix with a share; expected at least one block mix \"band\"");
     }
-    Traffic {
+    TrafficConfig {
         rate: p.field("rate").number(),
-        clients: p.field("clients").whole_or(1..=10_000, 4) as usize,
+        connections_per_host: p.field("clients").whole_or(1..=10_000, 4) as usize,
         keys: p.field("keys").whole_or(1..=1_000_000, 100),
-        run: p.field("run").whole_or(1..=1_000_000, 1),
+        mean_run_length: p.field("run").whole_or(1..=1_000_000, 1),
         retries: p.field("retries").flag_or(true),
         mixes,
-        habits: p.labelled("habit").iter().map(read_habit).collect(),
+        retry_behaviours: p.labelled("habit").iter().map(read_retry_behaviour).collect(),
     }
 }
 
-const AGAIN: [(&str, Again); 3] =
-    [("at-once", Again::AtOnce), ("fixed", Again::Fixed), ("exponential", Again::Exponential)];
-
-fn read_habit(p: &Part) -> Habit {
-    Habit {
-        share: p.field("share").number(),
-        again: p.field("again").one_of_or(&AGAIN, Again::Exponential),
-        wait: p.field("wait").time_or(50.0),
-        tries: p.field("tries").whole_or(1..=1000, 4) as u32,
-        heeds: p.field("heeds").part_or(1.0),
+fn read_mix(p: &Part, host: &HostConfig) -> Option<Mix> {
+    let mut classes = host.classes.iter().map(String::as_str).zip(0..);
+    let class = classes.find(|(name, _)| *name == p.label()).map(|(_, number)| number);
+    if class.is_none() {
+        p.fault(format!("a mix of the unknown band {:?}", p.label()));
     }
+    Some(Mix {
+        share: p.field("share").number(),
+        write: p.field("write").flag_or(false),
+        max_units: p.field("units").whole_or(1..=host.start.max_units.max(1.0) as u64, 1),
+        blocks: p.field("blocks").whole_or(0..=1 << 16, 0),
+        payload: p.field("payload").whole_or(0..=1 << 20, 64) as usize,
+        class: class?,
+    })
 }
 
-/// All that a settings file may hold.
-pub struct Sheet {
-    pub host: HostConfig,
-    pub fleet: Option<EmulatorConfig>,
-    pub drill: Option<ScenarioConfig>,
-}
+const BACKOFFS: [(&str, Backoff); 3] =
+    [("at-once", Backoff::None), ("fixed", Backoff::Fixed), ("exponential", Backoff::Exponential)];
 
-/// Reads a whole file; none where it has no host, which is a fault of the file.
-pub fn read_all(root: &Part, seed: u64) -> Option<Sheet> {
-    let host = host(root, seed);
-    let mut fleet = read_fleet(root);
-    if let (Some(fleet), Some(host)) = (&mut fleet, &host) {
-        let shards = |v: &Volume| v.shards.iter().map(|s| *s as u32).collect();
-        fleet.volumes = host.volumes.iter().map(|(id, v)| (*id, shards(v))).collect();
+fn read_retry_behaviour(p: &Part) -> RetryBehaviour {
+    RetryBehaviour {
+        share: p.field("share").number(),
+        backoff: p.field("again").one_of_or(&BACKOFFS, Backoff::Exponential),
+        delay: p.field("wait").time_or(50.0),
+        max_sends: p.field("tries").whole_or(1..=1000, 4) as u32,
+        retry_after_compliance: p.field("heeds").part_or(1.0),
     }
-    // Without a host nothing can be said of a scenario; its blocks are known all the same.
-    let drill = host.as_ref().and_then(|host| read(root, host));
-    Some(Sheet { host: host?, fleet, drill })
 }
--- a/crates/scenario/src/hosts.rs
+++ b/crates/scenario/src/host_process.rs
@@ -8,41 +8,50 @@
 
 /// How hosts are started.
 #[derive(Clone, Debug)]
-pub struct Program {
-    /// The program and its settings file.
+pub struct HostProgram {
+    /// The program.
     pub program: PathBuf,
+    /// Its settings file.
     pub file: PathBuf,
+    /// The address of the endpoint list service.
     pub list: SocketAddr,
+    /// The seed, to which each host adds its number.
     pub seed: u64,
-    /// Numbers of hosts that send every request by itself.
-    pub alone: Vec<u64>,
-    /// Hosts know nothing of cold nodes and tell no time to come back.
-    pub undamped: bool,
+    /// The numbers of hosts that coalesce nothing.
+    pub hosts_without_coalescing: Vec<u64>,
+    /// Whether hosts know nothing of nodes that warm up and name no retry-after time.
+    pub without_overload_protection: bool,
 }
 
 /// A running host; killed when it is dropped.
 pub struct HostProcess {
     child: Child,
+    /// Where it listens.
     pub address: SocketAddr,
 }
 
 impl HostProcess {
-    /// Starts a host and waits until it tells where it listens.
-    pub fn start(p: &Program, number: usize) -> io::Result<HostProcess> {
-        let mut command = Command::new(&p.program);
-        command.arg("serve").arg(&p.file).arg("--bare");
+    /// Starts a host and waits until it reports its address.
+    pub fn start(program: &HostProgram, number: usize) -> io::Result<HostProcess> {
+        let mut command = Command::new(&program.program);
+        command.arg("serve").arg(&program.file).arg("--bare");
         command.args(["--number", &number.to_string(), "--listen", "127.0.0.1:0"]);
-        command.args(["--list", &p.list.to_string(), "--seed", &(p.seed + number as u64).to_string()]);
-        if p.alone.contains(&(number as u64)) {
+        command.args([
+            "--list",
+            &program.list.to_string(),
+            "--seed",
+            &(program.seed + number as u64).to_string(),
+        ]);
+        if program.hosts_without_coalescing.contains(&(number as u64)) {
             command.arg("--alone");
         }
-        if p.undamped {
+        if program.without_overload_protection {
             command.arg("--undamped");
         }
         HostProcess::run(command)
     }
 
-    /// Starts a process that says first of all `ready` and its address.
+    /// Starts a process whose first line of output is `ready` and its address.
     pub fn run(mut command: Command) -> io::Result<HostProcess> {
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?;
         let mut line = String::new();
@@ -78,12 +87,12 @@
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
 
-    /// Stops the process where it stands, or lets it go on.
+    /// Stops the process with a signal, or continues it.
     pub fn stall(&self, stopped: bool) -> io::Result<()> {
         self.signal(if stopped { Signal::STOP } else { Signal::CONT })
     }
 
-    /// Tells it to stop and waits; its exit code, none where it did not end by itself.
+    /// Terminates the process and waits; its exit code, `None` where a signal ended it.
     pub fn end(mut self) -> io::Result<Option<i32>> {
         self.signal(Signal::TERM)?;
         Ok(self.child.wait()?.code())
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,21 +1,35 @@
-//! Scenarios: hosts as processes of their own, emulated services, clients and faults on loopback, and an audit of the
-//! seven rules that trusts nobody's counters, only what nodes and clients saw on their sockets.
+//! Scenarios: hosts as processes of their own, emulated services, clients and faults on loopback, and an audit of
+//! the seven rules that relies on nobody's counters, only on what nodes and clients saw on their sockets.
+
+#![warn(missing_docs)]
 
 mod audit;
-mod bench;
-mod clients;
+mod benchmark;
+mod client_event;
+mod client_statistics;
 mod config;
-mod hosts;
-mod plant;
+mod host_process;
+mod load;
+mod load_generator;
 mod relay;
-mod run;
-mod storm;
+mod scenario_run;
+mod seeded_defect;
+mod workload;
 
-pub use audit::{audit, Evidence, Finding, Rule, Verdict};
-pub use bench::{bench, bench_reads, spread, Measured};
-pub use clients::{Clients, Host, Said, Session, Tally, Try};
-pub use config::{read_all, Again, Habit, Mix, ScenarioConfig, Sheet, Storm, Traffic};
-pub use plant::{plant, Planted};
+pub use audit::{
+    audit, Evidence, Finding, HostStatistics, NodeReturn, RetryStormReport, Rule, Stall, Verdict,
+};
+pub use benchmark::{bench, bench_reads, spread, Measured, ReadMeasured};
+pub use client_event::{ClientEvent, ClientRequest};
+pub use client_statistics::ClientStatistics;
+pub use config::{
+    read_config, Backoff, Config, Mix, RetryBehaviour, RetryStormExpectation, ScenarioConfig, TrafficConfig,
+};
+pub use load::{offer_load, LoadReport};
+pub use load_generator::{ClientReport, LoadGenerator, Session};
 pub use relay::relay;
-pub use run::{drill, load, LoadReport, ScenarioReport};
-pub use storm::{Return, Storms};
+pub use scenario_run::{run_scenario, RunOptions, ScenarioReport, ScenarioSettings};
+pub use seeded_defect::SeededDefect;
+
+/// Milliseconds, as a span or on the clock of a run.
+pub type Ms = f64;
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -1,5 +1,5 @@
-//! A bare relay over the same connections and poller as the host's, without desk and module: what a host's
-//! latency and processor time are measured against.
+//! A bare relay over the same connections and poller as the host's, without engine and scheduler: the baseline for
+//! a host's latency and processor time.
 
 use magpiewick_node_protocol::{
     Attempt, Final, FinalCode, Frames, Hello, Message, OutcomeCode, Role, LONG_AGO,
@@ -9,36 +9,39 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-const DOOR: usize = 0;
+/// The poller key of the listener; those of nodes follow.
+const LISTENER: usize = 0;
+/// Where the poller keys of client connections begin.
 const CLIENTS: usize = 1 << 32;
 
 struct Relay {
     poll: Poll,
     nodes: Vec<Connection>,
     clients: Slab<Connection>,
-    /// Whose request it is, and its number there.
-    out: Slab<(usize, u64)>,
+    /// The client connection and the client's number of each request in flight.
+    in_flight: Slab<(usize, u64)>,
 }
 
-/// Relays requests to nodes by their keys until it is killed; says `ready` and its address first.
+/// Relays requests to nodes by their keys until it is killed; prints `ready` and its address first.
 pub fn relay(nodes: &[SocketAddr]) -> io::Result<()> {
     let poll = Poll::new()?;
-    let door = poll.register(listen(SocketAddr::from(([127, 0, 0, 1], 0)))?, DOOR)?;
+    let listener = poll.register(listen(SocketAddr::from(([127, 0, 0, 1], 0)))?, LISTENER)?;
     let connect = |(i, address): (usize, &SocketAddr)| Connection::connect(&poll, *address, 1 + i);
     let connections = nodes.iter().enumerate().map(connect).collect::<io::Result<Vec<_>>>()?;
-    let mut relay = Relay { poll: poll.clone(), nodes: connections, clients: Slab::new(), out: Slab::new() };
-    println!("ready {}", door.local_addr()?);
+    let mut relay =
+        Relay { poll: poll.clone(), nodes: connections, clients: Slab::new(), in_flight: Slab::new() };
+    println!("ready {}", listener.local_addr()?);
     io::stdout().flush()?;
     let mut woken = Woken::default();
     loop {
         poll.wait(&mut woken, None)?;
         for key in woken.readable.iter().copied() {
-            if key == DOOR {
-                while let Ok((stream, _)) = door.accept() {
+            if key == LISTENER {
+                while let Ok((stream, _)) = listener.accept() {
                     relay.accept(stream)?;
                 }
             } else {
-                relay.readable(key)?;
+                relay.on_readable(key)?;
             }
         }
         let waiting = relay.nodes.iter_mut().chain(relay.clients.iter_mut().map(|(_, c)| c));
@@ -66,13 +69,13 @@
         }
     }
 
-    fn readable(&mut self, key: usize) -> io::Result<()> {
+    fn on_readable(&mut self, key: usize) -> io::Result<()> {
         let Some(connection) = self.connection(key) else { return Ok(()) };
         let ended = connection.fill().is_err();
         let input = connection.take_input();
         let mut frames = Frames::new(&input);
         while let Some(Ok(message)) = frames.next() {
-            self.pass(key, &message);
+            self.forward(key, &message);
         }
         let used = frames.used();
         if let Some(connection) = self.connection(key) {
@@ -86,33 +89,39 @@
         Ok(())
     }
 
-    fn pass(&mut self, key: usize, message: &Message) {
+    fn forward(&mut self, key: usize, message: &Message) {
         match message {
-            Message::Take(t) => {
-                let request_id = self.out.insert((key, t.request_id)) as u64;
-                let node = (t.key % self.nodes.len() as u64) as usize;
-                let handed = Attempt {
+            Message::Take(take) => {
+                let request_id = self.in_flight.insert((key, take.request_id)) as u64;
+                let node = (take.key % self.nodes.len() as u64) as usize;
+                let attempt = Attempt {
                     request_id,
                     attempt: 0,
-                    class: t.class,
-                    write: t.write,
-                    volume: t.volume,
-                    key: t.key,
-                    mark: t.mark,
-                    units: t.units,
+                    class: take.class,
+                    write: take.write,
+                    volume: take.volume,
+                    key: take.key,
+                    mark: take.mark,
+                    units: take.units,
                     shard: node as u32,
-                    left_us: t.limit_us,
+                    left_us: take.limit_us,
                     version: 0,
-                    blocks: t.blocks,
-                    payload: t.payload,
+                    blocks: take.blocks,
+                    payload: take.payload,
                 };
-                self.nodes[node].queue(&Message::Attempt(handed), NOTHING);
+                self.nodes[node].queue(&Message::Attempt(attempt), NOTHING);
             }
-            Message::Outcome(o) => {
-                let Some((client, request_id)) = self.out.try_remove(o.request_id as usize) else { return };
-                let verdict =
-                    if o.code == OutcomeCode::Succeeded { FinalCode::Succeeded } else { FinalCode::Rejected };
-                let answer = Final { request_id, verdict, back_us: 0, payload: o.payload };
+            Message::Outcome(outcome) => {
+                let Some((client, request_id)) = self.in_flight.try_remove(outcome.request_id as usize)
+                else {
+                    return;
+                };
+                let verdict = if outcome.code == OutcomeCode::Succeeded {
+                    FinalCode::Succeeded
+                } else {
+                    FinalCode::Rejected
+                };
+                let answer = Final { request_id, verdict, back_us: 0, payload: outcome.payload };
                 if let Some(client) = self.connection(client) {
                     client.queue(&Message::Final(answer), NOTHING);
                 }
