--- a/crates/emulator/src/connections.rs
+++ b/crates/emulator/src/connections.rs
@@ -18,21 +18,21 @@
     /// The host's incarnation, known from its hello.
     pub host: u64,
     /// Whether the service has sent its hello.
-    pub greeted: bool,
+    pub hello_sent: bool,
     pub watches_endpoints: bool,
     pub watches_map: bool,
 }
 
 #[derive(Default)]
 pub(crate) struct Connections {
-    peers: Slab<Peer>,
+    open: Slab<Peer>,
     last_serial: u64,
 }
 
 impl Connections {
     /// Adds an accepted connection; returns its index.
     pub fn accept(&mut self, poll: &Poll, stream: TcpStream, node: Option<usize>) -> io::Result<usize> {
-        let entry = self.peers.vacant_entry();
+        let entry = self.open.vacant_entry();
         let index = entry.key();
         let connection = Connection::accepted(poll, stream, FIRST_CONNECTION_KEY + index)?;
         self.last_serial += 1;
@@ -41,38 +41,38 @@
             id: ConnectionId { index, serial: self.last_serial },
             node,
             host: 0,
-            greeted: false,
+            hello_sent: false,
             watches_endpoints: false,
             watches_map: false,
         });
         Ok(index)
     }
 
-    /// The indexes of the peers that a condition holds for.
+    /// The indexes of the connections that a condition holds for.
     pub fn indexes(&self, condition: impl Fn(&Peer) -> bool) -> Vec<usize> {
-        self.peers.iter().filter(|(_, peer)| condition(peer)).map(|(index, _)| index).collect()
+        self.open.iter().filter(|(_, peer)| condition(peer)).map(|(index, _)| index).collect()
     }
 
     /// Identifies the connection at an index, where there is one.
     pub fn id(&self, index: usize) -> Option<ConnectionId> {
-        self.peers.get(index).map(|peer| peer.id)
+        self.open.get(index).map(|peer| peer.id)
     }
 
     /// The peer of a connection that is still open.
     pub fn get(&mut self, id: ConnectionId) -> Option<&mut Peer> {
-        self.peers.get_mut(id.index).filter(|peer| peer.id == id)
+        self.open.get_mut(id.index).filter(|peer| peer.id == id)
     }
 
     /// The peer at an index that is known to be open.
     pub fn at(&mut self, index: usize) -> &mut Peer {
-        &mut self.peers[index]
+        &mut self.open[index]
     }
 
     pub fn send(&mut self, index: usize, message: &Message) {
-        self.peers[index].connection.queue(message, NOTHING);
+        self.open[index].connection.queue(message, NOTHING);
     }
 
     pub fn remove(&mut self, index: usize) -> Peer {
-        self.peers.remove(index)
+        self.open.remove(index)
     }
 }
--- a/crates/emulator/src/emulator.rs
+++ b/crates/emulator/src/emulator.rs
@@ -4,6 +4,7 @@
 use crate::connections::{Connections, FIRST_CONNECTION_KEY};
 use crate::deduplication::DeduplicationWindow;
 use crate::endpoint_list::EndpointList;
+use crate::error::EmulatorError;
 use crate::faults::{EmulatorDefects, NodeFaults};
 use crate::map_publication::MapSnapshot;
 use crate::map_service::{ExtentKey, MapService};
@@ -15,7 +16,6 @@
 use magpiewick_node_protocol::{Frames, Hello, MapNews, Message, Role, LONG_AGO};
 use magpiewick_transport::{listen, Clock, Poll, Registered, Woken};
 use nanorand::{Rng, WyRand};
-use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::Receiver;
 
@@ -75,6 +75,7 @@
     /// The listeners of the nodes whose process runs.
     node_listeners: Vec<Option<Registered<TcpListener>>>,
     list_listener: Registered<TcpListener>,
+    list_address: SocketAddr,
     pub(crate) endpoint_list: EndpointList,
     pub(crate) connections: Connections,
     pub(crate) timers: TimerQueue<Timer>,
@@ -95,14 +96,15 @@
         config: EmulatorConfig,
         clock: Clock,
         interceptor: Option<Box<dyn AttemptInterceptor>>,
-    ) -> io::Result<Emulator> {
-        let poll = Poll::new()?;
-        let list_listener = poll.register(listen(config.list)?, LIST_KEY)?;
+    ) -> Result<Emulator, EmulatorError> {
+        let poll = Poll::new().map_err(|source| EmulatorError::CreatePoller { source })?;
+        let (list_listener, list_address) = bind(&poll, config.list, LIST_KEY)?;
         let mut emulator = Emulator {
             rng: WyRand::new_seed(config.seed),
             nodes: config.nodes.iter().cloned().map(Node::new).collect(),
             node_listeners: config.nodes.iter().map(|_| None).collect(),
             list_listener,
+            list_address,
             endpoint_list: EndpointList::new(),
             connections: Connections::default(),
             timers: TimerQueue::new(),
@@ -123,7 +125,7 @@
         Ok(emulator)
     }
 
-    fn start_nodes(&mut self) -> io::Result<()> {
+    fn start_nodes(&mut self) -> Result<(), EmulatorError> {
         for node in 0..self.nodes.len() {
             if !self.nodes[node].config.spare {
                 self.start_node(node, false)?;
@@ -142,8 +144,8 @@
         self.poll.clone()
     }
 
-    pub(crate) fn list_address(&self) -> io::Result<SocketAddr> {
-        self.list_listener.local_addr()
+    pub(crate) fn list_address(&self) -> SocketAddr {
+        self.list_address
     }
 
     /// A number from 0 up to, not including, 1.
@@ -236,7 +238,7 @@
     /// Changes the faults of a node, by its index in the settings.
     pub fn change_faults(&mut self, node: usize, change: impl FnOnce(&mut NodeFaults)) {
         change(&mut self.nodes[node].faults);
-        for index in self.connections.indexes(|peer| peer.node == Some(node) && !peer.greeted) {
+        for index in self.connections.indexes(|peer| peer.node == Some(node) && !peer.hello_sent) {
             self.greet(index);
         }
         self.begin_batches(node);
@@ -244,11 +246,11 @@
 
     /// Starts a node's process at the address that it had before; it warms up, or counts as one that has run for
     /// long.
-    pub(crate) fn start_node(&mut self, node: usize, warming_up: bool) -> io::Result<()> {
+    pub(crate) fn start_node(&mut self, node: usize, warming_up: bool) -> Result<(), EmulatorError> {
         let incarnation = self.rng.generate::<u64>();
-        let listener = listen(self.nodes[node].address)?;
-        self.nodes[node].address = listener.local_addr()?;
-        self.node_listeners[node] = Some(self.poll.register(listener, FIRST_NODE_KEY + node)?);
+        let (listener, address) = bind(&self.poll, self.nodes[node].address, FIRST_NODE_KEY + node)?;
+        self.nodes[node].address = address;
+        self.node_listeners[node] = Some(listener);
         let target = &mut self.nodes[node];
         target.start(incarnation, warming_up.then_some(self.now));
         self.map.on_shard_restarted(target.config.shard);
@@ -303,7 +305,7 @@
             return;
         }
         let hello = self.hello(node);
-        self.connections.at(index).greeted = true;
+        self.connections.at(index).hello_sent = true;
         self.connections.send(index, &hello);
     }
 
@@ -388,6 +390,20 @@
     }
 }
 
+/// Listens on an address; returns the address with its port.
+fn bind(
+    poll: &Poll,
+    address: SocketAddr,
+    key: usize,
+) -> Result<(Registered<TcpListener>, SocketAddr), EmulatorError> {
+    let bind = || {
+        let listener = listen(address)?;
+        let bound = listener.local_addr()?;
+        Ok((poll.register(listener, key)?, bound))
+    };
+    bind().map_err(|source| EmulatorError::Listen { address, source })
+}
+
 /// The age of a node's process in microseconds.
 pub(crate) fn age_us(node: &Node, now: Ms) -> u64 {
     let started_at = node.slow_start.started_at();
--- /dev/null
+++ b/crates/emulator/src/extent_migration.rs
@@ -0,0 +1,98 @@
+//! The migration of one extent: what each of its steps does to the data of the shards.
+
+use crate::data_store::DataStore;
+use magpiewick_extents::{
+    Migration, MigrationRecord, MigrationSource, MigrationStep, MigrationTarget, Stage, StaleCoordinator,
+};
+use std::collections::BTreeSet;
+use std::ops::Range;
+
+/// One extent that is being migrated.
+pub(crate) struct ExtentMigration {
+    pub source_shard: u32,
+    pub target_shard: u32,
+    pub record: MigrationRecord,
+    pub source: MigrationSource,
+    pub target: MigrationTarget,
+    /// `None` while the coordinator is dead.
+    pub coordinator: Option<Migration>,
+    /// Keys that the source wrote since the copy began.
+    pub written_keys: BTreeSet<u64>,
+}
+
+impl ExtentMigration {
+    /// Whether it counts as one that runs: it has copied, or is beyond that.
+    pub fn has_begun(&self) -> bool {
+        self.target.copy_of.is_some() || self.record.stage != Stage::Copying
+    }
+
+    /// Performs a step on the extent's range of keys; the source's incarnation where the step reports it.
+    pub fn perform(
+        &mut self,
+        coordinator: &Migration,
+        volume: u64,
+        range: Range<u64>,
+        store: &mut DataStore,
+    ) -> Result<Option<u8>, StaleCoordinator> {
+        let id = coordinator.id;
+        let shards = (self.source_shard, self.target_shard);
+        match coordinator.next_step {
+            MigrationStep::CopyAll | MigrationStep::CopyAgain => {
+                self.target.receive_copy(id)?;
+                store.copy(volume, shards, range, |_| true);
+                self.written_keys.clear();
+                return Ok(Some(self.source.incarnation));
+            }
+            MigrationStep::Fence => self.source.fence(id)?,
+            MigrationStep::CopyRemainder => {
+                let copy_all = self.source.needs_full_copy(id, coordinator.copied_from)?;
+                self.target.receive_remainder(id)?;
+                store.copy(volume, shards, range, |key| copy_all || self.written_keys.contains(&key));
+            }
+            MigrationStep::RecordCopied => self.record.record_copied(id)?,
+            MigrationStep::Switch => _ = self.record.switch(id)?,
+            MigrationStep::Serve => self.target.start_serving(id)?,
+            MigrationStep::Release => {
+                self.source.release(id)?;
+                store.remove(self.source_shard, volume, range);
+            }
+            MigrationStep::DropCopy => {
+                self.target.drop_copy(id)?;
+                store.remove(self.target_shard, volume, range);
+            }
+            MigrationStep::Unfence => self.source.unfence(id)?,
+            MigrationStep::Done => {}
+        }
+        Ok(None)
+    }
+}
+
+/// Whether a step needs a process of the source shard.
+pub(crate) fn needs_source(step: MigrationStep) -> bool {
+    matches!(
+        step,
+        MigrationStep::CopyAll
+            | MigrationStep::CopyAgain
+            | MigrationStep::Fence
+            | MigrationStep::CopyRemainder
+            | MigrationStep::Release
+            | MigrationStep::Unfence
+    )
+}
+
+/// Whether a step needs a process of the target shard.
+pub(crate) fn needs_target(step: MigrationStep) -> bool {
+    matches!(
+        step,
+        MigrationStep::CopyAll
+            | MigrationStep::CopyAgain
+            | MigrationStep::CopyRemainder
+            | MigrationStep::Serve
+            | MigrationStep::DropCopy
+    )
+}
+
+/// Whether a step changes the service's record.
+pub(crate) fn needs_service(step: MigrationStep) -> bool {
+    matches!(step, MigrationStep::RecordCopied | MigrationStep::Switch)
+}
--- a/crates/emulator/src/handle.rs
+++ b/crates/emulator/src/handle.rs
@@ -2,11 +2,11 @@
 
 use crate::config::EmulatorConfig;
 use crate::emulator::{Command, Emulator};
+use crate::error::EmulatorError;
 use crate::node_event::NodeEvent;
 use crate::received_attempt::AttemptInterceptor;
 use crate::Ms;
 use magpiewick_transport::{Clock, Poll};
-use std::io;
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Sender};
 use std::thread::JoinHandle;
@@ -26,12 +26,13 @@
         config: EmulatorConfig,
         clock: Clock,
         interceptor: Option<Box<dyn AttemptInterceptor>>,
-    ) -> io::Result<EmulatorHandle> {
+    ) -> Result<EmulatorHandle, EmulatorError> {
         let (commands, inbox) = channel();
         let mut emulator = Emulator::new(config, clock, interceptor)?;
-        let (poll, list) = (emulator.poll(), emulator.list_address()?);
+        let (poll, list) = (emulator.poll(), emulator.list_address());
         let thread = std::thread::Builder::new().name("emulator".to_string());
-        let thread = thread.spawn(move || emulator.run(&inbox))?;
+        let thread = thread.spawn(move || emulator.run(&inbox));
+        let thread = thread.map_err(|source| EmulatorError::StartThread { source })?;
         Ok(EmulatorHandle { commands, poll, thread: Some(thread), list })
     }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -10,7 +10,9 @@
 mod deduplication;
 mod emulator;
 mod endpoint_list;
+mod error;
 mod execution;
+mod extent_migration;
 mod fault_script;
 mod faults;
 mod handle;
@@ -19,17 +21,20 @@
 mod node;
 mod node_event;
 mod received_attempt;
+mod script;
 mod slow_start;
 mod timer_queue;
 mod usage_meter;
 
 pub use config::{read_config, DeduplicationScope, EmulatorConfig, NodeConfig, SlowStartConfig};
 pub use emulator::Emulator;
-pub use fault_script::{play_script, read_faults, Fault, Step};
+pub use error::EmulatorError;
+pub use fault_script::{read_faults, Fault};
 pub use faults::{EmulatorDefects, NodeFaults};
 pub use handle::EmulatorHandle;
 pub use node_event::NodeEvent;
 pub use received_attempt::{AttemptInterceptor, ConnectionId, ReceivedAttempt};
+pub use script::{play_script, Step};
 
 /// Milliseconds on the clock that all records of a run share, or as a span.
 pub type Ms = f64;
--- a/crates/emulator/src/map_service.rs
+++ b/crates/emulator/src/map_service.rs
@@ -3,6 +3,7 @@
 
 use crate::config::EmulatorConfig;
 use crate::data_store::DataStore;
+use crate::extent_migration::{needs_service, needs_source, needs_target, ExtentMigration};
 use magpiewick_extents::{
     Change, Changes, Extent, ExtentMap, Migration, MigrationLimits, MigrationRecord, MigrationSource,
     MigrationStep, MigrationTarget, Stage, StaleCoordinator, VolumeMap,
@@ -66,95 +67,6 @@
     }
 }
 
-/// One extent that is being migrated.
-struct ExtentMigration {
-    source_shard: u32,
-    target_shard: u32,
-    record: MigrationRecord,
-    source: MigrationSource,
-    target: MigrationTarget,
-    /// `None` while the coordinator is dead.
-    coordinator: Option<Migration>,
-    /// Keys that the source wrote since the copy began.
-    written_keys: BTreeSet<u64>,
-}
-
-impl ExtentMigration {
-    fn has_begun(&self) -> bool {
-        self.target.copy_of.is_some() || self.record.stage != Stage::Copying
-    }
-
-    /// Performs a step on the extent's range of keys; the source's incarnation where the step reports it.
-    fn perform(
-        &mut self,
-        coordinator: &Migration,
-        volume: u64,
-        range: Range<u64>,
-        store: &mut DataStore,
-    ) -> Result<Option<u8>, StaleCoordinator> {
-        let id = coordinator.id;
-        let shards = (self.source_shard, self.target_shard);
-        match coordinator.next_step {
-            MigrationStep::CopyAll | MigrationStep::CopyAgain => {
-                self.target.receive_copy(id)?;
-                store.copy(volume, shards, range, |_| true);
-                self.written_keys.clear();
-                return Ok(Some(self.source.incarnation));
-            }
-            MigrationStep::Fence => self.source.fence(id)?,
-            MigrationStep::CopyRemainder => {
-                let copy_all = self.source.needs_full_copy(id, coordinator.copied_from)?;
-                self.target.receive_remainder(id)?;
-                store.copy(volume, shards, range, |key| copy_all || self.written_keys.contains(&key));
-            }
-            MigrationStep::RecordCopied => self.record.record_copied(id)?,
-            MigrationStep::Switch => _ = self.record.switch(id)?,
-            MigrationStep::Serve => self.target.start_serving(id)?,
-            MigrationStep::Release => {
-                self.source.release(id)?;
-                store.remove(self.source_shard, volume, range);
-            }
-            MigrationStep::DropCopy => {
-                self.target.drop_copy(id)?;
-                store.remove(self.target_shard, volume, range);
-            }
-            MigrationStep::Unfence => self.source.unfence(id)?,
-            MigrationStep::Done => {}
-        }
-        Ok(None)
-    }
-}
-
-/// Whether a step needs a process of the source shard.
-fn needs_source(step: MigrationStep) -> bool {
-    matches!(
-        step,
-        MigrationStep::CopyAll
-            | MigrationStep::CopyAgain
-            | MigrationStep::Fence
-            | MigrationStep::CopyRemainder
-            | MigrationStep::Release
-            | MigrationStep::Unfence
-    )
-}
-
-/// Whether a step needs a process of the target shard.
-fn needs_target(step: MigrationStep) -> bool {
-    matches!(
-        step,
-        MigrationStep::CopyAll
-            | MigrationStep::CopyAgain
-            | MigrationStep::CopyRemainder
-            | MigrationStep::Serve
-            | MigrationStep::DropCopy
-    )
-}
-
-/// Whether a step changes the service's record.
-fn needs_service(step: MigrationStep) -> bool {
-    matches!(step, MigrationStep::RecordCopied | MigrationStep::Switch)
-}
-
 pub(crate) struct MapService {
     map: ExtentMap,
     store: DataStore,
--- a/crates/scenario/src/benchmark.rs
+++ b/crates/scenario/src/benchmark.rs
@@ -2,6 +2,7 @@
 //! against clients directly at a node, in one run with the same emulated services and clients.
 
 use crate::config::{read_config, Config, ScenarioConfig};
+use crate::error::ScenarioError;
 use crate::host_process::{HostProcess, HostProgram};
 use crate::load::{offer_session, LoadReport};
 use crate::load_generator::Session;
@@ -11,7 +12,6 @@
 use magpiewick_hcl_settings::read_text;
 use magpiewick_transport::Clock;
 use serde::Serialize;
-use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::Command;
@@ -81,7 +81,11 @@
 
 /// Measures at these numbers of nodes, latencies at `rate` or half of what the host can do at the most. Straight
 /// to a node only where there is one, as a client does not route.
-pub fn bench(program: &Path, node_counts: &[usize], rate: Option<f64>) -> io::Result<Vec<Measured>> {
+pub fn bench(
+    program: &Path,
+    node_counts: &[usize],
+    rate: Option<f64>,
+) -> Result<Vec<Measured>, ScenarioError> {
     let mut all = Vec::new();
     for &nodes in node_counts {
         let text = settings_text(nodes);
@@ -91,7 +95,7 @@
 }
 
 /// Measures large reads at these numbers of nodes: one client that always has one in flight.
-pub fn bench_reads(program: &Path, node_counts: &[usize]) -> io::Result<Vec<ReadMeasured>> {
+pub fn bench_reads(program: &Path, node_counts: &[usize]) -> Result<Vec<ReadMeasured>, ScenarioError> {
     let mut all = Vec::new();
     for &nodes in node_counts {
         for split in [false, true] {
@@ -110,17 +114,22 @@
 }
 
 /// Reads a text as a settings file, and keeps it in a file while it is used.
-fn with_file<T>(text: &str, measure: impl FnOnce(&Path, Settings) -> io::Result<T>) -> io::Result<T> {
+fn with_file<T>(
+    text: &str,
+    measure: impl FnOnce(&Path, Settings) -> Result<T, ScenarioError>,
+) -> Result<T, ScenarioError> {
     let settings = read_text("bench", text, |root| {
         let Config { host, emulator, scenario } = read_config(root, 1)?;
         Some(Settings { host, scenario: scenario?, emulator: emulator? })
     });
-    let settings = settings.map_err(|faults| io::Error::other(faults.to_string()))?;
-    let Some(settings) = settings else { return Err(io::Error::other("no bench")) };
+    let settings = settings.map_err(|faults| ScenarioError::FaultySettings(faults.to_string()))?;
+    let missing_block = || ScenarioError::FaultySettings("a block is missing".to_string());
+    let settings = settings.ok_or_else(missing_block)?;
     let file = std::env::temp_dir().join(format!("magpiewick-bench-{}.hcl", std::process::id()));
-    std::fs::write(&file, text)?;
+    let file_error = |source| ScenarioError::SettingsFile { path: file.clone(), source };
+    std::fs::write(&file, text).map_err(file_error)?;
     let result = measure(&file, settings);
-    std::fs::remove_file(&file)?;
+    std::fs::remove_file(&file).map_err(file_error)?;
     result
 }
 
@@ -174,7 +183,7 @@
     }
 }
 
-fn start_emulator(config: EmulatorConfig) -> io::Result<EmulatorHandle> {
+fn start_emulator(config: EmulatorConfig) -> Result<EmulatorHandle, ScenarioError> {
     let handle = EmulatorHandle::start(config, Clock::start(), None)?;
     handle.execute(|emulator| emulator.disable_recording());
     Ok(handle)
@@ -185,7 +194,7 @@
     file: &Path,
     settings: Settings,
     split: bool,
-) -> io::Result<Vec<ReadMeasured>> {
+) -> Result<Vec<ReadMeasured>, ScenarioError> {
     let Settings { host, scenario, emulator } = settings;
     let nodes = emulator.nodes.len();
     let emulator = start_emulator(emulator)?;
@@ -199,7 +208,7 @@
             let session = Session { in_flight: Some(1), ..session };
             offer_session(&host, &scenario, process.address, &session)
         };
-        let reports = (0..REPEATS).map(measure_once).collect::<io::Result<Vec<_>>>()?;
+        let reports = (0..REPEATS).map(measure_once).collect::<Result<Vec<_>, ScenarioError>>()?;
         let figure = |of: fn(&LoadReport) -> f64| spread(reports.iter().map(of).collect());
         let (p50_ms, p99_ms) = (figure(|report| report.p50_ms), figure(|report| report.p99_ms));
         all.push(ReadMeasured { nodes, split, slow, p50_ms, p99_ms });
@@ -216,11 +225,11 @@
 }
 
 impl Way {
-    fn cpu_seconds(&self) -> io::Result<f64> {
+    fn cpu_seconds(&self) -> Result<f64, ScenarioError> {
         self.process.as_ref().map_or(Ok(0.0), |process| process.usage().map(|usage| usage.0))
     }
 
-    fn memory_mb(&self) -> io::Result<f64> {
+    fn memory_mb(&self) -> Result<f64, ScenarioError> {
         let memory = |process: &HostProcess| process.usage().map(|usage| usage.1 as f64 / BYTES_PER_MB);
         self.process.as_ref().map_or(Ok(0.0), memory)
     }
@@ -231,7 +240,7 @@
         scenario: &ScenarioConfig,
         load: Load,
         seed: u64,
-    ) -> io::Result<LoadReport> {
+    ) -> Result<LoadReport, ScenarioError> {
         let mut scenario = scenario.clone();
         let session = Session::open(Clock::start(), MEASURING_TIME, seed);
         let session = match load {
@@ -262,7 +271,7 @@
     cpu_us: f64,
 }
 
-fn start_ways(program: &Path, file: &Path, emulator: &EmulatorHandle) -> io::Result<Vec<Way>> {
+fn start_ways(program: &Path, file: &Path, emulator: &EmulatorHandle) -> Result<Vec<Way>, ScenarioError> {
     let nodes = emulator.query(|emulator| emulator.node_addresses()).unwrap_or_default();
     let nodes: Vec<SocketAddr> = nodes.into_iter().map(|node| node.1).collect();
     let mut relay = Command::new(program);
@@ -284,12 +293,12 @@
     file: &Path,
     settings: Settings,
     rate: Option<f64>,
-) -> io::Result<Vec<Measured>> {
+) -> Result<Vec<Measured>, ScenarioError> {
     let Settings { host, scenario, emulator } = settings;
     let nodes = emulator.nodes.len();
     let emulator = start_emulator(emulator)?;
     let ways = start_ways(program, file, &emulator)?;
-    let memory = || ways.iter().map(Way::memory_mb).collect::<io::Result<Vec<f64>>>();
+    let memory = || ways.iter().map(Way::memory_mb).collect::<Result<Vec<f64>, ScenarioError>>();
     let memory_idle = memory()?;
     // The ways take turns, so that a change of the machine's speed affects all alike.
     let mut max_rates: Vec<Vec<f64>> = ways.iter().map(|_| Vec::new()).collect();
--- /dev/null
+++ b/crates/scenario/src/client_loop.rs
@@ -0,0 +1,472 @@
+//! The event loop of the clients.
+
+use crate::client_defects::ClientDefects;
+use crate::client_event::{ClientEvent, ClientRequest};
+use crate::client_statistics::ClientStatistics;
+use crate::config::{RetryBehaviour, ScenarioConfig};
+use crate::load_generator::{ClientReport, Session};
+use crate::workload::Workload;
+use crate::Ms;
+use magpiewick::Idempotency;
+use magpiewick_gateway::config::HostConfig;
+use magpiewick_node_protocol::{FinalCode, Frames, Hello, Message, Role, Take, LONG_AGO};
+use magpiewick_transport::{Clock, Connection, Poll, Timers, Woken, NOTHING};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::mpsc::Receiver;
+
+/// Keys that are sent over one connection, so that most ranges that overlap are.
+const KEYS_PER_STRIPE: u64 = 16;
+/// How long ordered requests are delayed by the defect that breaks their order.
+const REORDERING_DELAY: Ms = 250.0;
+/// A client does not retry with less time than this left.
+const MIN_RETRY_TIMEOUT: Ms = 50.0;
+/// The longest wait of the event loop, within which commands are noticed.
+const MAX_POLL_WAIT: Ms = 50.0;
+
+/// What clients are told while they run.
+pub(crate) enum Command {
+    /// A host is reached at this address, or is down.
+    SetHost(usize, Option<SocketAddr>),
+    SetSurge(u64, f64),
+    Stop,
+}
+
+struct HostConnection {
+    connection: Connection,
+    /// The host's incarnation, known from its hello.
+    incarnation: Option<u64>,
+}
+
+/// A request in flight, or one that waits for its retry.
+struct OpenRequest {
+    request: ClientRequest,
+    /// The indexes of its mix and volume in the workload.
+    mix: usize,
+    volume: usize,
+    /// How often it was sent.
+    sends: u32,
+    retry_behaviour: Option<RetryBehaviour>,
+}
+
+enum Timer {
+    Timeout(u64),
+    Retry(u64),
+    DelayedWrite(u64),
+}
+
+/// What clients know of a request class.
+struct ClassTraits {
+    timeout: Ms,
+    /// Whether a request that may have been executed may be retried.
+    idempotent: bool,
+    ordered: bool,
+}
+
+pub(crate) struct ClientLoop {
+    clock: Clock,
+    poll: Poll,
+    workload: Workload,
+    classes: Vec<ClassTraits>,
+    hosts: Vec<Option<SocketAddr>>,
+    connections: Vec<Option<HostConnection>>,
+    in_flight: HashMap<u64, OpenRequest>,
+    waiting_retries: HashMap<u64, OpenRequest>,
+    timers: Timers<u64>,
+    timers_by_id: HashMap<u64, Timer>,
+    /// Numbers requests and timers.
+    last_number: u64,
+    next_due: Ms,
+    max_in_flight: Option<usize>,
+    now: Ms,
+    end: Ms,
+    events: Option<Vec<(Ms, ClientEvent)>>,
+    statistics: ClientStatistics,
+    payload: Vec<u8>,
+    defects: ClientDefects,
+    /// How much longer than its timeout a client waits, so that a late thread is not taken for a late host.
+    clock_tolerance: Ms,
+}
+
+impl ClientLoop {
+    pub fn new(
+        host: &HostConfig,
+        scenario: &ScenarioConfig,
+        hosts: Vec<Option<SocketAddr>>,
+        session: &Session,
+        poll: Poll,
+    ) -> ClientLoop {
+        let traffic = &scenario.traffic;
+        let max_payload = traffic.mixes.iter().map(|mix| mix.payload * mix.blocks.max(1) as usize).max();
+        let classes = host.start.classes.iter().map(|class| ClassTraits {
+            timeout: class.client_timeout,
+            idempotent: class.idempotency == Idempotency::Idempotent,
+            ordered: class.ordered,
+        });
+        ClientLoop {
+            clock: session.clock,
+            poll,
+            workload: Workload::new(host, scenario, hosts.len(), session.seed, session.defect),
+            classes: classes.collect(),
+            connections: (0..hosts.len() * traffic.connections_per_host).map(|_| None).collect(),
+            hosts,
+            in_flight: HashMap::new(),
+            waiting_retries: HashMap::new(),
+            timers: Timers::default(),
+            timers_by_id: HashMap::new(),
+            last_number: 0,
+            next_due: session.begin,
+            max_in_flight: session.in_flight,
+            now: session.clock.now(),
+            end: session.end,
+            events: session.record.then(Vec::new),
+            statistics: ClientStatistics::default(),
+            payload: vec![0; max_payload.unwrap_or(0).max(8)],
+            defects: ClientDefects::new(session.defect),
+            clock_tolerance: scenario.clock_tolerance,
+        }
+    }
+
+    /// Runs until the session is over and all requests are.
+    pub fn run(&mut self, inbox: &Receiver<Command>) {
+        let mut woken = Woken::default();
+        (0..self.hosts.len()).for_each(|host| self.connect(host));
+        loop {
+            let wait = Clock::until(self.clock.now(), self.next_wakeup());
+            if let Err(error) = self.poll.wait(&mut woken, Some(wait)) {
+                return tracing::error!(%error, "client_poll_failed");
+            }
+            self.now = self.clock.now();
+            inbox.try_iter().collect::<Vec<_>>().into_iter().for_each(|command| self.on_command(command));
+            woken.readable.iter().for_each(|key| self.on_readable(*key));
+            while let Some(id) = self.timers.due(self.now) {
+                let Some(timer) = self.timers_by_id.remove(&id) else { break };
+                self.on_timer(timer);
+            }
+            self.send_due_requests();
+            self.flush_connections();
+            if self.now >= self.end && self.in_flight.is_empty() && self.waiting_retries.is_empty() {
+                return;
+            }
+        }
+    }
+
+    /// What the clients did and saw.
+    pub fn into_report(self) -> ClientReport {
+        ClientReport { statistics: self.statistics, events: self.events.unwrap_or_default() }
+    }
+
+    /// Whether a session that keeps a number of requests in flight has them, or is over.
+    fn is_saturated(&self) -> bool {
+        self.max_in_flight.is_some_and(|max| self.in_flight.len() >= max || self.now >= self.end)
+    }
+
+    fn next_wakeup(&self) -> Ms {
+        let timer = self.timers.next_at().unwrap_or(f64::INFINITY);
+        let sends = self.next_due < self.end && !self.is_saturated();
+        let next = if sends { timer.min(self.next_due) } else { timer };
+        next.min(self.clock.now() + MAX_POLL_WAIT)
+    }
+
+    fn on_command(&mut self, command: Command) {
+        match command {
+            Command::SetHost(number, address) => {
+                self.hosts[number] = address;
+                self.connections_of(number).for_each(|connection| self.on_connection_lost(connection));
+                self.connect(number);
+            }
+            Command::SetSurge(volume, factor) => self.workload.set_surge(volume, factor),
+            Command::Stop => self.end = self.now,
+        }
+    }
+
+    fn send_due_requests(&mut self) {
+        while self.next_due < self.end && self.next_due <= self.now && !self.is_saturated() {
+            let due = match self.max_in_flight {
+                Some(_) => self.now,
+                None => {
+                    let due = self.next_due;
+                    self.next_due += self.workload.draw_interarrival();
+                    due
+                }
+            };
+            let in_flight = self.in_flight.len();
+            self.send_new_request(due);
+            if self.in_flight.len() == in_flight {
+                return;
+            }
+        }
+    }
+
+    fn flush_connections(&mut self) {
+        for index in 0..self.connections.len() {
+            let broken = self.connections[index].as_mut().is_some_and(|host| {
+                let connection = &mut host.connection;
+                (connection.pending() > 0 || connection.connecting()) && connection.flush().is_err()
+            });
+            if broken {
+                self.on_connection_lost(index);
+            }
+        }
+    }
+
+    fn record(&mut self, event: ClientEvent) {
+        let now = self.clock.now();
+        if let Some(events) = &mut self.events {
+            events.push((now, event));
+        }
+    }
+
+    /// The indexes of the connections to a host.
+    fn connections_of(&self, host: usize) -> std::ops::Range<usize> {
+        let per_host = self.workload.traffic().connections_per_host;
+        host * per_host..(host + 1) * per_host
+    }
+
+    fn connect(&mut self, host: usize) {
+        let Some(address) = self.hosts[host] else { return };
+        for index in self.connections_of(host) {
+            let Ok(mut connection) = Connection::connect(&self.poll, address, index) else { continue };
+            let hello = Hello::of(Role::Client, index as u32, 0, LONG_AGO);
+            connection.queue(&Message::Hello(hello), NOTHING);
+            self.connections[index] = Some(HostConnection { connection, incarnation: None });
+        }
+    }
+
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
+    }
+
+    fn send_new_request(&mut self, due: Ms) {
+        let drawn = self.workload.draw_request();
+        let number = self.next_number();
+        let mix = &self.workload.traffic().mixes[drawn.mix];
+        let request = ClientRequest {
+            number,
+            mark: number,
+            host: 0,
+            host_number: drawn.host,
+            class: mix.class,
+            volume: drawn.volume_id,
+            key: drawn.key,
+            blocks: drawn.blocks,
+            write: mix.write,
+            connection: 0,
+            units: drawn.units,
+            timeout: self.classes[usize::from(mix.class)].timeout,
+            first_due: due,
+            is_retry: false,
+        };
+        let retry_behaviour = self.workload.draw_retry_behaviour();
+        self.send(OpenRequest { request, mix: drawn.mix, volume: drawn.volume, sends: 0, retry_behaviour });
+    }
+
+    /// The connection of a request. A key is always sent to a host over one connection, so that the order sent is
+    /// the order taken.
+    fn connection_for(&self, request: &ClientRequest) -> usize {
+        let per_host = self.workload.traffic().connections_per_host;
+        request.host_number * per_host + (request.key / KEYS_PER_STRIPE) as usize % per_host
+    }
+
+    fn send(&mut self, mut open: OpenRequest) {
+        open.sends += 1;
+        let connection = self.connection_for(&open.request);
+        let incarnation = self.connections[connection].as_ref().and_then(|host| host.incarnation);
+        let Some(incarnation) = incarnation else { return };
+        open.request.connection = connection;
+        open.request.host = incarnation;
+        let request = open.request;
+        self.statistics.sent += 1;
+        self.record(ClientEvent::Sent(request));
+        let timeout_at = self.now + request.timeout + self.clock_tolerance;
+        self.set_timer(timeout_at, Timer::Timeout(request.number));
+        self.in_flight.insert(request.number, open);
+        let ordered = self.classes[usize::from(request.class)].ordered;
+        if self.defects.reorder && !request.is_retry && ordered && request.number.is_multiple_of(2) {
+            let write_at = self.now + REORDERING_DELAY;
+            return self.set_timer(write_at, Timer::DelayedWrite(request.number));
+        }
+        self.write(request.number);
+    }
+
+    fn write(&mut self, number: u64) {
+        let Some(open) = self.in_flight.get(&number) else { return };
+        let request = &open.request;
+        let Some(host) = &mut self.connections[request.connection] else { return };
+        let mix = &self.workload.traffic().mixes[open.mix];
+        let size = if mix.write { mix.payload * request.blocks.max(1) as usize } else { 0 };
+        // Each block that is written begins with the request's mark, by which the audit identifies it.
+        for block in self.payload[..size].chunks_mut(mix.payload.max(1)) {
+            let mark_size = block.len().min(8);
+            block[..mark_size].copy_from_slice(&request.mark.to_le_bytes()[..mark_size]);
+        }
+        let take = Take {
+            request_id: request.number,
+            class: request.class,
+            write: mix.write,
+            volume: request.volume,
+            key: request.key,
+            mark: request.mark,
+            units: request.units as f32,
+            limit_us: (request.timeout * 1000.0) as u32,
+            blocks: request.blocks,
+            payload: &self.payload[..size],
+        };
+        host.connection.queue(&Message::Take(take), NOTHING);
+    }
+
+    fn set_timer(&mut self, at: Ms, timer: Timer) {
+        let id = self.next_number();
+        self.timers_by_id.insert(id, timer);
+        self.timers.set(at, id);
+    }
+
+    fn on_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::Timeout(number) => self.on_timeout(number),
+            Timer::DelayedWrite(number) => self.write(number),
+            Timer::Retry(number) => {
+                if let Some(open) = self.waiting_retries.remove(&number) {
+                    self.send(open);
+                }
+            }
+        }
+    }
+
+    fn on_timeout(&mut self, number: u64) {
+        let Some(open) = self.in_flight.remove(&number) else { return };
+        self.statistics.timed_out += 1;
+        self.record(ClientEvent::TimedOut { number });
+        if let Some(host) = &mut self.connections[open.request.connection] {
+            host.connection.queue(&Message::GiveUp { request_id: number }, NOTHING);
+        }
+    }
+
+    fn on_readable(&mut self, index: usize) {
+        let Some(host) = &mut self.connections[index] else { return };
+        let mut ended = host.connection.fill().is_err();
+        let input = host.connection.take_input();
+        let mut frames = Frames::new(&input);
+        for message in frames.by_ref() {
+            match message {
+                Ok(Message::Hello(hello)) => {
+                    if let Some(host) = &mut self.connections[index] {
+                        host.incarnation = Some(hello.life);
+                    }
+                }
+                Ok(Message::Final(answer)) => {
+                    let retry_after = f64::from(answer.back_us) / 1000.0;
+                    self.on_answer(answer.request_id, answer.verdict, retry_after, answer.payload);
+                }
+                Ok(_) => ended = true,
+                Err(_) => {
+                    ended = true;
+                    break;
+                }
+            }
+        }
+        let used = frames.used();
+        if let Some(host) = &mut self.connections[index] {
+            host.connection.give_back(input, used);
+        }
+        if ended {
+            self.on_connection_lost(index);
+        }
+    }
+
+    fn on_answer(&mut self, number: u64, code: FinalCode, retry_after: Ms, payload: &[u8]) {
+        if self.defects.loses_answer(number) {
+            return;
+        }
+        self.record(ClientEvent::Answered { number, code, retry_after });
+        if self.defects.repeats_answer(number) {
+            self.record(ClientEvent::Answered { number, code, retry_after });
+        }
+        let Some(open) = self.in_flight.remove(&number) else { return };
+        if code == FinalCode::Succeeded && !open.request.write && self.events.is_some() {
+            self.record_blocks(&open.request, payload);
+        }
+        self.statistics.record_answer(code, self.now - open.request.first_due);
+        match open.retry_behaviour {
+            Some(behaviour) => {
+                // A failed request may have been executed.
+                let retriable = code == FinalCode::Rejected || self.is_idempotent(&open);
+                if code != FinalCode::Succeeded && retriable {
+                    self.retry(open, &behaviour, retry_after);
+                }
+            }
+            None => {
+                let retriable = code == FinalCode::Rejected && retry_after > 0.0;
+                if retriable && self.retries_once(&open) {
+                    self.schedule_retry(open, retry_after);
+                }
+            }
+        }
+    }
+
+    /// Records the mark that each block of a successful read begins with.
+    fn record_blocks(&mut self, request: &ClientRequest, payload: &[u8]) {
+        let blocks = request.blocks.max(1);
+        let size = (payload.len() / blocks as usize).max(1);
+        for n in 0..u64::from(blocks) {
+            let mark = payload.get(n as usize * size..).and_then(|block| block.first_chunk::<8>());
+            let mark = mark.map_or(0, |mark| u64::from_le_bytes(*mark));
+            self.record(ClientEvent::BlockRead { number: request.number, block: request.key + n, mark });
+        }
+    }
+
+    fn is_idempotent(&self, open: &OpenRequest) -> bool {
+        self.classes[usize::from(open.request.class)].idempotent
+    }
+
+    /// Whether a client without a retry behaviour may retry a request.
+    fn retries_once(&self, open: &OpenRequest) -> bool {
+        self.workload.traffic().retries && !open.request.is_retry
+    }
+
+    fn retry(&mut self, open: OpenRequest, behaviour: &RetryBehaviour, retry_after: Ms) {
+        if open.sends < behaviour.max_sends {
+            let delay = self.workload.draw_retry_delay(behaviour, open.sends, retry_after);
+            self.schedule_retry(open, delay);
+        }
+    }
+
+    /// Retries a request after a delay, within what is left of the client's time.
+    fn schedule_retry(&mut self, mut open: OpenRequest, delay: Ms) {
+        let request = &open.request;
+        let timeout = self.classes[usize::from(request.class)].timeout;
+        let time_left = request.first_due + timeout - self.now - delay;
+        if time_left < MIN_RETRY_TIMEOUT || self.now >= self.end {
+            return;
+        }
+        let number = self.next_number();
+        open.request = ClientRequest { number, timeout: time_left, is_retry: true, ..open.request };
+        self.set_timer(self.now + delay, Timer::Retry(number));
+        self.waiting_retries.insert(number, open);
+    }
+
+    /// A connection ended: clients retry its requests at another host, where that can do no harm.
+    fn on_connection_lost(&mut self, index: usize) {
+        if self.connections[index].take().is_none() {
+            return;
+        }
+        let on_connection = self.in_flight.values().filter(|open| open.request.connection == index);
+        let mut lost: Vec<u64> = on_connection.map(|open| open.request.number).collect();
+        lost.sort_unstable();
+        for number in lost {
+            let Some(mut open) = self.in_flight.remove(&number) else { continue };
+            self.statistics.connection_lost += 1;
+            self.record(ClientEvent::ConnectionLost { number });
+            open.request.host_number = self.workload.next_host(open.volume, open.request.host_number);
+            if !self.is_idempotent(&open) {
+                continue;
+            }
+            match open.retry_behaviour {
+                Some(behaviour) => self.retry(open, &behaviour, 0.0),
+                None if self.retries_once(&open) => self.schedule_retry(open, 0.0),
+                None => {}
+            }
+        }
+    }
+}
--- a/crates/scenario/src/host_process.rs
+++ b/crates/scenario/src/host_process.rs
@@ -1,11 +1,15 @@
 //! Hosts as processes of their own.
 
+use crate::error::ScenarioError;
 use rustix::process::{kill_process, Pid, Signal};
-use std::io::{self, BufRead, BufReader};
+use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
+/// The unit of processor time under `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
+
 /// How hosts are started.
 #[derive(Clone, Debug)]
 pub struct HostProgram {
@@ -32,7 +36,7 @@
 
 impl HostProcess {
     /// Starts a host and waits until it reports its address.
-    pub fn start(program: &HostProgram, number: usize) -> io::Result<HostProcess> {
+    pub fn start(program: &HostProgram, number: usize) -> Result<HostProcess, ScenarioError> {
         let mut command = Command::new(&program.program);
         command.arg("serve").arg(&program.file).arg("--bare");
         command.args(["--number", &number.to_string(), "--listen", "127.0.0.1:0"]);
@@ -52,50 +56,58 @@
     }
 
     /// Starts a process whose first line of output is `ready` and its address.
-    pub fn run(mut command: Command) -> io::Result<HostProcess> {
-        let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?;
+    pub fn run(mut command: Command) -> Result<HostProcess, ScenarioError> {
+        let program = PathBuf::from(command.get_program());
+        let start_error = |source| ScenarioError::StartProcess { program: program.clone(), source };
+        command.stdin(Stdio::null()).stdout(Stdio::piped());
+        let mut child = command.spawn().map_err(start_error)?;
         let mut line = String::new();
-        let out = child.stdout.take().map(BufReader::new);
-        let read = out.map_or(Ok(0), |mut out| out.read_line(&mut line));
-        let address = line.trim().strip_prefix("ready ").and_then(|a| a.parse().ok());
-        match (read, address) {
-            (Ok(_), Some(address)) => Ok(HostProcess { child, address }),
-            (read, _) => {
-                // It may have ended by itself; then there is nothing to kill.
-                _ = child.kill();
-                _ = child.wait();
-                read?;
-                Err(io::Error::other(format!("a process said {:?} in place of its address", line.trim())))
-            }
+        let output = child.stdout.take().map(BufReader::new);
+        let read = output.map_or(Ok(0), |mut output| output.read_line(&mut line));
+        let address = line.trim().strip_prefix("ready ").and_then(|address| address.parse().ok());
+        if let (Ok(_), Some(address)) = (&read, address) {
+            return Ok(HostProcess { child, address });
         }
+        // It may have ended by itself; then there is nothing to kill.
+        _ = child.kill();
+        _ = child.wait();
+        read.map_err(start_error)?;
+        Err(ScenarioError::NoAddress { program, line: line.trim().to_string() })
     }
 
     /// Seconds of processor time that it has used, and bytes of memory that it holds.
-    pub fn usage(&self) -> io::Result<(f64, u64)> {
-        let read = |what: &str| std::fs::read_to_string(format!("/proc/{}/{what}", self.child.id()));
-        let stat = read("stat")?;
+    pub fn usage(&self) -> Result<(f64, u64), ScenarioError> {
+        let pid = self.child.id();
+        let read = |file: &str| {
+            let text = std::fs::read_to_string(format!("/proc/{pid}/{file}"));
+            text.map_err(|source| ScenarioError::ReadUsage { pid, source })
+        };
+        let (stat, status) = (read("stat")?, read("status")?);
         // The fields behind the name, which may hold spaces; user and system time are the 12th and 13th.
         let fields = stat.rsplit(')').next().unwrap_or("").split_whitespace();
-        let ticks: f64 = fields.skip(11).take(2).filter_map(|f| f.parse::<f64>().ok()).sum();
-        let status = read("status")?;
-        let held = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-        let held = held.and_then(|l| l.trim().split(' ').next()?.parse::<u64>().ok());
-        Ok((ticks / 100.0, held.unwrap_or(0) * 1024))
+        let ticks: f64 = fields.skip(11).take(2).filter_map(|field| field.parse::<f64>().ok()).sum();
+        let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+        let resident_kb = resident.and_then(|text| text.trim().split(' ').next()?.parse::<u64>().ok());
+        Ok((ticks / TICKS_PER_SECOND, resident_kb.unwrap_or(0) * 1024))
     }
 
-    fn signal(&self, signal: Signal) -> io::Result<()> {
-        Ok(kill_process(Pid::from_child(&self.child), signal)?)
+    fn signal(&self, signal: Signal) -> Result<(), ScenarioError> {
+        let sent = kill_process(Pid::from_child(&self.child), signal);
+        sent.map_err(|error| ScenarioError::SignalProcess { pid: self.child.id(), source: error.into() })
     }
 
     /// Stops the process with a signal, or continues it.
-    pub fn stall(&self, stopped: bool) -> io::Result<()> {
+    pub fn stall(&self, stopped: bool) -> Result<(), ScenarioError> {
         self.signal(if stopped { Signal::STOP } else { Signal::CONT })
     }
 
     /// Terminates the process and waits; its exit code, `None` where a signal ended it.
-    pub fn end(mut self) -> io::Result<Option<i32>> {
+    pub fn end(mut self) -> Result<Option<i32>, ScenarioError> {
         self.signal(Signal::TERM)?;
-        Ok(self.child.wait()?.code())
+        let pid = self.child.id();
+        let status = self.child.wait();
+        let status = status.map_err(|source| ScenarioError::WaitForProcess { pid, source })?;
+        Ok(status.code())
     }
 }
 
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -5,9 +5,12 @@
 
 mod audit;
 mod benchmark;
+mod client_defects;
 mod client_event;
+mod client_loop;
 mod client_statistics;
 mod config;
+mod error;
 mod host_process;
 mod load;
 mod load_generator;
@@ -25,6 +28,7 @@
 pub use config::{
     read_config, Backoff, Config, Mix, RetryBehaviour, RetryStormExpectation, ScenarioConfig, TrafficConfig,
 };
+pub use error::ScenarioError;
 pub use load::{offer_load, LoadReport};
 pub use load_generator::{ClientReport, LoadGenerator, Session};
 pub use relay::relay;
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -2,11 +2,11 @@
 
 use crate::client_statistics::ClientStatistics;
 use crate::config::ScenarioConfig;
+use crate::error::ScenarioError;
 use crate::load_generator::{LoadGenerator, Session};
 use magpiewick_gateway::config::HostConfig;
 use magpiewick_transport::Clock;
 use serde::Serialize;
-use std::io;
 use std::net::SocketAddr;
 
 /// What a load came to. Latencies count from when a request was due.
@@ -48,7 +48,7 @@
     scenario: &ScenarioConfig,
     address: SocketAddr,
     seed: u64,
-) -> io::Result<LoadReport> {
+) -> Result<LoadReport, ScenarioError> {
     offer_session(host, scenario, address, &Session::open(Clock::start(), scenario.duration, seed))
 }
 
@@ -58,9 +58,9 @@
     scenario: &ScenarioConfig,
     address: SocketAddr,
     session: &Session,
-) -> io::Result<LoadReport> {
+) -> Result<LoadReport, ScenarioError> {
     let clients = LoadGenerator::start(host, scenario, vec![Some(address)], session)?;
-    let clients = clients.finish().ok_or_else(|| io::Error::other("the clients' thread failed"))?;
+    let clients = clients.finish()?;
     Ok(report(&clients.statistics, scenario))
 }
 
--- a/crates/scenario/src/scenario_run.rs
+++ b/crates/scenario/src/scenario_run.rs
@@ -4,15 +4,15 @@
 use crate::audit::{audit, Evidence, Rule, Stall, Verdict};
 use crate::client_event::ClientEvent;
 use crate::config::ScenarioConfig;
+use crate::error::ScenarioError;
 use crate::host_process::{HostProcess, HostProgram};
-use crate::load_generator::{LoadGenerator, Session};
+use crate::load_generator::{ClientReport, LoadGenerator, Session};
 use crate::seeded_defect::SeededDefect;
 use crate::Ms;
 use magpiewick_emulator::{play_script, EmulatorConfig, EmulatorDefects, EmulatorHandle, Step};
 use magpiewick_gateway::config::HostConfig;
 use magpiewick_transport::Clock;
 use serde::Serialize;
-use std::io;
 use std::path::Path;
 
 /// What a scenario came to.
@@ -92,7 +92,7 @@
     file: &Path,
     settings: ScenarioSettings,
     options: RunOptions,
-) -> io::Result<ScenarioReport> {
+) -> Result<ScenarioReport, ScenarioError> {
     let ScenarioSettings { host, emulator, scenario } = settings;
     let clock = Clock::start();
     let handle = start_emulator(settings, options, clock)?;
@@ -104,9 +104,7 @@
         hosts_without_coalescing: scenario.hosts_without_coalescing.clone(),
         without_overload_protection: options.without_overload_protection,
     };
-    let host_count = host.start.hosts as usize;
-    let hosts = (0..host_count).map(|number| HostProcess::start(&program, number).map(Some));
-    let hosts = hosts.collect::<io::Result<Vec<_>>>()?;
+    let hosts = start_hosts(&program, host.start.hosts as usize)?;
     let addresses = hosts.iter().map(|host| host.as_ref().map(|host| host.address)).collect();
     let session = Session::open(clock, scenario.duration, options.seed);
     let session = Session { record: true, defect: options.defect, ..session };
@@ -118,8 +116,9 @@
     if let Some(error) = error {
         return Err(error);
     }
-    let clients = clients.finish().ok_or_else(|| io::Error::other("the clients' thread failed"))?;
-    let exit_codes = hosts.into_iter().flatten().map(HostProcess::end).collect::<io::Result<Vec<_>>>()?;
+    let clients = clients.finish()?;
+    let exit_codes =
+        hosts.into_iter().flatten().map(HostProcess::end).collect::<Result<Vec<_>, ScenarioError>>()?;
     let stored = stored_data(&handle, emulator, options.defect);
     let node_events = handle.take_events();
     let verdict = audit(&Evidence {
@@ -131,14 +130,28 @@
         stalls: &stalls,
         stored: &stored,
     });
+    Ok(report(settings, options, clients, verdict, exit_codes))
+}
+
+fn start_hosts(program: &HostProgram, count: usize) -> Result<Vec<Option<HostProcess>>, ScenarioError> {
+    (0..count).map(|number| HostProcess::start(program, number).map(Some)).collect()
+}
+
+fn report(
+    settings: ScenarioSettings,
+    options: RunOptions,
+    clients: ClientReport,
+    verdict: Verdict,
+    exit_codes: Vec<Option<i32>>,
+) -> ScenarioReport {
     let ended_well = exit_codes.iter().all(|code| *code == Some(0));
     let statistics = clients.statistics;
-    Ok(ScenarioReport {
+    ScenarioReport {
         ok: verdict.findings.is_empty() && ended_well,
         seed: options.seed,
-        hosts: host_count,
-        nodes: emulator.nodes.len(),
-        seconds: scenario.duration / 1000.0,
+        hosts: settings.host.start.hosts as usize,
+        nodes: settings.emulator.nodes.len(),
+        seconds: settings.scenario.duration / 1000.0,
         sent: statistics.sent,
         succeeded: statistics.succeeded,
         rejected: statistics.rejected,
@@ -152,7 +165,7 @@
         verdict,
         without_overload_protection: None,
         client_events: clients.events,
-    })
+    }
 }
 
 fn is_data_defect(defect: Option<SeededDefect>) -> bool {
@@ -163,7 +176,7 @@
     settings: ScenarioSettings,
     options: RunOptions,
     clock: Clock,
-) -> io::Result<EmulatorHandle> {
+) -> Result<EmulatorHandle, ScenarioError> {
     let mut config = settings.emulator.clone();
     config.seed ^= options.seed << 8;
     let interceptor = options.defect.and_then(|defect| defect.interceptor(settings.host));
@@ -212,7 +225,7 @@
     clock: Clock,
     stalls: Vec<Stall>,
     /// The first step that failed.
-    error: Option<io::Error>,
+    error: Option<ScenarioError>,
 }
 
 impl HostScript<'_> {
@@ -222,7 +235,7 @@
         }
     }
 
-    fn try_step(&mut self, step: &Step) -> io::Result<()> {
+    fn try_step(&mut self, step: &Step) -> Result<(), ScenarioError> {
         match *step {
             Step::HostStall(number, stopped) => self.stall(number as usize, stopped)?,
             Step::HostKill(number) => {
@@ -242,7 +255,7 @@
         Ok(())
     }
 
-    fn stall(&mut self, number: usize, stopped: bool) -> io::Result<()> {
+    fn stall(&mut self, number: usize, stopped: bool) -> Result<(), ScenarioError> {
         let Some(Some(host)) = self.hosts.get(number) else { return Ok(()) };
         host.stall(stopped)?;
         let now = self.clock.now();
