--- a/scenarios/bad-day.hcl
+++ b/scenarios/bad-day.hcl
@@ -1,4 +1,4 @@
-# The bad day: three hosts, eight nodes and their successors, and most kinds of trouble the first users told of.
+# The bad day: three hosts, eight nodes and their successors, and most kinds of fault that the first users reported.
 #   cargo run --release -- drill scenarios/bad-day.hcl
 host {
   hosts       = 3
@@ -14,7 +14,7 @@
   ask_within = "4s"
 }
 
-# The hosts tell each other what they have out; their messages meet hosts that are killed or stand still.
+# The hosts gossip about their attempts in flight; some of them are killed or stalled meanwhile.
 peer "0" {
   address = "127.0.0.1:7610"
 }
--- a/scenarios/extent-moves.hcl
+++ b/scenarios/extent-moves.hcl
@@ -1,4 +1,4 @@
-# Extents move between shards while hosts serve, under a surge, twice in a row, and while what moves them fails.
+# Extents are migrated between shards while hosts serve, under a surge, twice in a row, and while coordinators fail.
 #   cargo run --release -- drill scenarios/extent-moves.hcl
 host {
   hosts       = 3
--- a/scenarios/merge-split.hcl
+++ b/scenarios/merge-split.hcl
@@ -1,5 +1,5 @@
-# Small writes that travel together and large reads that are cut, while nodes fail partly, go silent, drain and move
-# data. Host 1 sends every command by itself, to compare with.
+# Small writes that are coalesced and large reads that are split, while nodes fail partially, become unresponsive and
+# drain, and extents are migrated. Host 1 sends every request by itself, to compare with.
 #   cargo run --release -- drill scenarios/merge-split.hcl
 host {
   hosts      = 2
--- a/scenarios/plants.hcl
+++ b/scenarios/plants.hcl
@@ -1,9 +1,9 @@
-# A short day on which every rule has work to do; with --plant RULE the rig breaks one and the audit must find it.
+# A short scenario in which every rule has cases to check; --plant RULE seeds a defect that the audit must find.
 #   cargo run --release -- drill scenarios/plants.hcl --plant twice
 host {
   hosts       = 3
   hand_offs   = 3
-  # What a rig holds back would count as lost, and the host would end it before the rig lets it go.
+  # Attempts that a defect delays would count as unresponsive, and the host would cancel them before they arrive.
   cancels     = false
   order_rest  = "100ms"
   most_units  = 4
--- a/scenarios/retry-storm.hcl
+++ b/scenarios/retry-storm.hcl
@@ -1,5 +1,5 @@
-# A storm of later tries: a node stops for five seconds and comes back cold to clients that ask again as real ones do;
-# then a rack of three goes down and comes back together.
+# A retry storm: a node stops for five seconds and comes back warming up, to clients that retry as real ones do; then a
+# rack of three goes down and comes back together.
 #   cargo run --release -- drill scenarios/retry-storm.hcl --undamped
 host {
   hosts       = 3
@@ -166,8 +166,8 @@
   drain_within = "250ms"
 }
 
-# The rules let a cold node be sent twice what it can do over a second; a returned one is to meet less than that at any
-# moment.
+# The rules let a node that warms up be sent twice its capacity over a second; one that came back is to receive less
+# than that at any moment.
 storm {
   ceiling     = 1.5
   quiet       = "1.5s"
@@ -225,7 +225,7 @@
   from  = "1.5s"
   to    = "6.5s"
 }
-# Gone again at once.
+# It stops again at once.
 trouble "crash" {
   nodes = [0]
   from  = "7s"
