--- a/crates/emulator/src/deduplication.rs
+++ b/crates/emulator/src/deduplication.rs
@@ -30,3 +30,6 @@
         known
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/emulator/src/fault_script.rs
+++ b/crates/emulator/src/fault_script.rs
@@ -240,3 +240,6 @@
         successors.flat_map(|node| [(at, Step::StartWarmingUp(node)), (at, Step::List(node))]).collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/emulator/src/slow_start.rs
+++ b/crates/emulator/src/slow_start.rs
@@ -54,3 +54,6 @@
         sent > tolerated.max(if is_first_window { config.allowance } else { 0.0 })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/emulator/src/usage_meter.rs
+++ b/crates/emulator/src/usage_meter.rs
@@ -26,3 +26,6 @@
         others - self.reported.insert((volume, host), others).unwrap_or(0.0)
     }
 }
+
+#[cfg(test)]
+mod tests;
