--- a/crates/scenario/src/audit/mod.rs
+++ b/crates/scenario/src/audit/mod.rs
@@ -48,3 +48,6 @@
     verdict.findings.sort_by(|a, b| a.at.total_cmp(&b.at));
     verdict
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/scenario/src/audit/tests.rs
@@ -0,0 +1,300 @@
+//! Each rule against events made by hand: a run that keeps it, and one that breaks it.
+
+use super::*;
+use crate::client_event::{ClientEvent, ClientRequest};
+use crate::config::{read_config, Config};
+use crate::Ms;
+use magpiewick_emulator::NodeEvent;
+use magpiewick_hcl_settings::read_text;
+use magpiewick_node_protocol::FinalCode;
+
+const SETTINGS: &str = r#"
+host {
+  order_rest = "100ms"
+  most_units = 4
+}
+budget {
+  free   = 1
+  share  = 0.1
+  window = "2s"
+}
+band "read" {
+  soft_limit = "200ms"
+  time_limit = "1s"
+  payoff     = 3
+  repeats    = "retriable"
+}
+band "write" {
+  soft_limit = "200ms"
+  time_limit = "1s"
+  repeats    = "fingerprinted"
+  group      = "zone"
+  memory     = "1.5s"
+  in_order   = true
+}
+band "order" {
+  soft_limit = "200ms"
+  time_limit = "1s"
+  repeats    = "binding"
+}
+plan "limited" {
+  rate        = 100
+  limit_rate  = 10
+  limit_store = 20
+}
+volume "v" {
+  id     = 1
+  plan   = "limited"
+  shards = [0, 1]
+}
+drill {
+  noise        = "60ms"
+  drain_within = "250ms"
+}
+traffic {
+  rate = 10
+  mix "read" {
+    share = 1
+  }
+}
+standin {
+  node "0" {
+    shard = 0
+    zone  = 0
+  }
+  node "1" {
+    shard = 1
+    zone  = 1
+  }
+}
+"#;
+
+const HOST: u64 = 77;
+const READ: u16 = 0;
+const WRITE: u16 = 1;
+const ORDER: u16 = 2;
+
+/// The events of a run.
+#[derive(Default)]
+struct Events {
+    client: Vec<(Ms, ClientEvent)>,
+    node: Vec<(Ms, NodeEvent)>,
+    stored: Vec<(u64, u64, Vec<u8>)>,
+}
+
+impl Events {
+    fn sent(mut self, at: Ms, number: u64, class: u16) -> Events {
+        let request = ClientRequest {
+            number,
+            mark: number,
+            host: HOST,
+            host_number: 0,
+            class,
+            volume: 1,
+            key: 5,
+            blocks: 0,
+            write: class != READ,
+            connection: 0,
+            units: 1.0,
+            timeout: 1000.0,
+            first_due: at,
+            is_retry: false,
+        };
+        self.client.push((at, ClientEvent::Sent(request)));
+        self
+    }
+
+    fn answered(mut self, at: Ms, number: u64, code: FinalCode) -> Events {
+        self.client.push((at, ClientEvent::Answered { number, code, retry_after: 0.0 }));
+        self
+    }
+
+    /// An attempt of a request, of its own batch.
+    fn attempt(mut self, at: Ms, node: u32, mark: u64, attempt: u16) -> Events {
+        let batch = self.node.len() as u64;
+        self.node.push((
+            at,
+            NodeEvent::AttemptReceived {
+                node,
+                host: HOST,
+                request_id: mark,
+                attempt,
+                class: READ,
+                volume: 1,
+                key: 5,
+                mark,
+                units: 1.0,
+                write: false,
+                version: 1,
+                batch,
+            },
+        ));
+        self
+    }
+
+    fn outcome(mut self, at: Ms, node: u32, request_id: u64, attempt: u16, executed: bool) -> Events {
+        let shard_moved = false;
+        let event = NodeEvent::Answered { node, host: HOST, request_id, attempt, executed, shard_moved };
+        self.node.push((at, event));
+        self
+    }
+
+    fn effect(mut self, at: Ms, node: u32, mark: u64, class: u16) -> Events {
+        let (request_id, host, volume, key, write) = (mark, HOST, 1, 5, class != READ);
+        let blocks = 1;
+        let event =
+            NodeEvent::EffectApplied { node, host, request_id, class, volume, key, mark, write, blocks };
+        self.node.push((at, event));
+        self
+    }
+
+    fn event(mut self, at: Ms, event: NodeEvent) -> Events {
+        self.node.push((at, event));
+        self
+    }
+
+    fn stored(mut self, mark: u64) -> Events {
+        self.stored = vec![(1, 5, mark.to_le_bytes().to_vec())];
+        self
+    }
+
+    fn audit(self) -> Verdict {
+        let config = read_text("test", SETTINGS, |root| read_config(root, 1));
+        let config = config.unwrap_or_else(|faults| panic!("{faults}"));
+        let Some(Config { host, emulator: Some(emulator), scenario: Some(scenario) }) = config else {
+            panic!("a block is missing");
+        };
+        audit(&Evidence {
+            host: &host,
+            emulator: &emulator,
+            scenario: &scenario,
+            node_events: &self.node,
+            client_events: &self.client,
+            stalls: &[],
+            stored: &self.stored,
+        })
+    }
+
+    /// The rules that the run breaks, and when.
+    fn broken(self) -> Vec<(Rule, Ms)> {
+        self.audit().findings.iter().map(|finding| (finding.rule, finding.at)).collect()
+    }
+}
+
+/// A request that succeeds at its first attempt.
+fn success(class: u16) -> Events {
+    let events = Events::default().sent(0.0, 1, class).attempt(10.0, 0, 1, 0).effect(20.0, 0, 1, class);
+    let events = events.outcome(20.0, 0, 1, 0, true).answered(30.0, 1, FinalCode::Succeeded);
+    if class == READ {
+        events
+    } else {
+        events.stored(1)
+    }
+}
+
+#[test]
+fn a_request_that_succeeds_breaks_nothing_and_earns_its_weight() {
+    let verdict = success(READ).audit();
+    assert!(verdict.findings.is_empty(), "{:?}", verdict.findings);
+    assert_eq!((verdict.total_weight, verdict.earned_weight), (3.0, 3.0));
+    assert_eq!((verdict.attempts, verdict.retries, verdict.checked["lost"]), (1, 0, 1));
+}
+
+#[test]
+fn a_missing_late_or_second_answer_and_an_attempt_after_the_end_are_found() {
+    assert_eq!(Events::default().sent(0.0, 1, READ).broken(), [(Rule::FinalAnswer, 1060.0)]);
+    let late = Events::default().sent(0.0, 1, READ).answered(1061.0, 1, FinalCode::Rejected);
+    assert_eq!(late.broken(), [(Rule::FinalAnswer, 1061.0)]);
+    let second = success(READ).answered(40.0, 1, FinalCode::Rejected);
+    assert_eq!(second.broken(), [(Rule::FinalAnswer, 40.0)]);
+    assert_eq!(success(READ).attempt(90.0, 0, 1, 1).broken(), []);
+    assert_eq!(success(READ).attempt(91.0, 0, 1, 1).broken(), [(Rule::FinalAnswer, 91.0)]);
+    assert_eq!(Events::default().attempt(5.0, 0, 9, 0).broken(), [(Rule::FinalAnswer, 5.0)]);
+}
+
+#[test]
+fn a_second_effect_or_an_unsafe_repeat_or_rejection_is_found() {
+    let order = || Events::default().sent(0.0, 1, ORDER).attempt(10.0, 0, 1, 0);
+    let repeated = order().attempt(20.0, 0, 1, 1).answered(30.0, 1, FinalCode::Failed);
+    assert_eq!(repeated.broken(), [(Rule::AtMostOnce, 20.0)]);
+    let not_executed = order().outcome(15.0, 0, 1, 0, false).attempt(20.0, 0, 1, 1);
+    assert_eq!(not_executed.answered(30.0, 1, FinalCode::Failed).broken(), []);
+    assert_eq!(order().answered(30.0, 1, FinalCode::Rejected).broken(), [(Rule::AtMostOnce, 30.0)]);
+    assert_eq!(success(ORDER).effect(25.0, 0, 1, ORDER).broken(), [(Rule::AtMostOnce, 25.0)]);
+    let write = || Events::default().sent(0.0, 1, WRITE).attempt(10.0, 0, 1, 0);
+    assert_eq!(write().attempt(20.0, 0, 1, 1).answered(30.0, 1, FinalCode::Failed).broken(), []);
+    let other_zone = write().attempt(20.0, 1, 1, 1).answered(30.0, 1, FinalCode::Failed);
+    assert_eq!(other_zone.broken(), [(Rule::AtMostOnce, 20.0)]);
+}
+
+#[test]
+fn an_attempt_long_after_a_drain_notice_is_found() {
+    let notified = |at: Ms| {
+        let (host, node, incarnation) = (HOST, 0, 4);
+        let started = NodeEvent::Started { node, incarnation, warming_up: false };
+        let notice = NodeEvent::DrainNotified { host, node, incarnation };
+        let events = Events::default().event(0.0, started).event(10.0, notice).sent(0.0, 1, READ);
+        events.attempt(at, 0, 1, 0).answered(500.0, 1, FinalCode::Failed).broken()
+    };
+    assert_eq!(notified(320.0), []);
+    assert_eq!(notified(321.0), [(Rule::Draining, 321.0)]);
+}
+
+#[test]
+fn a_key_s_next_request_waits_for_the_end_of_the_earlier_one_and_for_the_quiet_period() {
+    let second = |at: Ms| {
+        let first = Events::default().sent(0.0, 1, WRITE).sent(1.0, 2, WRITE).attempt(10.0, 0, 1, 0);
+        let first = first.answered(100.0, 1, FinalCode::Failed);
+        first.attempt(at, 0, 2, 0).answered(400.0, 2, FinalCode::Failed).broken()
+    };
+    // Unanswered, the first attempt may run until its client's answer, and 100 ms of quiet follow.
+    assert_eq!(second(140.0), []);
+    assert_eq!(second(139.0), [(Rule::Ordering, 139.0)]);
+    assert_eq!(second(39.0), [(Rule::Ordering, 39.0); 2]);
+}
+
+#[test]
+fn retries_beyond_the_budget_are_found() {
+    let retried = |attempts: u16| {
+        let events = Events::default().sent(0.0, 1, READ);
+        let events = (0..attempts)
+            .fold(events, |events, attempt| events.attempt(10.0 + 100.0 * f64::from(attempt), 0, 1, attempt));
+        events.answered(900.0, 1, FinalCode::Failed).broken()
+    };
+    // A budget of 1.1 retries; those within the clock tolerance of a retry are not counted with it.
+    assert_eq!(retried(3), []);
+    assert_eq!(retried(4), [(Rule::RetryBudget, 310.0)]);
+}
+
+#[test]
+fn requests_beyond_a_volume_s_rate_limit_are_found() {
+    // A bucket of 20 may be overdrawn by the 4 units of the largest request.
+    let flooded = |count: u64| {
+        let events = (1..=count).fold(Events::default(), |events, n| {
+            events.sent(0.0, n, READ).attempt(10.0, 0, n, 0).answered(30.0, n, FinalCode::Failed)
+        });
+        events.broken()
+    };
+    assert_eq!(flooded(24), []);
+    assert_eq!(flooded(25), [(Rule::RateLimits, 10.0)]);
+}
+
+#[test]
+fn lost_data_and_a_success_that_never_ran_are_found() {
+    assert_eq!(success(WRITE).broken(), []);
+    assert_eq!(success(WRITE).stored(8).broken(), [(Rule::DataIntegrity, 20.0)]);
+    let unexecuted = Events::default().sent(0.0, 1, READ).attempt(10.0, 0, 1, 0);
+    assert_eq!(unexecuted.answered(30.0, 1, FinalCode::Succeeded).broken(), [(Rule::DataIntegrity, 30.0)]);
+}
+
+#[test]
+fn an_attempt_under_an_outdated_version_of_an_extent_is_found() {
+    let sent_at = |at: Ms| {
+        let (host, volume, start, end, version) = (HOST, 1, 0, 10, 2);
+        let update = NodeEvent::MapUpdateSent { host, volume, start, end, version };
+        let events = Events::default().event(10.0, update).sent(0.0, 1, READ).attempt(at, 0, 1, 0);
+        events.answered(500.0, 1, FinalCode::Failed).broken()
+    };
+    assert_eq!(sent_at(70.0), []);
+    assert_eq!(sent_at(71.0), [(Rule::DataIntegrity, 71.0)]);
+}
