--- a/crates/emulator/src/data_store.rs
+++ b/crates/emulator/src/data_store.rs
@@ -1,8 +1,20 @@
 //! The data of all shards.
 
+use magpiewick_extents::ShardPair;
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
+/// What is stored under a key of a volume.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StoredKey {
+    /// The volume.
+    pub volume: u64,
+    /// The key.
+    pub key: u64,
+    /// What was written there last.
+    pub payload: Vec<u8>,
+}
+
 /// What is stored, by shard, volume and key.
 #[derive(Default)]
 pub(crate) struct DataStore {
@@ -19,19 +31,13 @@
     }
 
     /// Copies the selected keys of a range from one shard to another.
-    pub fn copy(
-        &mut self,
-        volume: u64,
-        (from, to): (u32, u32),
-        range: Range<u64>,
-        selects: impl Fn(u64) -> bool,
-    ) {
-        let source = self.volumes.get(&(from, volume));
+    pub fn copy(&mut self, volume: u64, shards: ShardPair, range: Range<u64>, selects: impl Fn(u64) -> bool) {
+        let source = self.volumes.get(&(shards.source, volume));
         let copied: Vec<(u64, Vec<u8>)> = source.map_or(Vec::new(), |keys| {
             let selected = keys.range(range).filter(|(key, _)| selects(**key));
             selected.map(|(key, payload)| (*key, payload.clone())).collect()
         });
-        self.volumes.entry((to, volume)).or_default().extend(copied);
+        self.volumes.entry((shards.target, volume)).or_default().extend(copied);
     }
 
     /// Removes a range of keys from a shard.
--- a/crates/emulator/src/emulator.rs
+++ b/crates/emulator/src/emulator.rs
@@ -2,6 +2,7 @@
 
 use crate::config::EmulatorConfig;
 use crate::connections::{Connections, FIRST_CONNECTION_KEY};
+use crate::data_store::StoredKey;
 use crate::deduplication::DeduplicationWindow;
 use crate::endpoint_list::EndpointList;
 use crate::error::EmulatorError;
@@ -219,8 +220,8 @@
         self.defects = defects;
     }
 
-    /// What the owner of each key holds: volume, key, payload.
-    pub fn stored(&mut self) -> Vec<(u64, u64, Vec<u8>)> {
+    /// What the owner of each key holds.
+    pub fn stored(&mut self) -> Vec<StoredKey> {
         self.map.stored()
     }
 
--- a/crates/emulator/src/extent_migration.rs
+++ b/crates/emulator/src/extent_migration.rs
@@ -2,15 +2,15 @@
 
 use crate::data_store::DataStore;
 use magpiewick_extents::{
-    Migration, MigrationRecord, MigrationSource, MigrationStep, MigrationTarget, Stage, StaleCoordinator,
+    Migration, MigrationRecord, MigrationSource, MigrationStep, MigrationTarget, ShardPair, Stage,
+    StaleCoordinator,
 };
 use std::collections::BTreeSet;
 use std::ops::Range;
 
 /// One extent that is being migrated.
 pub(crate) struct ExtentMigration {
-    pub source_shard: u32,
-    pub target_shard: u32,
+    pub shards: ShardPair,
     pub record: MigrationRecord,
     pub source: MigrationSource,
     pub target: MigrationTarget,
@@ -35,11 +35,10 @@
         store: &mut DataStore,
     ) -> Result<Option<u8>, StaleCoordinator> {
         let id = coordinator.id;
-        let shards = (self.source_shard, self.target_shard);
         match coordinator.next_step {
             MigrationStep::CopyAll | MigrationStep::CopyAgain => {
                 self.target.receive_copy(id)?;
-                store.copy(volume, shards, range, |_| true);
+                store.copy(volume, self.shards, range, |_| true);
                 self.written_keys.clear();
                 return Ok(Some(self.source.incarnation));
             }
@@ -47,18 +46,18 @@
             MigrationStep::CopyRemainder => {
                 let copy_all = self.source.needs_full_copy(id, coordinator.copied_from)?;
                 self.target.receive_remainder(id)?;
-                store.copy(volume, shards, range, |key| copy_all || self.written_keys.contains(&key));
+                store.copy(volume, self.shards, range, |key| copy_all || self.written_keys.contains(&key));
             }
             MigrationStep::RecordCopied => self.record.record_copied(id)?,
             MigrationStep::Switch => _ = self.record.switch(id)?,
             MigrationStep::Serve => self.target.start_serving(id)?,
             MigrationStep::Release => {
                 self.source.release(id)?;
-                store.remove(self.source_shard, volume, range);
+                store.remove(self.shards.source, volume, range);
             }
             MigrationStep::DropCopy => {
                 self.target.drop_copy(id)?;
-                store.remove(self.target_shard, volume, range);
+                store.remove(self.shards.target, volume, range);
             }
             MigrationStep::Unfence => self.source.unfence(id)?,
             MigrationStep::Done => {}
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -27,6 +27,7 @@
 mod usage_meter;
 
 pub use config::{read_config, DeduplicationScope, EmulatorConfig, NodeConfig, SlowStartConfig};
+pub use data_store::StoredKey;
 pub use emulator::Emulator;
 pub use error::EmulatorError;
 pub use fault_script::{read_faults, Fault};
--- a/crates/emulator/src/map_publication.rs
+++ b/crates/emulator/src/map_publication.rs
@@ -51,7 +51,7 @@
             None => {}
         }
         let (from, to, stage) = match self.map.status(key) {
-            Some(MigrationStatus { source, target, stage }) => (source, target, wire_stage(stage)),
+            Some(MigrationStatus { shards, stage }) => (shards.source, shards.target, wire_stage(stage)),
             None => {
                 let owner = extent.map_or(u32::MAX, |extent| extent.shard);
                 (owner, owner, MoveStage::Still)
--- a/crates/emulator/src/map_service.rs
+++ b/crates/emulator/src/map_service.rs
@@ -2,11 +2,11 @@
 //! machines of a migration are those of `crates/extents`; this performs their steps.
 
 use crate::config::EmulatorConfig;
-use crate::data_store::DataStore;
+use crate::data_store::{DataStore, StoredKey};
 use crate::extent_migration::{needs_service, needs_source, needs_target, ExtentMigration};
 use magpiewick_extents::{
     Change, Changes, Extent, ExtentMap, Migration, MigrationLimits, MigrationRecord, MigrationSource,
-    MigrationStep, MigrationTarget, Stage, StaleCoordinator, VolumeMap,
+    MigrationStep, MigrationTarget, ShardPair, Stage, StaleCoordinator, VolumeMap,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -33,8 +33,7 @@
 
 /// How far the migration of an extent is.
 pub(crate) struct MigrationStatus {
-    pub source: u32,
-    pub target: u32,
+    pub shards: ShardPair,
     pub stage: Stage,
 }
 
@@ -118,7 +117,7 @@
         let Some(migration) = self.migrations.get(&ExtentKey { volume, start: extent.start }) else {
             return if extent.shard == shard { Ok(()) } else { owned_by(extent.shard) };
         };
-        let (source, target) = (migration.source_shard, migration.target_shard);
+        let ShardPair { source, target } = migration.shards;
         let source_serves = migration.source.is_serving();
         let target_serves = migration.target.serving;
         if source == shard && (source_serves || self.fence_ignored) || target == shard && target_serves {
@@ -151,7 +150,7 @@
         self.store.write(shard, volume, key, payload);
         let Some(extent) = self.map.find(volume, key) else { return };
         let migration = self.migrations.get_mut(&ExtentKey { volume, start: extent.start });
-        if let Some(migration) = migration.filter(|migration| migration.source_shard == shard) {
+        if let Some(migration) = migration.filter(|migration| migration.shards.source == shard) {
             migration.written_keys.insert(key);
         }
     }
@@ -170,12 +169,12 @@
         payload
     }
 
-    /// What the owner of each key holds, without a map whichever shard holds it: volume, key, payload.
-    pub fn stored(&self) -> Vec<(u64, u64, Vec<u8>)> {
+    /// What the owner of each key holds, without a map whichever shard holds it.
+    pub fn stored(&self) -> Vec<StoredKey> {
         let owned = self.store.iter().filter(|(shard, volume, key, _)| {
             self.map.find(*volume, *key).is_none_or(|extent| extent.shard == *shard)
         });
-        owned.map(|(_, volume, key, payload)| (volume, key, payload.to_vec())).collect()
+        owned.map(|(_, volume, key, payload)| StoredKey { volume, key, payload: payload.to_vec() }).collect()
     }
 
     /// An extent by its index in the volume.
@@ -194,8 +193,7 @@
             return false;
         }
         let migration = ExtentMigration {
-            source_shard: extent.shard,
-            target_shard,
+            shards: ShardPair { source: extent.shard, target: target_shard },
             record,
             source: MigrationSource::new(),
             target: MigrationTarget::default(),
@@ -209,8 +207,7 @@
     /// The migration of an extent; `None` where there is none.
     pub fn status(&self, key: ExtentKey) -> Option<MigrationStatus> {
         let migration = self.migrations.get(&key)?;
-        let (source, target) = (migration.source_shard, migration.target_shard);
-        Some(MigrationStatus { source, target, stage: migration.record.stage })
+        Some(MigrationStatus { shards: migration.shards, stage: migration.record.stage })
     }
 
     /// Abandons a migration, where it still can be.
@@ -223,7 +220,7 @@
 
     /// A shard's process restarted: it has lost what it noted since copies began.
     pub fn on_shard_restarted(&mut self, shard: u32) {
-        let sources = self.migrations.values_mut().filter(|migration| migration.source_shard == shard);
+        let sources = self.migrations.values_mut().filter(|migration| migration.shards.source == shard);
         for migration in sources {
             migration.source.restart();
             migration.written_keys.clear();
@@ -241,9 +238,9 @@
             migration.coordinator = None;
             return StepOutcome::WAITING;
         }
-        let (source, target) = (migration.source_shard, migration.target_shard);
+        let ShardPair { source, target } = migration.shards;
         let load = queue_length(source).max(queue_length(target)).unwrap_or(0);
-        if !migration.has_begun() && !self.limits.may_begin(&running, (source, target), load) {
+        if !migration.has_begun() && !self.limits.may_begin(&running, migration.shards, load) {
             return StepOutcome::WAITING;
         }
         // A coordinator that died has a successor, which resumes from the record.
@@ -273,10 +270,10 @@
         StepOutcome { changes, finished }
     }
 
-    /// The migrations that have begun, as pairs of source and target shard.
-    fn running_migrations(&self) -> Vec<(u32, u32)> {
+    /// The shards of the migrations that have begun.
+    fn running_migrations(&self) -> Vec<ShardPair> {
         let running = self.migrations.values().filter(|migration| migration.has_begun());
-        running.map(|migration| (migration.source_shard, migration.target_shard)).collect()
+        running.map(|migration| migration.shards).collect()
     }
 
     /// Changes the map where a migration has switched the owner, or has ended without.
@@ -286,7 +283,7 @@
         let migration = self.migrations.get(&key)?;
         let record = migration.record;
         let (shard, version) = if previous_stage != Stage::Switched && record.stage == Stage::Switched {
-            (migration.target_shard, record.version)
+            (migration.shards.target, record.version)
         } else if finished && record.stage == Stage::Abandoned {
             // A new version tells hosts that the extent is served again.
             (extent.shard, extent.version + 1)
--- a/crates/extents/src/lib.rs
+++ b/crates/extents/src/lib.rs
@@ -18,4 +18,4 @@
     Migration, MigrationId, MigrationRecord, MigrationSource, MigrationStep, MigrationTarget, Stage,
     StaleCoordinator,
 };
-pub use migration_limits::MigrationLimits;
+pub use migration_limits::{MigrationLimits, ShardPair};
--- a/crates/extents/src/migration_limits.rs
+++ b/crates/extents/src/migration_limits.rs
@@ -11,21 +11,31 @@
     pub max_queue_length: usize,
 }
 
+/// The source and the target shard of a migration.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ShardPair {
+    /// The shard that gives the extent up.
+    pub source: u32,
+    /// The shard that takes it over.
+    pub target: u32,
+}
+
+impl ShardPair {
+    fn touches(&self, shard: u32) -> bool {
+        self.source == shard || self.target == shard
+    }
+}
+
 impl MigrationLimits {
-    /// Whether a migration may begin, with these running as pairs of source and target shard, and so many requests
-    /// queued at its own two. One that has begun continues: between fence and switch nobody serves the extent, and
-    /// a copy that pauses only grows its remainder. Where load never falls below the limit, the migration that
-    /// would relieve it never begins; an operator then raises the limit.
-    pub fn may_begin(
-        &self,
-        running: &[(u32, u32)],
-        (source, target): (u32, u32),
-        queue_length: usize,
-    ) -> bool {
-        let at_shard = |shard: u32| running.iter().filter(|m| m.0 == shard || m.1 == shard).count();
+    /// Whether a migration may begin, with these running, and so many requests queued at its own two shards. One
+    /// that has begun continues: between fence and switch nobody serves the extent, and a copy that pauses only
+    /// grows its remainder. Where load never falls below the limit, the migration that would relieve it never
+    /// begins; an operator then raises the limit.
+    pub fn may_begin(&self, running: &[ShardPair], migration: ShardPair, queue_length: usize) -> bool {
+        let at_shard = |shard: u32| running.iter().filter(|other| other.touches(shard)).count();
         running.len() < self.max_concurrent
-            && at_shard(source) < self.max_per_shard
-            && at_shard(target) < self.max_per_shard
+            && at_shard(migration.source) < self.max_per_shard
+            && at_shard(migration.target) < self.max_per_shard
             && queue_length < self.max_queue_length
     }
 }
--- a/crates/extents/tests/migration_model.rs
+++ b/crates/extents/tests/migration_model.rs
@@ -201,7 +201,7 @@
             before[number].push(at);
         }
     }
-    // From every state there is a way to one in which the move is over and somebody serves.
+    // From every state there is a way to one in which the migration is over and an owner serves.
     let resolved = |s: &State| {
         let over = !matches!(s.m.record.stage, Stage::Copying | Stage::Copied);
         over && (s.m.source.is_serving() || s.m.target.serving)
--- a/crates/scenario/src/audit/data_integrity.rs
+++ b/crates/scenario/src/audit/data_integrity.rs
@@ -18,7 +18,7 @@
     }
     let stored = run.evidence.stored.iter();
     let stored: HashMap<(u64, u64), u64> =
-        stored.map(|(volume, key, payload)| ((*volume, *key), mark_of(payload))).collect();
+        stored.map(|key| ((key.volume, key.key), mark_of(&key.payload))).collect();
     verdict.add_checked(Rule::DataIntegrity, last_writes.len());
     for ((volume, key), write) in last_writes {
         let held = stored.get(&(volume, key));
--- a/crates/scenario/src/audit/evidence.rs
+++ b/crates/scenario/src/audit/evidence.rs
@@ -4,7 +4,7 @@
 use crate::client_event::{ClientEvent, ClientRequest};
 use crate::config::ScenarioConfig;
 use crate::Ms;
-use magpiewick_emulator::{EmulatorConfig, NodeConfig, NodeEvent};
+use magpiewick_emulator::{EmulatorConfig, NodeConfig, NodeEvent, StoredKey};
 use magpiewick_gateway::config::HostConfig;
 use magpiewick_node_protocol::FinalCode;
 use std::collections::HashMap;
@@ -34,8 +34,8 @@
     pub client_events: &'a [(Ms, ClientEvent)],
     /// Hosts that the script stopped for a while.
     pub stalls: &'a [Stall],
-    /// What the owner of each key holds at the end: volume, key, payload.
-    pub stored: &'a [(u64, u64, Vec<u8>)],
+    /// What the owner of each key holds at the end.
+    pub stored: &'a [StoredKey],
 }
 
 impl Evidence<'_> {
--- a/crates/scenario/src/audit/tests.rs
+++ b/crates/scenario/src/audit/tests.rs
@@ -4,7 +4,7 @@
 use crate::client_event::{ClientEvent, ClientRequest};
 use crate::config::{read_config, Config};
 use crate::Ms;
-use magpiewick_emulator::NodeEvent;
+use magpiewick_emulator::{NodeEvent, StoredKey};
 use magpiewick_hcl_settings::read_text;
 use magpiewick_node_protocol::FinalCode;
 
@@ -79,7 +79,7 @@
 struct Events {
     client: Vec<(Ms, ClientEvent)>,
     node: Vec<(Ms, NodeEvent)>,
-    stored: Vec<(u64, u64, Vec<u8>)>,
+    stored: Vec<StoredKey>,
 }
 
 impl Events {
@@ -154,7 +154,7 @@
     }
 
     fn stored(mut self, mark: u64) -> Events {
-        self.stored = vec![(1, 5, mark.to_le_bytes().to_vec())];
+        self.stored = vec![StoredKey { volume: 1, key: 5, payload: mark.to_le_bytes().to_vec() }];
         self
     }
 
--- a/crates/scenario/src/client_loop.rs
+++ b/crates/scenario/src/client_loop.rs
@@ -24,7 +24,7 @@
 /// The longest wait of the event loop, within which commands are noticed.
 const MAX_POLL_WAIT: Ms = 50.0;
 
-/// What clients are told while they run.
+/// Commands to running clients.
 pub(crate) enum Command {
     /// A host is reached at this address, or is down.
     SetHost(usize, Option<SocketAddr>),
--- a/crates/scenario/src/config.rs
+++ b/crates/scenario/src/config.rs
@@ -22,7 +22,7 @@
     pub blocks: u64,
 }
 
-/// How long a client waits before a retry that is not told when to come.
+/// How long a client waits before a retry without a retry-after time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Backoff {
     /// Not at all.
--- a/crates/scenario/src/scenario_run.rs
+++ b/crates/scenario/src/scenario_run.rs
@@ -9,7 +9,7 @@
 use crate::load_generator::{ClientReport, LoadGenerator, Session};
 use crate::seeded_defect::SeededDefect;
 use crate::Ms;
-use magpiewick_emulator::{play_script, EmulatorConfig, EmulatorDefects, EmulatorHandle, Step};
+use magpiewick_emulator::{play_script, EmulatorConfig, EmulatorDefects, EmulatorHandle, Step, StoredKey};
 use magpiewick_gateway::config::HostConfig;
 use magpiewick_transport::Clock;
 use serde::Serialize;
@@ -51,7 +51,7 @@
     pub p50_ms: f64,
     /// The 99th percentile latency of successful requests.
     pub p99_ms: f64,
-    /// The exit codes of the hosts that were told to stop at the end.
+    /// The exit codes of the hosts that were terminated at the end.
     pub exit_codes: Vec<Option<i32>>,
     /// What the audit found.
     #[serde(flatten)]
@@ -209,7 +209,7 @@
     handle: &EmulatorHandle,
     emulator: &EmulatorConfig,
     defect: Option<SeededDefect>,
-) -> Vec<(u64, u64, Vec<u8>)> {
+) -> Vec<StoredKey> {
     let mut stored = handle.query(|emulator| emulator.stored()).unwrap_or_default();
     if is_data_defect(defect) && emulator.extents_per_volume == 0 {
         stored.pop();
