--- a/crates/cli/src/commands/bench.rs
+++ b/crates/cli/src/commands/bench.rs
@@ -30,7 +30,7 @@
 
 fn print_reads(program: &Path, nodes: &[usize]) -> Result<(), Error> {
     for measured in bench_reads(program, nodes)? {
-        let split = if measured.cut { "cut" } else { "whole" };
+        let split = if measured.split { "cut" } else { "whole" };
         let health = if measured.slow { "one slow" } else { "all well" };
         println!(
             "{:>3} nodes, {split:5}, {health}: p50 {}, p99 {}",
@@ -60,8 +60,8 @@
             "{:9} {:>5} {:>24} {:>9.0} {:>22} {:>22} {:>22} {:>18} {:>24}",
             measured.way,
             measured.nodes,
-            with_spread(measured.most_a_second, 0),
-            measured.at,
+            with_spread(measured.max_a_second, 0),
+            measured.rate,
             with_spread(measured.p50_ms, 3),
             with_spread(measured.p99_ms, 3),
             with_spread(measured.p999_ms, 3),
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -3,7 +3,7 @@
 use crate::arguments::ReportFormat;
 use crate::error::{Error, ExitStatus};
 use crate::settings;
-use magpiewick_scenario::{load, LoadReport};
+use magpiewick_scenario::{offer_load, LoadReport};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,14 +26,14 @@
 /// Offers the traffic and prints what came of it.
 pub fn run(arguments: &LoadArguments) -> Result<ExitStatus, Error> {
     let mut settings = settings::read(&arguments.file)?;
-    let Some(scenario) = &mut settings.drill else {
+    let Some(scenario) = &mut settings.scenario else {
         return Err(Error::block_missing(&arguments.file, "traffic"));
     };
     scenario.traffic.rate = arguments.rate.unwrap_or(scenario.traffic.rate);
     // The whole traffic goes to the one host.
     settings.host.start.hosts = 1.0;
     let address = arguments.host.unwrap_or(settings.host.listen);
-    let report = load(&settings.host, scenario, address, arguments.seed)?;
+    let report = offer_load(&settings.host, scenario, address, arguments.seed)?;
     match arguments.format {
         ReportFormat::Json => {
             println!("{}", serde_json::to_string_pretty(&report).map_err(io::Error::from)?);
@@ -44,7 +44,7 @@
 }
 
 fn print_text(report: &LoadReport) {
-    println!("offered {:.0}/s, settled {:.0}/s", report.offered_a_second, report.settled_a_second);
-    println!("settled {}, bounced {}, scrapped {}", report.settled, report.bounced, report.scrapped);
+    println!("offered {:.0}/s, settled {:.0}/s", report.offered_a_second, report.succeeded_a_second);
+    println!("settled {}, bounced {}, scrapped {}", report.succeeded, report.rejected, report.failed);
     println!("p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms", report.p50_ms, report.p99_ms, report.p999_ms);
 }
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -17,7 +17,7 @@
 pub fn run(arguments: &NodeArguments) -> Result<ExitStatus, Error> {
     let NodeArguments { file, number } = arguments;
     let mut settings = settings::read(file)?;
-    let Some(emulator) = &mut settings.fleet else { return Err(Error::block_missing(file, "standin")) };
+    let Some(emulator) = &mut settings.emulator else { return Err(Error::block_missing(file, "standin")) };
     emulator.nodes.retain(|node| node.number == *number);
     if emulator.nodes.is_empty() {
         return Err(Error::NodeUnknown { file: file.clone(), number: *number });
--- a/crates/cli/src/commands/scenario/mod.rs
+++ b/crates/cli/src/commands/scenario/mod.rs
@@ -6,7 +6,7 @@
 use crate::arguments::ReportFormat;
 use crate::error::{Error, ExitStatus};
 use crate::{logging, settings};
-use magpiewick_scenario::{drill, Planted, Rule};
+use magpiewick_scenario::{run_scenario, Rule, RunOptions, ScenarioSettings, SeededDefect};
 use std::path::PathBuf;
 
 #[derive(clap::Args)]
@@ -18,7 +18,7 @@
     format: ReportFormat,
     /// Seed a defect that breaks this rule, or another promise, to see the audit find it
     #[arg(long, alias = "plant", value_parser = parse_defect)]
-    defect: Option<Planted>,
+    defect: Option<SeededDefect>,
     /// Run it a second time with hosts without slow start and retry-after, and report both
     #[arg(long)]
     undamped: bool,
@@ -32,16 +32,19 @@
     let file = &arguments.file;
     let settings = settings::read(file)?;
     let host = &settings.host;
-    let Some(emulator) = &settings.fleet else { return Err(Error::block_missing(file, "standin")) };
-    let Some(scenario) = &settings.drill else { return Err(Error::block_missing(file, "traffic")) };
+    let Some(emulator) = &settings.emulator else { return Err(Error::block_missing(file, "standin")) };
+    let Some(scenario) = &settings.scenario else { return Err(Error::block_missing(file, "traffic")) };
     logging::start(&host.log);
     let program = std::env::current_exe()?;
-    let run = |undamped| {
-        drill(&program, file, (host, emulator, scenario), arguments.seed, arguments.defect, undamped)
+    let run = |without_overload_protection| {
+        let settings = ScenarioSettings { host, emulator, scenario };
+        let options =
+            RunOptions { seed: arguments.seed, defect: arguments.defect, without_overload_protection };
+        run_scenario(&program, file, settings, options)
     };
     let mut report = run(false)?;
     if arguments.undamped {
-        report.undamped = Some(Box::new(run(true)?));
+        report.without_overload_protection = Some(Box::new(run(true)?));
     }
     if let Some(path) = &arguments.records {
         request_records::write(path, &report)?;
@@ -50,7 +53,8 @@
     Ok(if report.ok { ExitStatus::Success } else { ExitStatus::CheckFailed })
 }
 
-fn parse_defect(name: &str) -> Result<Planted, String> {
+fn parse_defect(name: &str) -> Result<SeededDefect, String> {
     let known = Rule::ALL.map(Rule::name).join(", ");
-    Planted::named(name).ok_or_else(|| format!("expected one of {known}, {}", Planted::OTHERS))
+    SeededDefect::from_name(name)
+        .ok_or_else(|| format!("expected one of {known}, {}", SeededDefect::OTHER_NAMES))
 }
--- a/crates/cli/src/commands/scenario/report.rs
+++ b/crates/cli/src/commands/scenario/report.rs
@@ -21,7 +21,7 @@
     print_hosts(report);
     print_migrations(report);
     print_storms(report, "");
-    if let Some(undamped) = &report.undamped {
+    if let Some(undamped) = &report.without_overload_protection {
         print_storms(undamped, "undamped: ");
     }
     for rule in Rule::ALL {
@@ -33,30 +33,30 @@
     println!("{} hosts, {} nodes, {} s, seed {}", report.hosts, report.nodes, report.seconds, report.seed);
     println!(
         "taken {}: settled {}, bounced {}, scrapped {}, host died {}, unanswered {}",
-        report.taken, report.settled, report.bounced, report.scrapped, report.host_died, report.unanswered
+        report.sent, report.succeeded, report.rejected, report.failed, report.host_died, report.unanswered
     );
     println!(
         "payoff within the soft limit {:.3}; p50 {:.1} ms, p99 {:.1} ms",
-        report.payoff, report.p50_ms, report.p99_ms
+        report.earned_share, report.p50_ms, report.p99_ms
     );
     println!(
         "hand-offs {}, further {}; hosts ended with {:?}",
-        report.verdict.attempts, report.verdict.further, report.exit_codes
+        report.verdict.attempts, report.verdict.retries, report.exit_codes
     );
 }
 
 /// What coalescing and split reads came to, for each host that was sent writes.
 fn print_hosts(report: &ScenarioReport) {
     for host in report.verdict.by_host.iter().filter(|host| host.writes > 0) {
-        let node_requests_per_write = host.node_commands as f64 / host.sent.max(1) as f64;
+        let node_requests_per_write = host.node_requests as f64 / host.writes_sent.max(1) as f64;
         println!(
             "host {}: {} of {} writes sent in {} commands of nodes ({node_requests_per_write:.2} each), payoff {:.3}; \
              {} long reads, p50 {:.1} ms, p99 {:.1} ms",
             host.host,
-            host.sent,
+            host.writes_sent,
             host.writes,
-            host.node_commands,
-            host.payoff,
+            host.node_requests,
+            host.earned_share,
             host.long_reads,
             host.long_p50_ms,
             host.long_p99_ms
@@ -66,22 +66,25 @@
 
 fn print_migrations(report: &ScenarioReport) {
     let verdict = &report.verdict;
-    if verdict.switched > 0 {
+    if verdict.extents_switched > 0 {
         println!(
             "extents switched {}; stale hand-offs {}, their commands settled {}, bounced {}, scrapped {}",
-            verdict.switched,
-            verdict.stale,
-            verdict.stale_settled,
-            verdict.stale_bounced,
-            verdict.stale_scrapped
+            verdict.extents_switched,
+            verdict.stale_attempts,
+            verdict.stale_succeeded,
+            verdict.stale_rejected,
+            verdict.stale_failed
         );
     }
 }
 
 /// What each return of nodes after an outage came to.
 fn print_storms(report: &ScenarioReport, prefix: &str) {
-    let Some(storms) = &report.verdict.storms else { return };
-    println!("{prefix}quiet payoff {:.3}, {:.2} tries a command", storms.quiet_payoff, storms.tries);
+    let Some(storms) = &report.verdict.retry_storms else { return };
+    println!(
+        "{prefix}quiet payoff {:.3}, {:.2} tries a command",
+        storms.quiet_earned_share, storms.sends_per_request
+    );
     for r in &storms.returns {
         let recovered =
             r.recovered_ms.map_or("never".to_string(), |after| format!("after {:.1} s", after / 1000.0));
@@ -90,9 +93,9 @@
              fell {} times; payoff back {recovered}",
             r.nodes,
             r.at_ms / 1000.0,
-            r.most_load,
-            r.later * 100.0,
-            r.fell
+            r.peak_load,
+            r.retry_share * 100.0,
+            r.overloads
         );
     }
 }
--- a/crates/cli/src/commands/scenario/request_records.rs
+++ b/crates/cli/src/commands/scenario/request_records.rs
@@ -1,7 +1,7 @@
 //! The file of request records: one JSON object per line, for each attempt of a client and for each final answer.
 
 use magpiewick_node_protocol::FinalCode;
-use magpiewick_scenario::{Said, ScenarioReport, Try};
+use magpiewick_scenario::{ClientEvent, ClientRequest, ScenarioReport};
 use serde_json::{json, Value};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -10,31 +10,33 @@
 /// Writes all records of a run in the order in which clients made them.
 pub fn write(path: &Path, report: &ScenarioReport) -> io::Result<()> {
     let mut file = BufWriter::new(File::create(path)?);
-    for (at_ms, event) in &report.said {
+    for (at_ms, event) in &report.client_events {
         writeln!(file, "{}", record(*at_ms, event))?;
     }
     file.flush()
 }
 
-fn record(at_ms: f64, event: &Said) -> Value {
+fn record(at_ms: f64, event: &ClientEvent) -> Value {
     match event {
-        Said::Took(request) => request_record(at_ms, request),
-        Said::Answered { number, verdict, back } => json!({
-            "at_ms": at_ms, "try": number, "answer": answer_word(*verdict), "back_ms": back
+        ClientEvent::Sent(request) => request_record(at_ms, request),
+        ClientEvent::Answered { number, code, retry_after } => json!({
+            "at_ms": at_ms, "try": number, "answer": answer_word(*code), "back_ms": retry_after
         }),
-        Said::Found { number, block, mark } => json!({
+        ClientEvent::BlockRead { number, block, mark } => json!({
             "at_ms": at_ms, "try": number, "block": block, "found": mark
         }),
-        Said::GaveUp { number } => json!({ "at_ms": at_ms, "try": number, "answer": "none" }),
-        Said::Lost { number } => json!({ "at_ms": at_ms, "try": number, "answer": "host-died" }),
+        ClientEvent::TimedOut { number } => json!({ "at_ms": at_ms, "try": number, "answer": "none" }),
+        ClientEvent::ConnectionLost { number } => {
+            json!({ "at_ms": at_ms, "try": number, "answer": "host-died" })
+        }
     }
 }
 
-fn request_record(at_ms: f64, request: &Try) -> Value {
+fn request_record(at_ms: f64, request: &ClientRequest) -> Value {
     json!({
-        "at_ms": at_ms, "try": request.number, "command": request.mark, "host": request.at_host,
-        "band": request.class, "volume": request.volume, "key": request.key, "limit_ms": request.limit,
-        "later": request.later
+        "at_ms": at_ms, "try": request.number, "command": request.mark, "host": request.host_number,
+        "band": request.class, "volume": request.volume, "key": request.key, "limit_ms": request.timeout,
+        "later": request.is_retry
     })
 }
 
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -4,9 +4,9 @@
 use crate::logging;
 use crate::settings::{self, fresh_number};
 use crate::signals::termination_signals;
-use magpiewick_emulator::Handle;
+use magpiewick_emulator::EmulatorHandle;
 use magpiewick_gateway::{Gateway, HostEnd};
-use magpiewick_scenario::Sheet;
+use magpiewick_scenario::Config;
 use magpiewick_transport::Clock;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -44,10 +44,10 @@
     override_settings(&mut settings, arguments);
     logging::start(&settings.host.log);
     let signals = termination_signals()?;
-    let services = match settings.fleet.take().filter(|_| !arguments.no_emulator) {
+    let services = match settings.emulator.take().filter(|_| !arguments.no_emulator) {
         Some(emulator) => {
-            let services = Handle::start(emulator, Clock::start(), None)?;
-            services.order(|fleet| fleet.forget_records());
+            let services = EmulatorHandle::start(emulator, Clock::start(), None)?;
+            services.execute(|emulator| emulator.disable_recording());
             settings.host.list.address = services.list;
             Some(services)
         }
@@ -64,7 +64,7 @@
     })
 }
 
-fn override_settings(settings: &mut Sheet, arguments: &ServeArguments) {
+fn override_settings(settings: &mut Config, arguments: &ServeArguments) {
     let host = &mut settings.host;
     if arguments.no_coalescing {
         host.send_alone();
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,6 +1,8 @@
 //! Why a subcommand failed, and the exit codes that `docs/operators.md` lists.
 
+use magpiewick_emulator::EmulatorError;
 use magpiewick_hcl_settings::SettingsErrors;
+use magpiewick_scenario::ScenarioError;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -39,6 +41,10 @@
     #[error("{0}")]
     PlatformSettings(String),
     #[error(transparent)]
+    Emulator(#[from] EmulatorError),
+    #[error(transparent)]
+    Scenario(#[from] ScenarioError),
+    #[error(transparent)]
     Io(#[from] io::Error),
 }
 
@@ -55,7 +61,7 @@
             | Error::BlockMissing { .. }
             | Error::NodeUnknown { .. }
             | Error::PlatformSettings(_) => ExitStatus::Usage,
-            Error::Io(_) => ExitStatus::SystemError,
+            Error::Emulator(_) | Error::Scenario(_) | Error::Io(_) => ExitStatus::SystemError,
         }
     }
 
@@ -65,7 +71,7 @@
             Error::Settings(_) | Error::BlockMissing { .. } | Error::NodeUnknown { .. } => {
                 eprintln!("{self}")
             }
-            Error::PlatformSettings(_) | Error::Io(_) => eprintln!("magpiewick: {self}"),
+            _ => eprintln!("magpiewick: {self}"),
         }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -16,9 +16,9 @@
 use floor::{key_of, place_of, Admitted, Floor, PieceEnded, Place, Timer, Whole, WHOLE};
 use follow::Heard;
 use magpiewick::{Answer, EndpointUpdate, Idempotency, Ms, Outcome, Request};
-use magpiewick_coalescing::{cut, Progress, SplitRead};
+use magpiewick_coalescing::{split_range, Progress, SplitRead};
 use magpiewick_engine::{Engine, IncomingRequest, StallDetector};
-use magpiewick_extents::{Fault, Place as At};
+use magpiewick_extents::{ExtentLocation, MapError};
 use magpiewick_node_protocol::{
     self as wire, Final, FinalCode, Frames, Hello, List, MapNews, Message, OutcomeCode, Read, Role, Take,
     MOST_PAYLOAD, VERSION,
@@ -141,7 +141,7 @@
 
     /// Requests without their final answer, wherever they wait.
     fn in_hand(&self) -> usize {
-        self.engine.pending() + self.floor.gate.waiting()
+        self.engine.pending() + self.floor.gate.blocked_count()
     }
 
     fn sleep(&self) -> Ms {
@@ -394,7 +394,7 @@
                 tracing::info!(epoch = news.epoch, whole = news.whole, "map of extents");
                 self.reroute();
             }
-            Ok(false) | Err(Fault::Old) => {}
+            Ok(false) | Err(MapError::AlreadyApplied) => {}
             Err(fault) => {
                 tracing::warn!(%fault, "news of the map is refused; asking for all of it");
                 self.floor.ask_map();
@@ -405,11 +405,11 @@
     /// Where a piece of data lies: its shard and the extent's version. Without a map of its volume it lies on the
     /// shard of the settings that its key falls to; without a key, anywhere.
     fn place(&self, volume: u64, key: u64) -> (Option<usize>, u32) {
-        match self.floor.map.place(self.floor.now, volume, key) {
-            At::At { shard, version } => (Some(shard as usize), version),
-            At::Flux => (Some(route::NOWHERE), 0),
-            At::Unknown if key == 0 => (None, 0),
-            At::Unknown => {
+        match self.floor.map.locate(self.floor.now, volume, key) {
+            ExtentLocation::At { shard, version } => (Some(shard as usize), version),
+            ExtentLocation::InTransition => (Some(route::NOWHERE), 0),
+            ExtentLocation::Unknown if key == 0 => (None, 0),
+            ExtentLocation::Unknown => {
                 let shards = self.config.volumes.get(&volume).map_or(&[][..], |v| &v.shards);
                 let place = xxh3_64(&key.to_le_bytes()) % shards.len().max(1) as u64;
                 (shards.get(place as usize).copied(), 0)
@@ -440,7 +440,7 @@
         let Some(piece) = self.floor.piece(request_id) else { return };
         let version = self.floor.sent_under(request_id, attempt).unwrap_or(0);
         tracing::debug!(request_id, version, ?owner, "a command was sent by a stale map");
-        if let Some(at) = self.floor.map.refused(self.floor.now, piece, version, owner) {
+        if let Some(at) = self.floor.map.on_shard_moved(self.floor.now, piece, version, owner) {
             self.floor.timers.set(at, Timer::Reroute);
         }
     }
@@ -642,7 +642,7 @@
         if start == 0 || end == u64::MAX {
             return Err("impossible-range");
         }
-        let Some(edges) = self.floor.map.edges(take.volume, start, end) else {
+        let Some(edges) = self.floor.map.extent_starts(take.volume, start, end) else {
             // Without the map of a volume that lies on several shards nobody knows where a range lies.
             let shards = self.config.volumes.get(&take.volume).map_or(0, |v| v.shards.len());
             return if shards > 1 { Err("unmapped-range") } else { Ok(None) };
@@ -650,7 +650,7 @@
         let class = &self.config.start.classes[usize::from(take.class)];
         let cuts = !take.write && class.idempotency == Idempotency::Idempotent && !class.ordered;
         let most = if cuts { self.config.split.blocks } else { u64::MAX };
-        let pieces = cut(start, end, edges.into_iter(), most);
+        let pieces = split_range(start, end, edges.into_iter(), most);
         // Half of a write cannot be taken back, and pieces of what has an order or a mark would be idempotency.
         if pieces.len() > 1 && !cuts {
             return Err("crosses-extents");
@@ -702,8 +702,8 @@
 
     /// A write that still waits for an earlier one is the module's to end: no time is left to send it.
     fn gate_late(&mut self, request_id: u64) {
-        if self.floor.gate.waits(request_id) {
-            self.floor.gate.pass(request_id);
+        if self.floor.gate.is_blocked(request_id) {
+            self.floor.gate.unblock(request_id);
             if let Some(mut taken) = self.floor.ungate(request_id) {
                 taken.request.client_timeout = 0.0;
                 self.engine.submit(self.floor.now, taken, &mut self.floor);
@@ -744,7 +744,7 @@
         loop {
             let now = self.floor.now;
             let Some(whole) = self.floor.wholes.get_mut(&id) else { return };
-            let Some(piece) = whole.gather.begin() else { return };
+            let Some(piece) = whole.gather.start_next() else { return };
             let (start, end) = whole.pieces[piece];
             let take = Take {
                 request_id: 0,
@@ -773,9 +773,9 @@
             self.end_pieces(id);
             return self.floor.end_whole(id, verdict, back, &payload);
         }
-        match whole.gather.brought(piece, payload) {
+        match whole.gather.on_received(piece, payload) {
             Progress::Pending => self.begin_pieces(id),
-            Progress::Whole(all) => self.floor.end_whole(id, FinalCode::Succeeded, 0.0, &all),
+            Progress::Complete(all) => self.floor.end_whole(id, FinalCode::Succeeded, 0.0, &all),
             Progress::TooLarge => {
                 self.end_pieces(id);
                 self.floor.end_whole(id, FinalCode::Rejected, 0.0, b"too-large");
@@ -786,7 +786,7 @@
     /// Stops the wait for the pieces of a read that are out.
     fn end_pieces(&mut self, id: u64) {
         let Some(whole) = self.floor.wholes.get_mut(&id) else { return };
-        let out: Vec<u64> = whole.gather.end().into_iter().filter_map(|piece| whole.ids[piece]).collect();
+        let out: Vec<u64> = whole.gather.cancel().into_iter().filter_map(|piece| whole.ids[piece]).collect();
         for request_id in out {
             self.floor.forsake(request_id, "piece-not-wanted");
             self.engine.on_client_disconnect(self.floor.now, request_id);
