--- /dev/null
+++ b/crates/engine/src/node_table.rs
@@ -0,0 +1,49 @@
+//! The nodes that an endpoint list has named: their ids, indices and gossip tags.
+
+use crate::id_table::IdTable;
+use magpiewick::GossipReport;
+use std::collections::HashMap;
+
+/// Maps node ids to the scheduler's indices and to the tags by which hosts name nodes to each other.
+#[derive(Default)]
+pub struct NodeTable {
+    indices: IdTable,
+    ids: Vec<u32>,
+    /// The node of a tag; none where several nodes share it.
+    index_of_tag: HashMap<u16, Option<usize>>,
+}
+
+impl NodeTable {
+    /// The index of a node; a new node gets the next one.
+    pub fn index_of(&mut self, id: u32) -> usize {
+        let index = self.indices.index_of(id);
+        if index == self.ids.len() {
+            self.ids.push(id);
+            let shared = self.index_of_tag.entry(tag(id));
+            shared.and_modify(|index| *index = None).or_insert(Some(index));
+        }
+        index
+    }
+
+    /// The id of the node with this index.
+    pub fn id(&self, index: usize) -> u32 {
+        self.ids[index]
+    }
+
+    /// A report with the tag of its node, for other hosts.
+    pub fn tagged(&self, report: &GossipReport) -> (u16, GossipReport) {
+        (tag(self.ids[report.node]), *report)
+    }
+
+    /// A report from another host with the index of its node; none where the tag names no node, or several.
+    pub fn resolve(&self, (tag, report): &(u16, GossipReport)) -> Option<GossipReport> {
+        let node = (*self.index_of_tag.get(tag)?)?;
+        Some(GossipReport { node, ..*report })
+    }
+}
+
+/// The name of a node between hosts: part of its id, scattered, as ids may differ in any bits.
+fn tag(id: u32) -> u16 {
+    const GOLDEN_RATIO: u32 = 0x9e37_79b1;
+    (id.wrapping_mul(GOLDEN_RATIO) >> 16) as u16
+}
--- a/crates/engine/src/stall_detector.rs
+++ b/crates/engine/src/stall_detector.rs
@@ -1,40 +1,43 @@
-//! Tells how long the process may have stood still, so that a request that came meanwhile is not taken for a
-//! fresh one: its client has been waiting. Free of I/O.
+//! Estimates for how long the process may have stalled, so that a request that arrived meanwhile is not taken for
+//! a fresh one: its client has been waiting. Free of I/O.
 
 use magpiewick::Ms;
 
-/// What a loop saw of time passing.
+/// Detects stalls of an event loop from the times at which it slept and woke.
 pub struct StallDetector {
-    round: Ms,
-    /// When the loop last woke, when it went to sleep again and for how long at most.
-    woke: Ms,
-    slept: Ms,
-    sleep: Ms,
-    age: Ms,
+    /// Delays up to this long are normal.
+    tolerance: Ms,
+    woke_at: Ms,
+    slept_at: Ms,
+    max_sleep: Ms,
+    max_request_age: Ms,
 }
 
 impl StallDetector {
-    pub fn new(now: Ms, round: Ms) -> StallDetector {
-        StallDetector { round, woke: now, slept: now, sleep: 0.0, age: 0.0 }
+    /// A detector for a loop that starts now; `tolerance` is the longest delay that is not a stall.
+    pub fn new(now: Ms, tolerance: Ms) -> StallDetector {
+        StallDetector { tolerance, woke_at: now, slept_at: now, max_sleep: 0.0, max_request_age: 0.0 }
     }
 
-    pub fn sleeps(&mut self, now: Ms, most: Ms) {
-        (self.slept, self.sleep) = (now, most);
+    /// The loop goes to sleep, for `max_sleep` at most.
+    pub fn on_sleep(&mut self, now: Ms, max_sleep: Ms) {
+        (self.slept_at, self.max_sleep) = (now, max_sleep);
     }
 
-    /// The loop woke. Guards against machines that stop a process and against turns that take long: what is
-    /// found in the sockets may be as old as the last time they were known to be empty. It could harm where a
-    /// machine is so busy that every turn is late: requests then count as older than they are, by the turn's
-    /// length.
-    pub fn woke(&mut self, now: Ms) {
-        let late = (self.slept - self.woke) + (now - self.slept - self.sleep).max(0.0);
-        self.age = if late > self.round { late } else { 0.0 };
-        self.woke = now;
+    /// The loop woke. What is found in the sockets may be as old as the last time they were known to be empty. On
+    /// a machine so busy that every turn is late, requests count as older than they are by the turn's length.
+    pub fn on_wake(&mut self, now: Ms) {
+        let turn = self.slept_at - self.woke_at;
+        let overslept = (now - self.slept_at - self.max_sleep).max(0.0);
+        let delay = turn + overslept;
+        self.max_request_age = if delay > self.tolerance { delay } else { 0.0 };
+        self.woke_at = now;
     }
 
     /// How old a request may be that is found in a socket now.
-    pub fn age(&self) -> Ms {
-        self.age
+    #[must_use]
+    pub fn max_request_age(&self) -> Ms {
+        self.max_request_age
     }
 }
 
--- a/crates/engine/tests/answers.rs
+++ b/crates/engine/tests/final_answers.rs
@@ -1,5 +1,5 @@
-//! The engine beside a plain count of what it owes: whatever comes in whatever order, each request gets one
-//! final answer, nothing is sent after it, and nothing is kept once all is over.
+//! The engine checked against a plain model: in whatever order events come, each request gets one final answer,
+//! nothing is sent after it, and nothing is kept once everything is finished.
 
 use magpiewick::{
     Answer, DeduplicationScope, EndpointUpdate, FinalStatus, Idempotency, Ms, Outcome, QosPolicy, Request,
@@ -9,46 +9,46 @@
 use quickcheck::quickcheck;
 use std::collections::btree_map::{BTreeMap, Entry};
 
-/// Whoever is in hand and not ended may be offered as company: the module has the last word.
+/// Records what the engine does. Every request is offered for coalescing: the scheduler has the last word.
 #[derive(Default)]
-struct Count {
-    taken: u64,
+struct Recorder {
+    submitted: u64,
     offered: u64,
-    together: u32,
-    out: Vec<(u64, u32)>,
-    /// Final answers by request; the client's going counts as one.
-    ended: BTreeMap<u64, u32>,
-    wrong: Option<String>,
+    batches: u32,
+    in_flight: Vec<(u64, u32)>,
+    /// Final answers by request; a disconnect of the client counts as one.
+    finished: BTreeMap<u64, u32>,
+    violation: Option<String>,
 }
 
-impl Environment for Count {
+impl Environment for Recorder {
     fn send(&mut self, _: u32, attempts: &[AttemptRef]) {
-        for part in attempts {
-            if self.ended.contains_key(&part.request_id) || part.timeout <= 0.0 {
-                self.wrong = Some(format!("{} was sent after its end", part.request_id));
+        for attempt in attempts {
+            if self.finished.contains_key(&attempt.request_id) || attempt.timeout <= 0.0 {
+                self.violation = Some(format!("{} was sent after its final answer", attempt.request_id));
             }
-            if self.out.iter().any(|(request, _)| *request == part.request_id) {
-                self.wrong = Some(format!("{} was sent while it is out", part.request_id));
+            if self.in_flight.iter().any(|(request, _)| *request == attempt.request_id) {
+                self.violation = Some(format!("{} was sent while it is in flight", attempt.request_id));
             }
-            self.out.push((part.request_id, part.attempt));
+            self.in_flight.push((attempt.request_id, attempt.attempt));
         }
         self.offered = 0;
-        self.together += u32::from(attempts.len() > 1);
+        self.batches += u32::from(attempts.len() > 1);
     }
 
     fn next_coalesced(&mut self, _: &[AttemptRef]) -> Option<u64> {
         self.offered += 1;
-        (self.offered <= self.taken).then_some(self.offered)
+        (self.offered <= self.submitted).then_some(self.offered)
     }
 
     fn cancel(&mut self, request: u64, attempt: u32) {
-        if !self.out.contains(&(request, attempt)) {
-            self.wrong = Some(format!("a cancel of {request}, which is not out"));
+        if !self.in_flight.contains(&(request, attempt)) {
+            self.violation = Some(format!("a cancel of {request}, which is not in flight"));
         }
     }
 
     fn answer(&mut self, request: u64, _: FinalStatus, _: Reason) {
-        *self.ended.entry(request).or_default() += 1;
+        *self.finished.entry(request).or_default() += 1;
     }
 
     fn check_health(&mut self, _: u32) {}
@@ -58,7 +58,7 @@
     fn wake(&mut self, _: Ms) {}
 }
 
-fn start() -> SchedulerConfig {
+fn scheduler_config() -> SchedulerConfig {
     let class = |idempotency, ordered| {
         let (deduplication_scope, deduplication_window, priority_weight) =
             (DeduplicationScope::Zone, 300.0, 1.0);
@@ -109,18 +109,18 @@
     Outcome::Cancelled,
 ];
 
-fn outcome(engine: &mut Engine, environment: &mut Count, now: Ms, place: usize, outcome: Outcome) {
-    let (request, _) = environment.out.remove(place);
-    let over = outcome == Outcome::Succeeded;
-    if over {
-        let ended = environment.ended.entry(request).or_default();
-        *ended = (*ended).max(1);
+fn report_outcome(engine: &mut Engine, environment: &mut Recorder, now: Ms, index: usize, outcome: Outcome) {
+    let (request, _) = environment.in_flight.remove(index);
+    let finishes = outcome == Outcome::Succeeded;
+    if finishes {
+        let answers = environment.finished.entry(request).or_default();
+        *answers = (*answers).max(1);
     }
-    let answer = Answer { outcome, latency: 5.0, over, used: None, others: 0.0 };
+    let answer = Answer { outcome, latency: 5.0, over: finishes, used: None, others: 0.0 };
     engine.on_outcome(now, request, answer, environment);
 }
 
-fn take(engine: &mut Engine, environment: &mut Count, now: Ms, id: u64, (a, b): (u8, u8)) {
+fn submit(engine: &mut Engine, environment: &mut Recorder, now: Ms, id: u64, (a, b): (u8, u8)) {
     let (class, shard) = (usize::from(a % 2), Some(usize::from(b % 2)));
     let (units, hosts, client_timeout) = (1.0, 1.0, 400.0);
     let (plan, volume, key, counts, with) = (0, 0, None, 1.0, None);
@@ -129,66 +129,66 @@
 }
 
 quickcheck! {
-    fn each_command_ends_once(steps: Vec<(u8, u8, u8)>) -> Result<(), String> {
-        let (mut engine, mut environment, mut now) = (Engine::new(start(), 0.0), Count::default(), 0.0);
-        let entry = |n: usize| magpiewick::Endpoint { shard: n, ..Default::default() };
-        engine.on_endpoint_update(now, EndpointUpdate::Snapshot, &[(70, entry(0)), (80, entry(1))]);
-        let mut taken = 0;
+    fn each_request_gets_exactly_one_final_answer(steps: Vec<(u8, u8, u8)>) -> Result<(), String> {
+        let (mut engine, mut environment, mut now) = (Engine::new(scheduler_config(), 0.0), Recorder::default(), 0.0);
+        let endpoint = |n: usize| magpiewick::Endpoint { shard: n, ..Default::default() };
+        engine.on_endpoint_update(now, EndpointUpdate::Snapshot, &[(70, endpoint(0)), (80, endpoint(1))]);
+        let mut submitted = 0;
         for (step, a, b) in steps {
             now += f64::from(b % 16);
             match step % 4 {
                 0 | 1 => {
-                    taken += 1;
-                    environment.taken = taken;
-                    take(&mut engine, &mut environment, now, taken, (a, b));
+                    submitted += 1;
+                    environment.submitted = submitted;
+                    submit(&mut engine, &mut environment, now, submitted, (a, b));
                 }
-                2 if !environment.out.is_empty() => {
-                    let place = usize::from(a) % environment.out.len();
-                    outcome(&mut engine, &mut environment, now, place, OUTCOMES[usize::from(b) % OUTCOMES.len()]);
+                2 if !environment.in_flight.is_empty() => {
+                    let index = usize::from(a) % environment.in_flight.len();
+                    report_outcome(&mut engine, &mut environment, now, index, OUTCOMES[usize::from(b) % OUTCOMES.len()]);
                 }
-                3 if taken > 0 => {
-                    let id = 1 + u64::from(a) % taken;
-                    // The client of an ended request has nothing to give up.
-                    if let Entry::Vacant(left) = environment.ended.entry(id) {
+                3 if submitted > 0 => {
+                    let id = 1 + u64::from(a) % submitted;
+                    // The client of a finished request has nothing to cancel.
+                    if let Entry::Vacant(unfinished) = environment.finished.entry(id) {
                         engine.on_client_disconnect(now, id);
-                        left.insert(1);
+                        unfinished.insert(1);
                     }
                 }
                 _ => {}
             }
             engine.run(now, &mut environment);
         }
-        // In the end every attempt times out, and every client's time is over.
+        // In the end every attempt times out, and every client's deadline passes.
         for _ in 0..100 {
             now += 10.0;
             engine.run(now, &mut environment);
-            while !environment.out.is_empty() {
-                outcome(&mut engine, &mut environment, now, 0, Outcome::TimedOut);
+            while !environment.in_flight.is_empty() {
+                report_outcome(&mut engine, &mut environment, now, 0, Outcome::TimedOut);
             }
         }
-        let many = environment.ended.iter().find(|(_, times)| **times != 1);
-        match (environment.wrong, many) {
-            (Some(wrong), _) => Err(wrong),
-            (None, Some((request, times))) => Err(format!("{request} ended {times} times")),
-            (None, None) if environment.ended.len() as u64 != taken => Err("a command never ended".to_string()),
-            (None, None) if engine.pending() != 0 => Err("what is over is kept".to_string()),
+        let other_than_one = environment.finished.iter().find(|(_, times)| **times != 1);
+        match (environment.violation, other_than_one) {
+            (Some(violation), _) => Err(violation),
+            (None, Some((request, times))) => Err(format!("{request} got {times} final answers")),
+            (None, None) if environment.finished.len() as u64 != submitted => Err("a request never got a final answer".to_string()),
+            (None, None) if engine.pending() != 0 => Err("a finished request is kept".to_string()),
             _ => Ok(()),
         }
     }
 }
 
-/// Kilobytes that this process holds in memory.
-fn resident() -> u64 {
+/// Resident memory of this process in kilobytes.
+fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap();
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
 #[test]
-fn what_is_kept_does_not_grow_with_ids_that_are_always_new() {
-    let (mut engine, mut environment) = (Engine::new(start(), 0.0), Count::default());
-    let entry = magpiewick::Endpoint::default();
-    engine.on_endpoint_update(0.0, EndpointUpdate::Snapshot, &[(1, entry)]);
+fn memory_does_not_grow_with_ids_that_are_always_new() {
+    let (mut engine, mut environment) = (Engine::new(scheduler_config(), 0.0), Recorder::default());
+    let endpoint = magpiewick::Endpoint::default();
+    engine.on_endpoint_update(0.0, EndpointUpdate::Snapshot, &[(1, endpoint)]);
     let mut serve = |ids: std::ops::Range<u64>| {
         for id in ids {
             let now = id as f64 * 10.0;
@@ -199,16 +199,16 @@
                 Request { class, plan, volume, key, units, shard, hosts, client_timeout, counts, with };
             engine.submit(now, IncomingRequest { id, key: id, volume: id, request }, &mut environment);
             engine.run(now, &mut environment);
-            while !environment.out.is_empty() {
-                outcome(&mut engine, &mut environment, now, 0, Outcome::Succeeded);
+            while !environment.in_flight.is_empty() {
+                report_outcome(&mut engine, &mut environment, now, 0, Outcome::Succeeded);
             }
-            environment.ended.clear();
+            environment.finished.clear();
         }
-        assert_eq!((engine.pending(), &environment.wrong), (0, &None));
-        resident()
+        assert_eq!((engine.pending(), &environment.violation), (0, &None));
+        resident_kb()
     };
-    // Until all that is bounded has reached its bound.
+    // Enough ids that every bounded structure reaches its bound.
     let before = serve(1..250_000);
     let grown = serve(250_000..500_000).saturating_sub(before);
-    assert!(grown < 4096, "{grown} kB more after as many commands again");
+    assert!(grown < 4096, "{grown} kB more after as many requests again");
 }
--- a/crates/gateway/src/floor.rs
+++ b/crates/gateway/src/floor.rs
@@ -976,7 +976,7 @@
     }
 
     fn answer(&mut self, request_id: u64, ending: FinalStatus, reason: Reason) {
-        let word = reason.word();
+        let word = reason.as_str();
         match ending {
             FinalStatus::Rejected { retry_after } => {
                 self.finish(request_id, FinalCode::Rejected, retry_after, word.as_bytes(), word)
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -108,10 +108,10 @@
         let mut woken = Woken::default();
         loop {
             let sleep = self.sleep();
-            self.stall_detector.sleeps(self.floor.clock.now(), sleep);
+            self.stall_detector.on_sleep(self.floor.clock.now(), sleep);
             self.floor.poll.wait(&mut woken, Some(Clock::until(0.0, sleep)))?;
             self.floor.now = self.floor.clock.now();
-            self.stall_detector.woke(self.floor.now);
+            self.stall_detector.on_wake(self.floor.now);
             self.turn(&woken);
             if self.stops > 1 {
                 return Ok(HostEnd::Abandoned);
@@ -607,7 +607,7 @@
         if self.floor.has_command(key, take.request_id) {
             return refuse(&mut self.floor, "number-in-use");
         }
-        let age = self.stall_detector.age().max(self.floor.held_back(key));
+        let age = self.stall_detector.max_request_age().max(self.floor.held_back(key));
         let client_timeout = f64::from(take.limit_us) / 1000.0 - age;
         let span = tracing::info_span!(
             target: "request",
--- a/crates/platform/src/floor.rs
+++ b/crates/platform/src/floor.rs
@@ -344,7 +344,7 @@
         let named = named(&self.nodes, open, self.now);
         self.request_log.answered(self.now, &named, status, reason);
         let Some(key) = self.end_request(request_id) else { return };
-        let word = reason.word();
+        let word = reason.as_str();
         let (back, count) = match ending {
             FinalStatus::Rejected { retry_after } => (retry_after, &mut self.counts.bounced),
             FinalStatus::Failed => (0.0, &mut self.counts.scrapped),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -152,11 +152,11 @@
             }
             let now = self.floor.clock.now();
             let sleep = (self.wakes_at() - now).clamp(0.0, MOST_SLEEP);
-            self.stall_detector.sleeps(now, sleep);
+            self.stall_detector.on_sleep(now, sleep);
             self.floor.poll.wait(&mut woken, Some(Clock::until(now, now + sleep)))?;
             self.floor.now = self.floor.clock.now();
-            self.stall_detector.woke(self.floor.now);
-            self.floor.age = self.stall_detector.age();
+            self.stall_detector.on_wake(self.floor.now);
+            self.floor.age = self.stall_detector.max_request_age();
             // Before anything is sent: the process may have stood still for long.
             self.look_at_validity();
             self.read_all(&woken.readable);
--- a/crates/platform/src/request_log.rs
+++ b/crates/platform/src/request_log.rs
@@ -143,7 +143,7 @@
 
     /// The host gave the final answer itself.
     pub fn answered(&mut self, now: Ms, request: &Named, status: u16, reason: Reason) {
-        let reason = reason.word();
+        let reason = reason.as_str();
         *self.counts.answered.entry(reason).or_default() += 1;
         if let Some(suppressed) = self.answered.admit(now) {
             let (id, attempts, age_ms, node) = (request.id, request.attempts, request.age, request.node);
@@ -153,7 +153,7 @@
 
     /// A further attempt of a request begins at `to`.
     pub fn retried(&mut self, now: Ms, request: &Named, to: &str, after: Outcome) {
-        let after = Reason::After(after).word();
+        let after = Reason::After(after).as_str();
         *self.counts.retried.entry(after).or_default() += 1;
         if let Some(suppressed) = self.retried.admit(now) {
             let (id, attempt, age_ms, node) = (request.id, request.attempts, request.age, request.node);
@@ -206,7 +206,7 @@
     /// An attempt ended.
     pub fn attempt_ended(&self, request: &Named, outcome: Outcome, latency: Ms) {
         let (id, attempt, node) = (request.id, request.attempts, request.node);
-        let outcome = Reason::After(outcome).word();
+        let outcome = Reason::After(outcome).as_str();
         tracing::debug!(id, attempt, node, outcome, latency_ms = latency, "attempt ended");
     }
 
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -170,7 +170,7 @@
         if let Some(open) = self.requests.get(&request_id) {
             self.request_log.attempt_ended(&named(&self.nodes, open, now), outcome, latency);
         }
-        *self.counts.outcomes.entry(Reason::After(outcome).word()).or_default() += 1;
+        *self.counts.outcomes.entry(Reason::After(outcome).as_str()).or_default() += 1;
         self.owed.push((request_id, Answer { outcome, latency, over, used, others }));
     }
 
