--- a/crates/gateway/src/others.rs
+++ b/crates/gateway/src/others.rs
@@ -30,7 +30,7 @@
 
     /// Sends what is to be told; what the socket does not take is lost.
     pub fn tell(&self, to: &[usize], told: &[(u16, GossipReport)]) {
-        for message in magpiewick_gossip::written(told) {
+        for message in magpiewick_gossip::encode(told) {
             for address in to.iter().filter_map(|number| self.hosts.get(number)) {
                 if let Err(error) = self.socket.send_to(&message, address) {
                     tracing::debug!(%address, %error, "a message to a host was not sent");
@@ -42,12 +42,12 @@
     /// The next message that can be read, of those that came; `turn` counts datagrams.
     pub fn next(&mut self, turn: &mut usize) -> Option<(usize, Vec<(u16, GossipReport)>)> {
         // One byte more than a message may have, so that a longer one shows.
-        let mut bytes = [0; magpiewick_gossip::MOST + 1];
+        let mut bytes = [0; magpiewick_gossip::MAX_MESSAGE_LENGTH + 1];
         while *turn < A_TURN {
             let Ok((length, from)) = self.socket.recv_from(&mut bytes) else { return None };
             *turn += 1;
             let number = self.hosts.iter().find(|(_, address)| **address == from).map(|(number, _)| *number);
-            let why = match (number, magpiewick_gossip::read(&bytes[..length])) {
+            let why = match (number, magpiewick_gossip::decode(&bytes[..length])) {
                 (Some(number), Ok(told)) => return Some((number, told)),
                 (Some(_), Err(fault)) => fault.to_string(),
                 (None, _) => "a sender that no block peer names".to_string(),
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -445,14 +445,14 @@
     let mut bytes = [0; 300];
     let word = loop {
         let length = other.recv(&mut bytes).unwrap();
-        let told = magpiewick_gossip::read(&bytes[..length]).unwrap();
+        let told = magpiewick_gossip::decode(&bytes[..length]).unwrap();
         if let Some((tag, said)) = told.first() {
             assert_eq!((told.len(), said.out), (1, 1));
             break (*tag, magpiewick::GossipReport { out: 7, waits: true, ..*said });
         }
     };
     // Of no length, of an odd one, too long, from a build to come; and what would count, from nobody it knows.
-    let crowd: Vec<u8> = magpiewick_gossip::written(&[word]).flatten().collect();
+    let crowd: Vec<u8> = magpiewick_gossip::encode(&[word]).flatten().collect();
     for bad in [&[][..], &crowd[..4], &[1; 300], &[2, 0, 0, 0, 0]] {
         other.send_to(bad, own).unwrap();
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,73 +1,89 @@
-//! The messages that hosts send each other, each a datagram of its own: what a host has out and saw of nodes.
+//! The messages that hosts send each other, each a datagram of its own: attempts in flight at nodes, and what their
+//! answers showed.
 //!
-//! A message is the version and entries of four bytes: the tag of a node (see the engine), one byte of attempts
-//! out (3 bits), whether requests wait (1) and answers (4), and the mean wait in sixteenths of a doubling over a
-//! tenth of a millisecond. All of a message counts or none of it, and one of another version is not read: a
-//! host of another build is to this one as a host that says nothing.
+//! A message is the version and entries of four bytes: the tag of a node (see the engine); one byte of attempts in
+//! flight (3 bits), whether requests wait (1) and answers (4); and the mean queueing delay in sixteenths of a
+//! doubling over a tenth of a millisecond. All of a message counts or none of it. One of another version is not
+//! decoded: a host of another build is to this one as a host that sends nothing.
+
+#![warn(missing_docs)]
 
 use magpiewick::{GossipReport, Ms};
-use std::fmt;
 
 /// The most bytes of a message.
-pub const MOST: usize = 256;
+pub const MAX_MESSAGE_LENGTH: usize = 256;
+
 const VERSION: u8 = 1;
-const HEAD: usize = 1;
-const ENTRY: usize = 4;
-const MOST_ANSWERS: u32 = 15;
-const MOST_OUT: u32 = 7;
-const FINEST: Ms = 0.1;
-const STEPS: f64 = 16.0;
+const VERSION_LENGTH: usize = 1;
+const ENTRY_LENGTH: usize = 4;
+const MAX_ENTRIES: usize = (MAX_MESSAGE_LENGTH - VERSION_LENGTH) / ENTRY_LENGTH;
 
-/// Why a message is not read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    Version,
-    Length,
-}
+/// Counts above these are sent as these.
+const MAX_IN_FLIGHT: u32 = 7;
+const MAX_ANSWERS: u32 = 15;
+/// Where the counts stand in their byte; the answers take the bits below.
+const IN_FLIGHT_SHIFT: u32 = 5;
+const WAITS_SHIFT: u32 = 4;
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(match self {
-            Fault::Version => "a message of another version",
-            Fault::Length => "a message whose length is not that of its entries",
-        })
-    }
+/// The shortest delay that a message can tell, and the steps in which it doubles.
+const DELAY_UNIT: Ms = 0.1;
+const STEPS_PER_DOUBLING: f64 = 16.0;
+
+/// Why a message is not decoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DecodeError {
+    /// The message is of another version.
+    #[error("a message of another version")]
+    UnknownVersion,
+    /// The message is empty, too long, or not a whole number of entries.
+    #[error("a message whose length is not that of its entries")]
+    InvalidLength,
 }
 
-/// The messages that hold what is to be told, as few as can be.
-pub fn written(told: &[(u16, GossipReport)]) -> impl Iterator<Item = Vec<u8>> + '_ {
-    told.chunks((MOST - HEAD) / ENTRY).map(|part| {
-        let mut bytes = vec![VERSION];
-        for (tag, t) in part {
-            bytes.extend_from_slice(&tag.to_le_bytes());
-            bytes.push(
-                (t.out.min(MOST_OUT) << 5 | u32::from(t.waits) << 4 | t.answers.min(MOST_ANSWERS)) as u8,
-            );
-            bytes.push((STEPS * (t.wait / FINEST).max(1.0).log2()).round().min(255.0) as u8);
+/// Encodes reports, each with its node's tag, into as few messages as possible.
+pub fn encode(reports: &[(u16, GossipReport)]) -> impl Iterator<Item = Vec<u8>> + '_ {
+    reports.chunks(MAX_ENTRIES).map(|entries| {
+        let mut message = vec![VERSION];
+        for (tag, report) in entries {
+            encode_entry(*tag, report, &mut message);
         }
-        bytes
+        message
     })
 }
 
-/// What a message tells, by the nodes' tags; the nodes' indices are left at 0.
-pub fn read(bytes: &[u8]) -> Result<Vec<(u16, GossipReport)>, Fault> {
-    match bytes {
-        [VERSION, entries @ ..] if entries.len().is_multiple_of(ENTRY) && bytes.len() <= MOST => {
-            Ok(entries.chunks_exact(ENTRY).map(entry).collect())
+fn encode_entry(tag: u16, report: &GossipReport, message: &mut Vec<u8>) {
+    let in_flight = report.out.min(MAX_IN_FLIGHT);
+    let answers = report.answers.min(MAX_ANSWERS);
+    let counts = in_flight << IN_FLIGHT_SHIFT | u32::from(report.waits) << WAITS_SHIFT | answers;
+    let doublings = (report.wait / DELAY_UNIT).max(1.0).log2();
+    let delay_steps = (STEPS_PER_DOUBLING * doublings).round().min(f64::from(u8::MAX));
+    message.extend_from_slice(&tag.to_le_bytes());
+    message.extend_from_slice(&[counts as u8, delay_steps as u8]);
+}
+
+/// Decodes a message into reports with their nodes' tags; the nodes' indices are left at 0.
+pub fn decode(message: &[u8]) -> Result<Vec<(u16, GossipReport)>, DecodeError> {
+    match message {
+        [VERSION, entries @ ..] => {
+            let (entries, rest) = entries.as_chunks::<ENTRY_LENGTH>();
+            if !rest.is_empty() || message.len() > MAX_MESSAGE_LENGTH {
+                return Err(DecodeError::InvalidLength);
+            }
+            Ok(entries.iter().map(decode_entry).collect())
         }
-        [VERSION, ..] | [] => Err(Fault::Length),
-        _ => Err(Fault::Version),
+        [] => Err(DecodeError::InvalidLength),
+        _ => Err(DecodeError::UnknownVersion),
     }
 }
 
-fn entry(e: &[u8]) -> (u16, GossipReport) {
-    let (counts, wait) = (u32::from(e[2]), FINEST * (f64::from(e[3]) / STEPS).exp2());
-    let told = GossipReport {
+fn decode_entry(&[tag_low, tag_high, counts, delay_steps]: &[u8; ENTRY_LENGTH]) -> (u16, GossipReport) {
+    let counts = u32::from(counts);
+    let report = GossipReport {
         node: 0,
-        out: counts >> 5,
-        waits: counts >> 4 & 1 > 0,
-        answers: counts & MOST_ANSWERS,
-        wait,
+        out: counts >> IN_FLIGHT_SHIFT,
+        waits: counts >> WAITS_SHIFT & 1 > 0,
+        answers: counts & MAX_ANSWERS,
+        wait: DELAY_UNIT * (f64::from(delay_steps) / STEPS_PER_DOUBLING).exp2(),
     };
-    (u16::from_le_bytes([e[0], e[1]]), told)
+    (u16::from_le_bytes([tag_low, tag_high]), report)
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,30 +1,33 @@
-//! One instance on the bench's wire: the engine, and what writes the engine's wishes as the wire's actions.
+//! One instance on the simulator's wire: its engine, and the environment that writes what the engine asks for as
+//! the wire's actions.
 
-use crate::wire::Reply;
+use crate::reply::{action_code, Reply};
 use magpiewick::{Answer, Endpoint, EndpointUpdate, FinalStatus, GossipReport, Ms, SchedulerConfig};
 use magpiewick_engine::{AttemptRef, Engine, Environment, IncomingRequest, Reason};
 use magpiewick_instance_settings::NS_PER_MS;
 
+/// One instance of the process.
 pub struct Host {
     number: u32,
     engine: Engine,
     timer: Timer,
 }
 
-/// The wire's timers cannot be taken back, so a new one is set only where it comes before the one that stands.
+/// The wire's timers cannot be cancelled, so a new one is set only where it is due before the one that is armed.
 #[derive(Default)]
 struct Timer {
-    armed: Option<u64>,
+    armed_for_ns: Option<u64>,
     label: u32,
 }
 
-struct Actions<'a> {
+struct ReplyEnvironment<'a> {
     number: u32,
-    now: u64,
+    now_ns: u64,
     timer: &'a mut Timer,
     reply: &'a mut Reply,
 }
 
+/// Nanoseconds of the wire as the scheduler's milliseconds.
 pub fn ms(ns: u64) -> Ms {
     ns as f64 / NS_PER_MS
 }
@@ -33,96 +36,119 @@
     (ms * NS_PER_MS).max(0.0) as u64
 }
 
-impl Environment for Actions<'_> {
+impl ReplyEnvironment<'_> {
+    /// Starts an action of this instance.
+    fn action(&mut self, code: u8) -> &mut Reply {
+        self.reply.u8(code).u32(self.number)
+    }
+}
+
+impl Environment for ReplyEnvironment<'_> {
     fn send(&mut self, node: u32, attempts: &[AttemptRef]) {
-        for part in attempts {
-            let timeout = ns(part.timeout).max(1);
-            self.reply.u8(3).u32(self.number).u64(part.request_id).u32(node).u64(timeout);
+        for attempt in attempts {
+            let timeout_ns = ns(attempt.timeout).max(1);
+            self.action(action_code::SEND).u64(attempt.request_id).u32(node).u64(timeout_ns);
         }
     }
 
-    fn cancel(&mut self, request: u64, attempt: u32) {
-        self.reply.u8(7).u32(self.number).u64(request).u16(attempt as u16);
+    fn cancel(&mut self, request_id: u64, attempt: u32) {
+        self.action(action_code::CANCEL).u64(request_id).u16(attempt as u16);
     }
 
-    fn answer(&mut self, request: u64, ending: FinalStatus, _: Reason) {
-        match ending {
+    fn answer(&mut self, request_id: u64, status: FinalStatus, _: Reason) {
+        match status {
             FinalStatus::Rejected { retry_after } => {
-                self.reply.u8(4).u32(self.number).u64(request).u64(ns(retry_after))
+                self.action(action_code::REJECT).u64(request_id).u64(ns(retry_after))
             }
-            FinalStatus::Failed => self.reply.u8(10).u32(self.number).u64(request),
+            FinalStatus::Failed => self.action(action_code::FAIL).u64(request_id),
         };
     }
 
     fn check_health(&mut self, node: u32) {
-        self.reply.u8(1).u32(self.number).u32(node);
+        self.action(action_code::CHECK_HEALTH).u32(node);
     }
 
     fn poll_endpoints(&mut self) {
-        self.reply.u8(6).u32(self.number).u8(1);
+        /// Asks for the changes too.
+        const WATCH: u8 = 1;
+        self.action(action_code::POLL_ENDPOINTS).u8(WATCH);
     }
 
-    fn send_gossip(&mut self, to: &[usize], told: &[(u16, GossipReport)]) {
-        for message in magpiewick_gossip::written(told) {
-            for peer in to {
-                self.reply.u8(9).u32(self.number).u16(*peer as u16).u16(message.len() as u16).put(&message);
+    fn send_gossip(&mut self, hosts: &[usize], reports: &[(u16, GossipReport)]) {
+        for message in magpiewick_gossip::encode(reports) {
+            for host in hosts {
+                let action = self.action(action_code::SEND_GOSSIP);
+                action.u16(*host as u16).u16(message.len() as u16).put(&message);
             }
         }
     }
 
     fn wake(&mut self, at: Ms) {
-        let wait = ns(at - ms(self.now)).max(1);
-        let at = self.now.saturating_add(wait);
-        if self.timer.armed.is_none_or(|armed| at < armed) {
+        let delay_ns = ns(at - ms(self.now_ns)).max(1);
+        let due_ns = self.now_ns.saturating_add(delay_ns);
+        if self.timer.armed_for_ns.is_none_or(|armed_for_ns| due_ns < armed_for_ns) {
             self.timer.label = self.timer.label.wrapping_add(1);
-            self.timer.armed = Some(at);
-            self.reply.u8(12).u32(self.number).u64(wait).u32(self.timer.label);
+            self.timer.armed_for_ns = Some(due_ns);
+            let label = self.timer.label;
+            self.action(action_code::SET_TIMER).u64(delay_ns).u32(label);
         }
     }
 }
 
 impl Host {
-    pub fn new(number: u32, start: SchedulerConfig, now: u64) -> Host {
-        Host { number, engine: Engine::new(start, ms(now)), timer: Timer::default() }
+    /// An instance that starts now.
+    pub fn new(number: u32, config: SchedulerConfig, now_ns: u64) -> Host {
+        Host { number, engine: Engine::new(config, ms(now_ns)), timer: Timer::default() }
     }
 
-    fn with<'a>(&'a mut self, now: u64, reply: &'a mut Reply) -> (&'a mut Engine, Actions<'a>) {
-        (&mut self.engine, Actions { number: self.number, now, timer: &mut self.timer, reply })
+    fn with_environment<'a>(
+        &'a mut self,
+        now_ns: u64,
+        reply: &'a mut Reply,
+    ) -> (&'a mut Engine, ReplyEnvironment<'a>) {
+        let environment = ReplyEnvironment { number: self.number, now_ns, timer: &mut self.timer, reply };
+        (&mut self.engine, environment)
     }
 
-    pub fn listed(&mut self, now: u64, news: EndpointUpdate, entries: &[(u32, Endpoint)]) {
-        self.engine.on_endpoint_update(ms(now), news, entries);
+    /// An update of the endpoint list.
+    pub fn on_endpoint_update(&mut self, now_ns: u64, update: EndpointUpdate, endpoints: &[(u32, Endpoint)]) {
+        self.engine.on_endpoint_update(ms(now_ns), update, endpoints);
     }
 
-    pub fn take(&mut self, now: u64, taken: IncomingRequest, reply: &mut Reply) {
-        let (engine, mut actions) = self.with(now, reply);
-        engine.submit(ms(now), taken, &mut actions);
+    /// A new request.
+    pub fn submit(&mut self, now_ns: u64, incoming: IncomingRequest, reply: &mut Reply) {
+        let (engine, mut environment) = self.with_environment(now_ns, reply);
+        engine.submit(ms(now_ns), incoming, &mut environment);
     }
 
-    pub fn outcome(&mut self, now: u64, id: u64, answer: Answer, reply: &mut Reply) {
-        let (engine, mut actions) = self.with(now, reply);
-        engine.on_outcome(ms(now), id, answer, &mut actions);
+    /// The outcome of an attempt.
+    pub fn on_outcome(&mut self, now_ns: u64, request_id: u64, answer: Answer, reply: &mut Reply) {
+        let (engine, mut environment) = self.with_environment(now_ns, reply);
+        engine.on_outcome(ms(now_ns), request_id, answer, &mut environment);
     }
 
-    pub fn abandoned(&mut self, now: u64, id: u64) {
-        self.engine.on_client_disconnect(ms(now), id);
+    /// A client disconnected.
+    pub fn on_client_disconnect(&mut self, now_ns: u64, request_id: u64) {
+        self.engine.on_client_disconnect(ms(now_ns), request_id);
     }
 
-    /// A message from another host; one that cannot be read counts as one that got lost.
-    pub fn told(&mut self, now: u64, from: u16, message: &[u8]) {
-        if let Ok(told) = magpiewick_gossip::read(message) {
-            self.engine.on_gossip(ms(now), usize::from(from), &told);
+    /// A message from another host; one that cannot be decoded counts as lost.
+    pub fn on_gossip(&mut self, now_ns: u64, from: u16, message: &[u8]) {
+        if let Ok(reports) = magpiewick_gossip::decode(message) {
+            self.engine.on_gossip(ms(now_ns), usize::from(from), &reports);
         }
     }
 
-    pub fn reminded(&mut self, label: u32) {
+    /// A timer is due; [`Host::run`] follows it.
+    pub fn on_timer(&mut self, label: u32) {
         if label == self.timer.label {
-            self.timer.armed = None;
+            self.timer.armed_for_ns = None;
         }
     }
 
-    pub fn run(&mut self, now: u64, reply: &mut Reply) {
-        let (engine, mut actions) = self.with(now, reply);
-        engine.run(ms(now), &mut actions);
+    /// Does what is due.
+    pub fn run(&mut self, now_ns: u64, reply: &mut Reply) {
+        let (engine, mut environment) = self.with_environment(now_ns, reply);
+        engine.run(ms(now_ns), &mut environment);
     }
 }
