--- a/crates/cli/src/extents.rs
+++ b/crates/cli/src/extents.rs
@@ -2,7 +2,7 @@
 
 use clap::Subcommand;
 use magpiewick_node_protocol::{
-    read, write, Hello, MapLine, Mapped, Message, MoveStage, Read, Role, LONG_AGO,
+    decode, encode, Decoded, Hello, MapEntry, MapEntryKind, Message, MigrationStage, Role, LONG_AGO,
 };
 use std::io::{self, ErrorKind, Read as _, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -50,23 +50,23 @@
 impl Service {
     fn say(&mut self, message: &Message) -> io::Result<()> {
         let mut bytes = Vec::new();
-        write(message, &mut bytes);
+        encode(message, &mut bytes);
         self.stream.write_all(&bytes)
     }
 
     /// Hands messages on until `each` has what it wants.
     fn hear<T>(&mut self, mut each: impl FnMut(&Message) -> Option<T>) -> io::Result<T> {
         loop {
-            match read(&self.bytes).map_err(|fault| io::Error::new(ErrorKind::InvalidData, fault))? {
-                Read::Whole(message, n) => {
+            match decode(&self.bytes).map_err(|fault| io::Error::new(ErrorKind::InvalidData, fault))? {
+                Decoded::Frame(message, n) => {
                     let found = each(&message);
                     self.bytes.drain(..n);
                     if let Some(found) = found {
                         return Ok(found);
                     }
                 }
-                Read::Skip(n) => _ = self.bytes.drain(..n),
-                Read::Partial => {
+                Decoded::Skipped(n) => _ = self.bytes.drain(..n),
+                Decoded::Incomplete => {
                     let mut piece = [0; 1 << 16];
                     match self.stream.read(&mut piece)? {
                         0 => return Err(io::Error::new(ErrorKind::UnexpectedEof, "the service closed")),
@@ -83,10 +83,10 @@
         start: u64,
         shard: u32,
         abandon: bool,
-    ) -> io::Result<(u32, u32, MoveStage)> {
-        self.say(&Message::Move { volume, start, shard, abandon })?;
+    ) -> io::Result<(u32, u32, MigrationStage)> {
+        self.say(&Message::Migrate { volume, start, shard, abort: abandon })?;
         self.hear(|m| match m {
-            Message::MoveState { from, to, stage, .. } => Some((*from, *to, *stage)),
+            Message::MigrationState { from, to, stage, .. } => Some((*from, *to, *stage)),
             _ => None,
         })
     }
@@ -97,15 +97,15 @@
     let mut service =
         Service { stream: TcpStream::connect_timeout(&address, Duration::from_secs(5))?, bytes: Vec::new() };
     service.stream.set_read_timeout(Some(Duration::from_secs(10)))?;
-    service.say(&Message::Hello(Hello::of(Role::Client, 0, 0, LONG_AGO)))?;
+    service.say(&Message::Hello(Hello::new(Role::Client, 0, 0, LONG_AGO)))?;
     match ask {
         Ask::Show { volume } => {
             service.say(&Message::WatchMap)?;
             let mut lines = vec![["volume", "start", "end", "shard", "version"].map(str::to_string)];
             service.hear(|m| {
-                let Message::Map(news) = m else { return None };
-                let wanted = news.lines.iter().filter(|l| volume.is_none_or(|v| v == l.volume));
-                let fields = |l: &MapLine| [l.volume, l.start, l.at, l.shard.into(), l.version.into()];
+                let Message::ExtentMap(news) = m else { return None };
+                let wanted = news.entries.iter().filter(|l| volume.is_none_or(|v| v == l.volume));
+                let fields = |l: &MapEntry| [l.volume, l.start, l.position, l.shard.into(), l.version.into()];
                 lines.extend(wanted.map(|l| fields(l).map(|f| f.to_string())));
                 news.last.then_some(())
             })?;
@@ -121,21 +121,21 @@
         }
         Ask::Move { volume, start, to } => {
             let (from, to, mut stage) = service.state(*volume, *start, *to, false)?;
-            if stage == MoveStage::Still {
+            if stage == MigrationStage::Idle {
                 println!(
                     "not moved: there is no such extent, it lies there already, or no node holds that shard"
                 );
                 return Ok(false);
             }
             println!("moving from shard {from} to shard {to}");
-            while stage != MoveStage::Still {
+            while stage != MigrationStage::Idle {
                 std::thread::sleep(Duration::from_millis(50));
                 let now = service.state(*volume, *start, TELL, false)?;
                 if now.2 != stage {
                     println!("{:?}", now.2);
                 }
                 stage = now.2;
-                if stage == MoveStage::Still {
+                if stage == MigrationStage::Idle {
                     return Ok(now.0 == to);
                 }
             }
@@ -144,15 +144,15 @@
         Ask::Abandon { volume, start } => {
             let (_, _, stage) = service.state(*volume, *start, 0, true)?;
             println!("{stage:?}");
-            Ok(stage == MoveStage::Abandoned)
+            Ok(stage == MigrationStage::Aborted)
         }
         Ask::Follow { seconds } => {
             service.stream.set_read_timeout(Some(Duration::from_secs(*seconds)))?;
             service.say(&Message::WatchMap)?;
             let until = std::time::Instant::now() + Duration::from_secs(*seconds);
             let followed = service.hear(|m| {
-                if let Message::Map(news) = m {
-                    for l in news.lines.iter().filter(|l| l.kind != Mapped::Extent) {
+                if let Message::ExtentMap(news) = m {
+                    for l in news.entries.iter().filter(|l| l.kind != MapEntryKind::Extent) {
                         println!(
                             "epoch {} {:?} volume {} start {} shard {} version {}",
                             news.epoch, l.kind, l.volume, l.start, l.shard, l.version
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -6,8 +6,9 @@
 use crate::{Ms, Seen};
 use magpiewick_extents::{Change, Changes, Extent, Stage};
 use magpiewick_node_protocol::{
-    self as wire, Attempt, Final, FinalCode, Frames, Hello, Line, List, MapLine, MapNews, Mapped, Message,
-    MoveStage, Outcome, OutcomeCode, Role, State, LONG_AGO, MOST_MAP_LINES,
+    self as wire, Attempt, EndpointEntry, EndpointListUpdate, EntryState, FinalAnswer, FinalCode, Frames,
+    Hello, MapEntry, MapEntryKind, MapUpdate, Message, MigrationStage, Outcome, OutcomeCode, Role, LONG_AGO,
+    MAX_MAP_ENTRIES,
 };
 use magpiewick_transport::{listen, Clock, Connection, Poll, Registered, Timers, Woken, NOTHING};
 use nanorand::{Rng, WyRand};
@@ -71,7 +72,7 @@
     Again(usize),
     Tell,
     Move(u64, u64),
-    TellMap(Box<MapNews>),
+    TellMap(Box<MapUpdate>),
 }
 
 type Order = Box<dyn FnOnce(&mut Fleet) + Send>;
@@ -101,7 +102,7 @@
     batches: u64,
     memory: HashMap<(u64, u64), Ms>,
     pub map: Service,
-    kept_map: Option<(u64, Vec<MapLine>)>,
+    kept_map: Option<(u64, Vec<MapEntry>)>,
     records: Vec<(Ms, Seen)>,
     recording: bool,
     tamper: Option<Box<dyn Tamper>>,
@@ -341,22 +342,22 @@
 
     // The endpoint list service.
 
-    fn line(&self, number: u32) -> Option<Line> {
+    fn line(&self, number: u32) -> Option<EndpointEntry> {
         let n = &self.nodes[self.node_number(number)?];
         let IpAddr::V4(address) = n.address.ip() else { return None };
         let state = match (n.listed, n.draining) {
-            (false, _) => State::Gone,
-            (true, true) => State::Draining,
-            (true, false) => State::Ready,
+            (false, _) => EntryState::Removed,
+            (true, true) => EntryState::Draining,
+            (true, false) => EntryState::Ready,
         };
         let age_us = n.started.map_or(LONG_AGO, |at| ((self.now - at).max(0.0) * 1000.0) as u64);
         let (node, shard, zone, life) = (number, n.config.shard, n.config.zone, n.life);
-        Some(Line {
+        Some(EndpointEntry {
             node,
             shard,
             zone,
             state,
-            life,
+            incarnation: life,
             age_us,
             address: address.octets(),
             port: n.address.port(),
@@ -372,7 +373,7 @@
         }
         self.epoch += 1;
         let lines = due.into_iter().filter_map(|number| self.line(number)).collect();
-        let news = List { whole: false, epoch: self.epoch, lines };
+        let news = EndpointListUpdate { snapshot: false, epoch: self.epoch, entries: lines };
         if self.list_down {
             return;
         }
@@ -381,18 +382,22 @@
         }
     }
 
-    fn tell(&mut self, index: usize, list: &List) {
+    fn tell(&mut self, index: usize, list: &EndpointListUpdate) {
         let host = self.peers[index].host;
-        for l in list.lines.iter().filter(|l| l.state != State::Ready) {
-            self.see(Seen::Told { host, node: l.node, life: l.life });
+        for l in list.entries.iter().filter(|l| l.state != EntryState::Ready) {
+            self.see(Seen::Told { host, node: l.node, life: l.incarnation });
         }
-        self.peers[index].connection.queue(&Message::List(list.clone()), NOTHING);
+        self.peers[index].connection.queue(&Message::EndpointList(list.clone()), NOTHING);
     }
 
-    fn whole_list(&self) -> List {
+    fn whole_list(&self) -> EndpointListUpdate {
         // What is not told yet stands in the whole list as it will: news may be early, never wrong.
         let listed = self.nodes.iter().filter(|n| n.listed).map(|n| n.config.number);
-        List { whole: true, epoch: self.epoch, lines: listed.filter_map(|n| self.line(n)).collect() }
+        EndpointListUpdate {
+            snapshot: true,
+            epoch: self.epoch,
+            entries: listed.filter_map(|n| self.line(n)).collect(),
+        }
     }
 
     // The map of extents and its moves.
@@ -420,13 +425,13 @@
         }
         let still = extent.map_or(u32::MAX, |e| e.shard);
         let (from, to, stage) = match self.map.stage(volume, start) {
-            None => (still, still, MoveStage::Still),
-            Some((from, to, Stage::Copying)) => (from, to, MoveStage::Copying),
-            Some((from, to, Stage::Copied)) => (from, to, MoveStage::Copied),
-            Some((from, to, Stage::Moved)) => (from, to, MoveStage::Moved),
-            Some((from, to, Stage::Abandoned)) => (from, to, MoveStage::Abandoned),
+            None => (still, still, MigrationStage::Idle),
+            Some((from, to, Stage::Copying)) => (from, to, MigrationStage::Copying),
+            Some((from, to, Stage::Copied)) => (from, to, MigrationStage::Copied),
+            Some((from, to, Stage::Moved)) => (from, to, MigrationStage::Completed),
+            Some((from, to, Stage::Abandoned)) => (from, to, MigrationStage::Aborted),
         };
-        Message::MoveState { volume, start, from, to, stage }
+        Message::MigrationState { volume, start, from, to, stage }
     }
 
     pub fn abandon_move(&mut self, volume: u64, extent: usize) {
@@ -456,34 +461,34 @@
     fn publish(&mut self, changes: &Changes) {
         let line = |c: &Change| match *c {
             Change::Switch { volume, start, shard, version } => {
-                Some(MapLine { kind: Mapped::Switch, volume, start, at: 0, shard, version })
+                Some(MapEntry { kind: MapEntryKind::Switch, volume, start, position: 0, shard, version })
             }
             _ => None,
         };
-        let lines: Vec<MapLine> = changes.changes.iter().filter_map(line).collect();
+        let lines: Vec<MapEntry> = changes.changes.iter().filter_map(line).collect();
         for l in &lines {
             let (volume, start, shard, version) = (l.volume, l.start, l.shard, l.version);
             self.see(Seen::Switched { volume, start, shard, version });
         }
-        let news = MapNews { whole: false, epoch: changes.epoch, part: 0, last: true, lines };
+        let news = MapUpdate { snapshot: false, epoch: changes.epoch, part: 0, last: true, entries: lines };
         let late = self.now + self.config.list_late;
         self.set(late, Due::TellMap(Box::new(news)));
     }
 
-    fn tell_map(&mut self, news: &MapNews) {
+    fn tell_map(&mut self, news: &MapUpdate) {
         if self.list_down {
             return;
         }
         let mut told = news.clone();
         if self.map.halved {
-            told.lines.truncate(told.lines.len() / 2);
+            told.entries.truncate(told.entries.len() / 2);
         }
         let mut hosts = Vec::new();
         for (_, peer) in self.peers.iter_mut().filter(|(_, p)| p.watching_map) {
-            peer.connection.queue(&Message::Map(told.clone()), NOTHING);
+            peer.connection.queue(&Message::ExtentMap(told.clone()), NOTHING);
             hosts.push(peer.host);
         }
-        for l in news.lines.iter().filter(|l| l.kind == Mapped::Switch) {
+        for l in news.entries.iter().filter(|l| l.kind == MapEntryKind::Switch) {
             let (volume, start, version) = (l.volume, l.start, l.version);
             let end = self.map.map.find(volume, start).map_or(start, |e| e.end);
             for host in &hosts {
@@ -492,20 +497,20 @@
         }
     }
 
-    fn whole_map(&self) -> (u64, Vec<MapLine>) {
+    fn whole_map(&self) -> (u64, Vec<MapEntry>) {
         let line = |(volume, e): (u64, Extent)| {
             let (start, at, shard, version) = (e.start, e.end, e.shard, e.version);
-            MapLine { kind: Mapped::Extent, volume, start, at, shard, version }
+            MapEntry { kind: MapEntryKind::Extent, volume, start, position: at, shard, version }
         };
         (self.map.map.epoch(), self.map.map.all().map(line).collect())
     }
 
-    fn tell_whole_map(&mut self, index: usize, (epoch, lines): &(u64, Vec<MapLine>)) {
-        let parts = lines.chunks(MOST_MAP_LINES).count().max(1);
+    fn tell_whole_map(&mut self, index: usize, (epoch, lines): &(u64, Vec<MapEntry>)) {
+        let parts = lines.chunks(MAX_MAP_ENTRIES).count().max(1);
         for part in 0..parts {
-            let lines = lines.chunks(MOST_MAP_LINES).nth(part).unwrap_or_default().to_vec();
+            let lines = lines.chunks(MAX_MAP_ENTRIES).nth(part).unwrap_or_default().to_vec();
             let (epoch, part, last) = (*epoch, part as u32, part + 1 == parts);
-            let news = Message::Map(MapNews { whole: true, epoch, part, last, lines });
+            let news = Message::ExtentMap(MapUpdate { snapshot: true, epoch, part, last, entries: lines });
             self.peers[index].connection.queue(&news, NOTHING);
         }
     }
@@ -567,8 +572,8 @@
     fn hello(&self, node: Option<usize>) -> Message<'static> {
         let n = node.map(|n| &self.nodes[n]);
         let age = |at: Ms| ((self.now - at).max(0.0) * 1000.0) as u64;
-        Message::Hello(Hello::of(
-            n.map_or(Role::List, |_| Role::Node),
+        Message::Hello(Hello::new(
+            n.map_or(Role::EndpointList, |_| Role::Node),
             n.map_or(0, |n| n.config.number),
             n.map_or(0, |n| n.life),
             n.and_then(|n| n.started).map_or(LONG_AGO, age),
@@ -589,7 +594,7 @@
                 return;
             }
         }
-        let used = frames.used();
+        let used = frames.consumed();
         self.peers[index].connection.give_back(input, used);
         if ended {
             self.end_peer(index);
@@ -607,8 +612,8 @@
     fn said(&mut self, index: usize, message: &Message) -> bool {
         let (node, host) = (self.peers[index].node, self.peers[index].host);
         match (message, node) {
-            (Message::Hello(hello), _) => self.peers[index].host = hello.life,
-            (Message::Watch { .. }, None) => {
+            (Message::Hello(hello), _) => self.peers[index].host = hello.incarnation,
+            (Message::WatchEndpoints { .. }, None) => {
                 self.peers[index].watching = true;
                 let whole = self.whole_list();
                 self.tell(index, &whole);
@@ -622,16 +627,17 @@
                 let whole = self.whole_map();
                 self.tell_whole_map(index, &whole);
             }
-            (Message::Move { volume, start, shard, abandon }, None) => {
+            (Message::Migrate { volume, start, shard, abort: abandon }, None) => {
                 let state = self.asked_move(*volume, *start, *shard, *abandon);
                 self.peers[index].connection.queue(&state, NOTHING);
             }
             (Message::Attempt(h), Some(node)) => self.handed(index, node, std::slice::from_ref(h)),
             (Message::Batch(parts), Some(node)) => self.handed(index, node, parts),
-            (Message::Take(t), Some(node)) => {
+            (Message::Request(t), Some(node)) => {
                 let (request_id, class, write, volume, key) =
                     (t.request_id, t.class, t.write, t.volume, t.key);
-                let (mark, units, payload, left_us) = (t.mark, t.units, t.payload, t.limit_us);
+                let (mark, units, payload, left_us) =
+                    (t.idempotency_key, t.units, t.payload, t.client_timeout_us);
                 let (attempt, shard) = (0, self.nodes[node].config.shard);
                 let h = Attempt {
                     request_id,
@@ -640,10 +646,10 @@
                     write,
                     volume,
                     key,
-                    mark,
+                    idempotency_key: mark,
                     units,
                     shard,
-                    left_us,
+                    remaining_us: left_us,
                     version: 0,
                     blocks: t.blocks,
                     payload,
@@ -651,7 +657,7 @@
                 let arrived = Arrived { direct: true, ..self.arrived(index, node, &h, 1) };
                 self.arrive(node, vec![arrived]);
             }
-            (Message::Cancel { request_id, attempt }, Some(node)) => {
+            (Message::CancelAttempt { request_id, attempt }, Some(node)) => {
                 let number = self.nodes[node].config.number;
                 self.see(Seen::Cancelled { node: number, host, request_id: *request_id, attempt: *attempt });
                 let is = |a: &Arrived| (a.host, a.request_id, a.attempt) == (host, *request_id, *attempt);
@@ -659,11 +665,11 @@
                 waiting.iter_mut().for_each(|job| job.retain(|a| !is(a)));
                 waiting.retain(|job| !job.is_empty());
             }
-            (Message::Probe { number }, Some(node)) => {
+            (Message::HealthCheck { number }, Some(node)) => {
                 let n = &self.nodes[node];
                 let busy = n.running as f32 / n.config.cores as f32;
                 let (number, queue) = (*number, n.waiting.len() as u32);
-                self.peers[index].connection.queue(&Message::Probed { number, queue, busy }, NOTHING);
+                self.peers[index].connection.queue(&Message::HealthReport { number, queue, busy }, NOTHING);
             }
             _ => return false,
         }
@@ -696,14 +702,14 @@
             host: peer.host,
             from: (index, peer.serial),
             life: self.nodes[node].life,
-            ends: self.now + f64::from(h.left_us) / 1000.0,
+            ends: self.now + f64::from(h.remaining_us) / 1000.0,
             request_id: h.request_id,
             attempt: h.attempt,
             class: h.class,
             write: h.write,
             volume: h.volume,
             key: h.key,
-            mark: h.mark,
+            mark: h.idempotency_key,
             units: f64::from(h.units),
             blocks: h.blocks,
             version: h.version,
@@ -891,7 +897,8 @@
         if a.direct {
             let verdict =
                 if code == OutcomeCode::Succeeded { FinalCode::Succeeded } else { FinalCode::Rejected };
-            let answer = Message::Final(Final { request_id, verdict, back_us: 0, payload });
+            let answer =
+                Message::FinalAnswer(FinalAnswer { request_id, code: verdict, retry_after_us: 0, payload });
             return peer.connection.queue(&answer, NOTHING);
         }
         let owner = self.map.serves(n.config.shard, a.volume, a.key).err().flatten();
@@ -910,7 +917,7 @@
         });
         if ailing.breaking {
             let mut frame = Vec::new();
-            wire::write(&message, &mut frame);
+            wire::encode(&message, &mut frame);
             peer.connection.queue_bytes(&frame[..frame.len() / 2]);
             _ = peer.connection.flush();
             self.nodes[node].ailing.breaking = false;
--- a/crates/gateway/src/floor.rs
+++ b/crates/gateway/src/floor.rs
@@ -8,7 +8,9 @@
 use magpiewick::{FinalStatus, GossipReport, Ms, Outcome};
 use magpiewick_coalescing::{Coalescer, OverlapLock, Piece, SplitRead, Write};
 use magpiewick_engine::{AttemptRef, Environment, IncomingRequest, Reason};
-use magpiewick_node_protocol::{Attempt, Final, FinalCode, Hello, Message, Role, State, Take, LONG_AGO};
+use magpiewick_node_protocol::{
+    Attempt, ClientRequest, EntryState, FinalAnswer, FinalCode, Hello, Message, Role, LONG_AGO,
+};
 use magpiewick_transport::{Clock, Connection, Ended, Poll, Timers, NOTHING};
 use slab::Slab;
 use std::collections::{HashMap, VecDeque};
@@ -145,7 +147,7 @@
 pub struct Admitted<'a> {
     pub client: Option<(usize, u64)>,
     pub piece_of: Option<(u64, usize)>,
-    pub take: &'a Take<'a>,
+    pub take: &'a ClientRequest<'a>,
     /// The shard and the version of its extent.
     pub placed: (u32, u32),
     pub client_timeout: Ms,
@@ -255,7 +257,7 @@
     }
 
     fn hello(&self) -> Message<'static> {
-        Message::Hello(Hello::of(Role::Host, self.number, self.life, LONG_AGO))
+        Message::Hello(Hello::new(Role::Host, self.number, self.life, LONG_AGO))
     }
 
     /// Notes that a connection has something to write.
@@ -456,7 +458,7 @@
             write: take.write,
             volume: take.volume,
             key: take.key,
-            mark: take.mark,
+            mark: take.idempotency_key,
             units: take.units,
             shard,
             version,
@@ -526,7 +528,15 @@
         if let Some(client) = self.clients.get_mut(index_of(key)) {
             client.requests.remove(&number);
         }
-        self.tell_client(key, &Message::Final(Final { request_id: number, verdict, back_us, payload }));
+        self.tell_client(
+            key,
+            &Message::FinalAnswer(FinalAnswer {
+                request_id: number,
+                code: verdict,
+                retry_after_us: back_us,
+                payload,
+            }),
+        );
     }
 
     /// Keeps a read that is cut.
@@ -624,7 +634,7 @@
         let Some(index) = self.open(request_id).and_then(|o| at(o)) else { return };
         let peer = &mut self.peers[index];
         if let Some(connection) = peer.connection.as_mut().filter(|_| peer.out.contains(&request_id)) {
-            connection.queue(&Message::Cancel { request_id, attempt: attempt as u16 }, NOTHING);
+            connection.queue(&Message::CancelAttempt { request_id, attempt: attempt as u16 }, NOTHING);
             self.touched.push(key_of(Place::Node, index));
         }
     }
@@ -716,19 +726,20 @@
 
     pub fn greeted(&mut self, key: usize, hello: &Hello) -> Greeted {
         let index = index_of(key);
-        let met = Process { node: hello.number, life: hello.life, started: started(self.now, hello.age_us) };
+        let met =
+            Process { node: hello.number, life: hello.incarnation, started: started(self.now, hello.age_us) };
         let Some(listed) = self.follower.process(self.peers[index].node) else { return Greeted::Wrong };
         let peer = &mut self.peers[index];
         let greeted = peer.contact.greeted(self.now, listed, met);
         match greeted {
             Greeted::Expected => {
-                peer.life = Some(hello.life);
+                peer.life = Some(hello.incarnation);
                 for (request_id, attempt) in std::mem::take(&mut peer.waiting) {
                     self.hand_over(index, [(request_id, attempt)].into_iter());
                 }
             }
             Greeted::Restarted { .. } => {
-                peer.life = Some(hello.life);
+                peer.life = Some(hello.incarnation);
                 self.waiting_back(index);
             }
             Greeted::Wrong => {}
@@ -751,10 +762,10 @@
                 write: open.write,
                 volume: open.volume,
                 key: open.key,
-                mark: open.mark,
+                idempotency_key: open.mark,
                 units: open.units,
                 shard: open.shard,
-                left_us: ((open.ends - now).max(0.0) * 1000.0) as u32,
+                remaining_us: ((open.ends - now).max(0.0) * 1000.0) as u32,
                 version: open.version,
                 blocks: open.blocks,
                 payload: &open.payload,
@@ -787,11 +798,11 @@
         nodes.into_iter().for_each(|node| _ = self.peer(node));
         for index in 0..self.peers.len() {
             let peer = &self.peers[index];
-            let known = self.follower.node(peer.node).map(|k| (k.line.state, k.line.life));
+            let known = self.follower.node(peer.node).map(|k| (k.line.state, k.line.incarnation));
             let key = key_of(Place::Node, index);
             match known {
-                Some((State::Ready, life)) if peer.life.is_none_or(|l| l == life) => {}
-                Some((State::Ready, _)) => self.peer_lost(key, "the list names a later process"),
+                Some((EntryState::Ready, life)) if peer.life.is_none_or(|l| l == life) => {}
+                Some((EntryState::Ready, _)) => self.peer_lost(key, "the list names a later process"),
                 _ => self.stop_sending(index),
             }
         }
@@ -805,7 +816,8 @@
         peer.out.retain(|request_id| !pulled.contains(request_id));
         pulled.iter().for_each(|_| peer.contact.done(None));
         pulled.into_iter().for_each(|request_id| self.owe(request_id, Outcome::ConnectFailed, index));
-        let gone = self.follower.node(self.peers[index].node).is_none_or(|k| k.line.state == State::Gone);
+        let gone =
+            self.follower.node(self.peers[index].node).is_none_or(|k| k.line.state == EntryState::Removed);
         if !whole {
             // The rest of a frame would reach the node at a time that nobody can tell.
             self.peer_lost(key_of(Place::Node, index), "it takes nothing more, and a frame is half written");
@@ -844,7 +856,7 @@
 
     pub fn ask_list(&mut self, epoch: u64) {
         if let Some(connection) = &mut self.list.connection {
-            connection.queue(&Message::Watch { epoch }, NOTHING);
+            connection.queue(&Message::WatchEndpoints { epoch }, NOTHING);
             self.list.unanswered = true;
             self.touched.push(key_of(Place::List, 0));
         }
@@ -994,7 +1006,7 @@
         let index = self.peer(node);
         let peer = &mut self.peers[index];
         if let Some(connection) = peer.connection.as_mut().filter(|_| peer.contact.open()) {
-            connection.queue(&Message::Probe { number: node }, NOTHING);
+            connection.queue(&Message::HealthCheck { number: node }, NOTHING);
             self.touched.push(key_of(Place::Node, index));
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -20,8 +20,8 @@
 use magpiewick_engine::{Engine, IncomingRequest, StallDetector};
 use magpiewick_extents::{Fault, Place as At};
 use magpiewick_node_protocol::{
-    self as wire, Final, FinalCode, Frames, Hello, List, MapNews, Message, OutcomeCode, Read, Role, Take,
-    MOST_PAYLOAD, VERSION,
+    self as wire, ClientRequest, Decoded, EndpointListUpdate, FinalAnswer, FinalCode, Frames, Hello,
+    MapUpdate, Message, OutcomeCode, Role, MAX_PAYLOAD_LENGTH, VERSION,
 };
 use magpiewick_transport::{Clock, Ended, Poll, Registered, Woken};
 use others::Others;
@@ -315,8 +315,8 @@
                 return tracing::warn!(path = %path.display(), error = %e, "the kept list cannot be read")
             }
         };
-        match wire::read(&bytes) {
-            Ok(Read::Whole(Message::List(list), used)) if used == bytes.len() => {
+        match wire::decode(&bytes) {
+            Ok(Decoded::Frame(Message::EndpointList(list), used)) if used == bytes.len() => {
                 let entries = self.floor.follower.recall(self.floor.now, &list);
                 tracing::info!(nodes = entries.len(), "took up the list kept from the last run");
                 self.floor.nodes_changed();
@@ -329,7 +329,7 @@
     fn remember(&self) {
         let Some(path) = &self.config.list.remember else { return };
         let mut bytes = Vec::new();
-        wire::write(&Message::List(self.floor.follower.remembered(self.floor.now)), &mut bytes);
+        wire::encode(&Message::EndpointList(self.floor.follower.remembered(self.floor.now)), &mut bytes);
         let beside = path.with_extension("new");
         let kept = std::fs::write(&beside, &bytes).and_then(|()| std::fs::rename(&beside, path));
         if let Err(e) = kept {
@@ -341,9 +341,9 @@
         let Some((input, ended)) = self.floor.read(key) else { return };
         let (used, broken) = each_frame(&input, |message| {
             match message {
-                Message::List(list) => self.heard_list(&list),
-                Message::Map(news) => self.heard_map(&news),
-                Message::Refused => {
+                Message::EndpointList(list) => self.heard_list(&list),
+                Message::ExtentMap(news) => self.heard_map(&news),
+                Message::WatchRejected => {
                     self.floor.list_answered();
                     self.engine.on_endpoint_update(self.floor.now, EndpointUpdate::PollFailed, &[]);
                 }
@@ -358,14 +358,14 @@
         }
     }
 
-    fn heard_list(&mut self, list: &List) {
+    fn heard_list(&mut self, list: &EndpointListUpdate) {
         self.floor.list_answered();
         match self.floor.follower.heard(self.floor.now, list) {
             Heard::Update(news, entries) => {
                 tracing::info!(
                     epoch = list.epoch,
-                    whole = list.whole,
-                    lines = list.lines.len(),
+                    whole = list.snapshot,
+                    lines = list.entries.len(),
                     "list of nodes"
                 );
                 self.engine.on_endpoint_update(self.floor.now, news, &entries);
@@ -382,10 +382,10 @@
 
     // The map of extents.
 
-    fn heard_map(&mut self, news: &MapNews) {
+    fn heard_map(&mut self, news: &MapUpdate) {
         match route::heard(&mut self.floor.map, news) {
             Ok(true) => {
-                tracing::info!(epoch = news.epoch, whole = news.whole, "map of extents");
+                tracing::info!(epoch = news.epoch, whole = news.snapshot, "map of extents");
                 self.reroute();
             }
             Ok(false) | Err(Fault::Old) => {}
@@ -482,7 +482,7 @@
                 }
                 None
             }
-            Message::Probed { .. } => None,
+            Message::HealthReport { .. } => None,
             _ => Some("a message that a node does not send".to_string()),
         }
     }
@@ -498,7 +498,7 @@
             Greeted::Expected => None,
             Greeted::Restarted { started } => {
                 tracing::info!(node = hello.number, "the node restarted before the list said so");
-                if let Some(entry) = self.floor.follower.restarted(hello.number, hello.life, started) {
+                if let Some(entry) = self.floor.follower.restarted(hello.number, hello.incarnation, started) {
                     self.engine.on_endpoint_update(self.floor.now, EndpointUpdate::Delta, &[entry]);
                 }
                 None
@@ -549,11 +549,11 @@
     /// A message of a client; why no more of them can be used, where that is so.
     fn client_said(&mut self, key: usize, message: Message) -> Option<String> {
         match message {
-            Message::Take(_) if self.in_hand() >= self.config.bounds.most_in_hand => {
+            Message::Request(_) if self.in_hand() >= self.config.bounds.most_in_hand => {
                 return Some(FULL.to_string());
             }
-            Message::Take(take) => self.take(key, &take),
-            Message::GiveUp { request_id } => {
+            Message::Request(take) => self.take(key, &take),
+            Message::CancelRequest { request_id } => {
                 if let Some(request_id) = self.floor.given_up(key, request_id) {
                     self.forsaken(request_id);
                 }
@@ -584,10 +584,15 @@
     }
 
     /// Takes a request, or says at once that this host cannot: nothing ran, so trying again is harmless.
-    fn take(&mut self, key: usize, take: &Take) {
+    fn take(&mut self, key: usize, take: &ClientRequest) {
         let refuse = |floor: &mut Floor, why: &str| {
             let (request_id, back_us, verdict) = (take.request_id, 0, FinalCode::Rejected);
-            let answer = Message::Final(Final { request_id, verdict, back_us, payload: why.as_bytes() });
+            let answer = Message::FinalAnswer(FinalAnswer {
+                request_id,
+                code: verdict,
+                retry_after_us: back_us,
+                payload: why.as_bytes(),
+            });
             floor.tell_client(key, &answer);
         };
         let class = usize::from(take.class);
@@ -608,7 +613,7 @@
             return refuse(&mut self.floor, "number-in-use");
         }
         let age = self.stall_detector.max_request_age().max(self.floor.held_back(key));
-        let client_timeout = f64::from(take.limit_us) / 1000.0 - age;
+        let client_timeout = f64::from(take.client_timeout_us) / 1000.0 - age;
         let span = tracing::info_span!(
             target: "request",
             "request",
@@ -628,7 +633,7 @@
     }
 
     /// The pieces in which a request must travel, none where it travels whole; or why it cannot at all.
-    fn pieces(&self, take: &Take) -> Result<Option<Vec<(u64, u64)>>, &'static str> {
+    fn pieces(&self, take: &ClientRequest) -> Result<Option<Vec<(u64, u64)>>, &'static str> {
         let (start, end) = (take.key, take.key.saturating_add(u64::from(take.blocks.max(1))));
         if end - start == 1 {
             return Ok(None);
@@ -657,7 +662,7 @@
         &mut self,
         client: Option<(usize, u64)>,
         piece_of: Option<(u64, usize)>,
-        take: &Take,
+        take: &ClientRequest,
         client_timeout: Ms,
         span: tracing::Span,
     ) -> Option<u64> {
@@ -710,7 +715,7 @@
     fn take_whole(
         &mut self,
         key: usize,
-        take: &Take,
+        take: &ClientRequest,
         pieces: Vec<(u64, u64)>,
         client_timeout: Ms,
         span: tracing::Span,
@@ -718,12 +723,12 @@
         let blocks = pieces.iter().map(|p| p.1 - p.0).sum::<u64>().max(1);
         let whole = Whole {
             client: (key, take.request_id),
-            gather: SplitRead::new(pieces.len(), self.config.split.at_once, MOST_PAYLOAD),
+            gather: SplitRead::new(pieces.len(), self.config.split.at_once, MAX_PAYLOAD_LENGTH),
             ids: vec![None; pieces.len()],
             pieces,
             class: take.class,
             volume: take.volume,
-            mark: take.mark,
+            mark: take.idempotency_key,
             units: take.units / blocks as f32,
             ends: self.floor.now + client_timeout,
             span,
@@ -740,15 +745,15 @@
             let Some(whole) = self.floor.wholes.get_mut(&id) else { return };
             let Some(piece) = whole.gather.begin() else { return };
             let (start, end) = whole.pieces[piece];
-            let take = Take {
+            let take = ClientRequest {
                 request_id: 0,
                 class: whole.class,
                 write: false,
                 volume: whole.volume,
                 key: start,
-                mark: whole.mark,
+                idempotency_key: whole.mark,
                 units: whole.units * (end - start) as f32,
-                limit_us: 0,
+                client_timeout_us: 0,
                 blocks: (end - start) as u32,
                 payload: &[],
             };
@@ -812,11 +817,11 @@
 fn each_frame(bytes: &[u8], mut each: impl FnMut(Message) -> Option<String>) -> (usize, Option<String>) {
     let mut frames = Frames::new(bytes);
     loop {
-        let before = frames.used();
+        let before = frames.consumed();
         let fault = match frames.next() {
-            None => return (frames.used(), None),
+            None => return (frames.consumed(), None),
             Some(Ok(message)) => each(message),
-            Some(Err(fault)) => return (frames.used(), Some(fault.to_string())),
+            Some(Err(fault)) => return (frames.consumed(), Some(fault.to_string())),
         };
         if fault.is_some() {
             return (before, fault);
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -53,7 +53,7 @@
 
     fn say(&mut self, message: &Message) {
         let mut bytes = Vec::new();
-        write(message, &mut bytes);
+        encode(message, &mut bytes);
         self.stream.write_all(&bytes).unwrap();
     }
 
@@ -61,7 +61,7 @@
     fn hear<T>(&mut self, pick: impl Fn(&Message) -> Option<T>) -> Option<T> {
         loop {
             let (mut found, mut used) = (None, 0);
-            while let Ok(Read::Whole(message, n)) = read(&self.bytes[used..]) {
+            while let Ok(Decoded::Frame(message, n)) = decode(&self.bytes[used..]) {
                 used += n;
                 found = pick(&message);
                 if found.is_some() {
@@ -83,9 +83,9 @@
 
     fn answer(&mut self) -> Option<(u64, FinalCode, String)> {
         self.hear(|m| match m {
-            Message::Final(f) => {
+            Message::FinalAnswer(f) => {
                 let why = f.payload.get(..f.payload.len().min(40)).unwrap_or_default();
-                Some((f.request_id, f.verdict, String::from_utf8_lossy(why).into_owned()))
+                Some((f.request_id, f.code, String::from_utf8_lossy(why).into_owned()))
             }
             _ => None,
         })
@@ -99,14 +99,26 @@
     }
 
     fn take(&mut self, request_id: u64, class: u16, payload: &[u8]) {
-        let (volume, key, mark, units, limit_us, blocks) = (1, 7 + request_id, request_id, 1.0, 4_000_000, 1);
+        let (volume, key, idempotency_key, units, client_timeout_us, blocks) =
+            (1, 7 + request_id, request_id, 1.0, 4_000_000, 1);
         let write = !payload.is_empty();
-        let take = Take { request_id, class, write, volume, key, mark, units, limit_us, blocks, payload };
-        self.say(&Message::Take(take));
+        let take = ClientRequest {
+            request_id,
+            class,
+            write,
+            volume,
+            key,
+            idempotency_key,
+            units,
+            client_timeout_us,
+            blocks,
+            payload,
+        };
+        self.say(&Message::Request(take));
     }
 
-    fn greet(&mut self, life: u64, age_us: u64) {
-        self.say(&Message::Hello(Hello::of(Role::Node, 3, life, age_us)));
+    fn greet(&mut self, incarnation: u64, age_us: u64) {
+        self.say(&Message::Hello(Hello::new(Role::Node, 3, incarnation, age_us)));
     }
 
     fn settle(&mut self, (request_id, attempt): (u64, u16), payload: &[u8]) {
@@ -142,7 +154,7 @@
     /// A host that has heard of one node, of the life 1, which started so long ago.
     fn start(age_us: u64) -> Rig {
         let mut rig = Rig::unheard(TcpListener::bind("127.0.0.1:0").unwrap(), |_| ());
-        rig.tell(true, 1, State::Ready, 1, age_us);
+        rig.tell(true, 1, EntryState::Ready, 1, age_us);
         rig
     }
 
@@ -157,20 +169,20 @@
         let address = gateway.address();
         let host = std::thread::spawn(move || gateway.run().unwrap());
         let mut list = End::new(list.accept().unwrap().0);
-        list.hear(|m| matches!(m, Message::Watch { .. }).then_some(()));
+        list.hear(|m| matches!(m, Message::WatchEndpoints { .. }).then_some(()));
         Rig { address, list, node, stop, host }
     }
 
-    fn tell(&mut self, whole: bool, epoch: u64, state: State, life: u64, age_us: u64) {
+    fn tell(&mut self, snapshot: bool, epoch: u64, state: EntryState, incarnation: u64, age_us: u64) {
         let port = self.node.local_addr().unwrap().port();
         let (node, shard, zone, address) = (3, 0, 0, [127, 0, 0, 1]);
-        let lines = vec![Line { node, shard, zone, state, life, age_us, address, port }];
-        self.list.say(&Message::List(List { whole, epoch, lines }));
+        let entries = vec![EndpointEntry { node, shard, zone, state, incarnation, age_us, address, port }];
+        self.list.say(&Message::EndpointList(EndpointListUpdate { snapshot, epoch, entries }));
     }
 
-    fn tell_map(&mut self, whole: bool, epoch: u64, kind: Mapped, at: u64, version: u32) {
-        let lines = vec![MapLine { kind, volume: 1, start: 0, at, shard: 0, version }];
-        self.list.say(&Message::Map(MapNews { whole, epoch, part: 0, last: true, lines }));
+    fn tell_map(&mut self, snapshot: bool, epoch: u64, kind: MapEntryKind, position: u64, version: u32) {
+        let entries = vec![MapEntry { kind, volume: 1, start: 0, position, shard: 0, version }];
+        self.list.say(&Message::ExtentMap(MapUpdate { snapshot, epoch, part: 0, last: true, entries }));
     }
 
     fn client(&self) -> End {
@@ -227,7 +239,7 @@
     let mut node = rig.greeted();
     let (request_id, attempt) = node.attempt().unwrap();
     let mut frame = Vec::new();
-    write(&outcome(request_id, attempt, OutcomeCode::Succeeded, b"done"), &mut frame);
+    encode(&outcome(request_id, attempt, OutcomeCode::Succeeded, b"done"), &mut frame);
     node.stream.write_all(&frame[..frame.len() / 2]).unwrap();
     drop(node);
     assert_eq!(client.answer(), Some((1, FinalCode::Failed, "reset".to_string())));
@@ -241,8 +253,8 @@
     rig.node = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = rig.client();
     client.take(1, 1, b"paid");
-    let (request_id, verdict, _) = client.answer().unwrap();
-    assert_eq!((request_id, verdict), (1, FinalCode::Rejected));
+    let (request_id, code, _) = client.answer().unwrap();
+    assert_eq!((request_id, code), (1, FinalCode::Rejected));
     rig.end();
 }
 
@@ -298,7 +310,7 @@
         node.settle(out, &[]);
     }
     std::thread::sleep(Duration::from_millis(100));
-    rig.tell(false, 2, State::Draining, 1, LONG_AGO);
+    rig.tell(false, 2, EntryState::Draining, 1, LONG_AGO);
     let mut client = writer.join().unwrap();
     std::thread::sleep(Duration::from_millis(300));
     // What is read from here on had left before the notice, or the connection broke in the middle of it.
@@ -307,8 +319,8 @@
     drop(late);
     let mut ended = [0; 3];
     for _ in 0..=count {
-        let (_, verdict, _) = client.answer().unwrap();
-        ended[verdict as usize] += 1;
+        let (_, code, _) = client.answer().unwrap();
+        ended[code as usize] += 1;
     }
     assert_eq!(ended.iter().sum::<u64>(), count + 1);
     assert!(
@@ -400,7 +412,7 @@
 #[test]
 fn a_command_whose_data_nobody_serves_waits_for_news_and_goes_once_more() {
     let mut rig = Rig::start(LONG_AGO);
-    rig.tell_map(true, 1, Mapped::Extent, 1000, 1);
+    rig.tell_map(true, 1, MapEntryKind::Extent, 1000, 1);
     let mut client = rig.client();
     // Binding: sent anew only as the node's answer proves that nothing ran.
     client.take(1, 1, b"paid");
@@ -412,7 +424,7 @@
     let (request_id, _, version) = node.hear(sent).unwrap();
     assert_eq!(version, 1);
     node.say(&outcome(request_id, 0, OutcomeCode::ShardMoved, &[]));
-    rig.tell_map(false, 2, Mapped::Switch, 0, 2);
+    rig.tell_map(false, 2, MapEntryKind::Switch, 0, 2);
     assert_eq!(node.hear(sent), Some((request_id, 1, 2)));
     node.settle((request_id, 1), &[]);
     assert_eq!(client.answer().map(|a| a.1), Some(FinalCode::Succeeded));
@@ -437,7 +449,7 @@
     let (own, other) = two_hosts();
     let mut rig =
         Rig::unheard(TcpListener::bind("127.0.0.1:0").unwrap(), |config| tells(config, own, &other));
-    rig.tell(true, 1, State::Ready, 1, LONG_AGO);
+    rig.tell(true, 1, EntryState::Ready, 1, LONG_AGO);
     let mut client = rig.client();
     client.take(1, 0, &[]);
     let mut node = rig.greeted();
@@ -479,7 +491,7 @@
     let kept = std::env::temp_dir().join(format!("magpiewick-kept-{}", std::process::id()));
     let remember = |config: &mut HostConfig| config.list.remember = Some(kept.clone());
     let mut before = Rig::unheard(TcpListener::bind("127.0.0.1:0").unwrap(), remember);
-    before.tell(true, 1, State::Ready, 1, LONG_AGO);
+    before.tell(true, 1, EntryState::Ready, 1, LONG_AGO);
     let mut client = before.client();
     client.take(1, 0, &[]);
     let mut node = before.greeted();
@@ -513,9 +525,21 @@
 
     /// Asks for a range of blocks, to read or to write.
     fn range(&mut self, request_id: u64, class: u16, key: u64, blocks: u32, payload: &[u8]) {
-        let (volume, mark, units, limit_us, write) = (1, request_id, 1.0, 4_000_000, !payload.is_empty());
-        let take = Take { request_id, class, write, volume, key, mark, units, limit_us, blocks, payload };
-        self.say(&Message::Take(take));
+        let (volume, idempotency_key, units, client_timeout_us, write) =
+            (1, request_id, 1.0, 4_000_000, !payload.is_empty());
+        let take = ClientRequest {
+            request_id,
+            class,
+            write,
+            volume,
+            key,
+            idempotency_key,
+            units,
+            client_timeout_us,
+            blocks,
+            payload,
+        };
+        self.say(&Message::Request(take));
     }
 
     fn piece(&mut self) -> Option<(u64, u16, u64, u32)> {
@@ -566,7 +590,7 @@
     drop(node);
     let rest: Vec<_> = (0..5).map(|_| client.answer().unwrap()).collect();
     let scrapped = |n: u64| (n, FinalCode::Failed);
-    let found: Vec<_> = rest.iter().map(|(n, verdict, _)| (*n, *verdict)).filter(|f| f.0 != 9).collect();
+    let found: Vec<_> = rest.iter().map(|(n, code, _)| (*n, *code)).filter(|f| f.0 != 9).collect();
     assert!(
         found.contains(&scrapped(8)),
         "a binding part whose fate is unknown is not sent again: {found:?}"
@@ -578,9 +602,9 @@
 fn a_client_that_gives_up_takes_only_its_own_part_out_of_a_batch() {
     let rig = Rig::start(LONG_AGO);
     let (mut client, mut node, _out, batch) = four_together(&rig, 0);
-    client.say(&Message::GiveUp { request_id: 6 });
+    client.say(&Message::CancelRequest { request_id: 6 });
     let cancelled = node.hear(|m| match m {
-        Message::Cancel { request_id, attempt } => Some((*request_id, *attempt)),
+        Message::CancelAttempt { request_id, attempt } => Some((*request_id, *attempt)),
         _ => None,
     });
     assert_eq!(cancelled, Some(batch[1]));
@@ -627,9 +651,16 @@
 #[test]
 fn a_read_over_extents_is_one_answer_whatever_becomes_of_its_pieces() {
     let mut rig = Rig::start(LONG_AGO);
-    let line = |start, at| MapLine { kind: Mapped::Extent, volume: 1, start, at, shard: 0, version: 1 };
-    let lines = vec![line(0, 20), line(20, 40)];
-    rig.list.say(&Message::Map(MapNews { whole: true, epoch: 1, part: 0, last: true, lines }));
+    let entry = |start, position| MapEntry {
+        kind: MapEntryKind::Extent,
+        volume: 1,
+        start,
+        position,
+        shard: 0,
+        version: 1,
+    };
+    let entries = vec![entry(0, 20), entry(20, 40)];
+    rig.list.say(&Message::ExtentMap(MapUpdate { snapshot: true, epoch: 1, part: 0, last: true, entries }));
     let mut client = rig.client();
     // Half of a write cannot be taken back.
     client.range(99, 1, 18, 4, b"aaaabbbbccccdddd");
@@ -648,9 +679,9 @@
     // Who gives up a read gives up its pieces.
     client.range(2, 0, 18, 4, &[]);
     let pieces = [node.piece().unwrap(), node.piece().unwrap()];
-    client.say(&Message::GiveUp { request_id: 2 });
+    client.say(&Message::CancelRequest { request_id: 2 });
     let cancel = |m: &Message| match m {
-        Message::Cancel { request_id, .. } => Some(*request_id),
+        Message::CancelAttempt { request_id, .. } => Some(*request_id),
         _ => None,
     };
     let mut cancelled = [node.hear(cancel).unwrap(), node.hear(cancel).unwrap()];
@@ -668,7 +699,7 @@
     let (mut stop, other) = UnixStream::pair().unwrap();
     let gateway = Gateway::bind(config, other, 99).unwrap();
     let host = std::thread::spawn(move || gateway.run().unwrap());
-    let watch = |m: &Message| matches!(m, Message::Watch { .. }).then_some(());
+    let watch = |m: &Message| matches!(m, Message::WatchEndpoints { .. }).then_some(());
     // It is asked, and its connection stands silent: the next question comes over another one.
     let mut silent = End::new(list.accept().unwrap().0);
     silent.hear(watch).expect("a question");
@@ -683,7 +714,7 @@
 fn what_is_held_back_when_the_host_is_told_to_stop_is_answered() {
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut rig = Rig::unheard(node, |config| config.bounds.most_in_hand = 2);
-    rig.tell(true, 1, State::Ready, 1, LONG_AGO);
+    rig.tell(true, 1, EntryState::Ready, 1, LONG_AGO);
     let mut client = rig.client();
     (1..=6).for_each(|request_id| client.take(request_id, 1, b"block"));
     let mut node = rig.greeted();
@@ -707,23 +738,23 @@
     let mut sends = client.stream.try_clone().unwrap();
     let sending = std::thread::spawn(move || {
         for request_id in 1.. {
-            let (volume, key, mark, units, limit_us, blocks) =
+            let (volume, key, idempotency_key, units, client_timeout_us, blocks) =
                 (1, 7 + request_id, request_id, 1.0, 4_000_000, 1);
             let (class, writes, payload) = (0, false, &[][..]);
-            let take = Take {
+            let take = ClientRequest {
                 request_id,
                 class,
                 write: writes,
                 volume,
                 key,
-                mark,
+                idempotency_key,
                 units,
-                limit_us,
+                client_timeout_us,
                 blocks,
                 payload,
             };
             let mut bytes = Vec::new();
-            write(&Message::Take(take), &mut bytes);
+            encode(&Message::Request(take), &mut bytes);
             if sends.write_all(&bytes).is_err() {
                 return;
             }
@@ -733,9 +764,9 @@
     let (mut highest, mut count) = (0, 0);
     let end = loop {
         let mut used = 0;
-        while let Ok(Read::Whole(message, n)) = read(&client.bytes[used..]) {
+        while let Ok(Decoded::Frame(message, n)) = decode(&client.bytes[used..]) {
             used += n;
-            if let Message::Final(answer) = message {
+            if let Message::FinalAnswer(answer) = message {
                 (highest, count) = (highest.max(answer.request_id), count + 1);
             }
         }
--- /dev/null
+++ b/crates/node-protocol/src/frame.rs
@@ -0,0 +1,117 @@
+//! Frames: a header with length, kind and checksum, then the message's fields and its payload.
+
+use crate::fields::{FieldReader, FieldWriter};
+use crate::message::{Message, ENDPOINT_ENTRY_LENGTH, MAP_ENTRY_LENGTH};
+use crate::DecodeError;
+
+/// Bytes of a frame's header: body length, kind, a zero, length of the fields, checksum.
+pub const HEADER_LENGTH: usize = 12;
+/// The largest payload of a read or write.
+pub const MAX_PAYLOAD_LENGTH: usize = 1 << 20;
+/// The largest body of a frame: the payload and room for the fields, or the longest list.
+pub const MAX_BODY_LENGTH: usize = MAX_PAYLOAD_LENGTH + (1 << 10);
+/// Room for the fields before the entries of a list or map.
+const FIELDS_BEFORE_ENTRIES: usize = 32;
+/// The most entries of one endpoint list.
+pub const MAX_LIST_ENTRIES: usize = (MAX_BODY_LENGTH - FIELDS_BEFORE_ENTRIES) / ENDPOINT_ENTRY_LENGTH;
+/// The most entries of one part of an extent map update.
+pub const MAX_MAP_ENTRIES: usize = (MAX_BODY_LENGTH - FIELDS_BEFORE_ENTRIES) / MAP_ENTRY_LENGTH;
+/// Kinds from here on may be skipped by a reader that does not know them.
+const FIRST_SKIPPABLE_KIND: u8 = 0x80;
+/// Bytes of the header before the checksum, which covers them.
+const CHECKSUM_OFFSET: usize = 8;
+
+/// What stands at the start of some bytes, with the number of bytes that it takes up.
+#[derive(Debug, PartialEq)]
+pub enum Decoded<'a> {
+    /// No whole frame yet.
+    Incomplete,
+    /// A frame of an unknown kind that may be skipped.
+    Skipped(usize),
+    /// A message.
+    Frame(Message<'a>, usize),
+}
+
+/// Decodes the frame at the start of `bytes`.
+pub fn decode(bytes: &[u8]) -> Result<Decoded<'_>, DecodeError> {
+    let Some(header) = bytes.first_chunk::<HEADER_LENGTH>() else { return Ok(Decoded::Incomplete) };
+    let [l0, l1, l2, l3, kind, _, f0, f1, c0, c1, c2, c3] = *header;
+    let body_length = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
+    if body_length > MAX_BODY_LENGTH {
+        return Err(DecodeError::BodyTooLong(body_length));
+    }
+    let frame_length = HEADER_LENGTH + body_length;
+    let Some(body) = bytes.get(HEADER_LENGTH..frame_length) else { return Ok(Decoded::Incomplete) };
+    if u32::from_le_bytes([c0, c1, c2, c3]) != checksum(&header[..CHECKSUM_OFFSET], body) {
+        return Err(DecodeError::ChecksumMismatch);
+    }
+    let fields_length = usize::from(u16::from_le_bytes([f0, f1]));
+    let Some((fields, payload)) = body.split_at_checked(fields_length) else {
+        return Err(DecodeError::Truncated("fields"));
+    };
+    match Message::decode(kind, &mut FieldReader::new(fields), payload)? {
+        Some(message) => Ok(Decoded::Frame(message, frame_length)),
+        None if kind >= FIRST_SKIPPABLE_KIND => Ok(Decoded::Skipped(frame_length)),
+        None => Err(DecodeError::UnknownKind(kind)),
+    }
+}
+
+/// Appends a message as one frame. The caller keeps the payload within [`MAX_PAYLOAD_LENGTH`] and a list within
+/// [`MAX_LIST_ENTRIES`].
+pub fn encode(message: &Message, out: &mut Vec<u8>) {
+    let start = out.len();
+    let body_start = start + HEADER_LENGTH;
+    out.extend_from_slice(&[0; HEADER_LENGTH]);
+    message.encode_fields(&mut FieldWriter(out));
+    let fields_length = (out.len() - body_start) as u16;
+    message.encode_payload(&mut FieldWriter(out));
+    let body_length = (out.len() - body_start) as u32;
+    debug_assert!(body_length as usize <= MAX_BODY_LENGTH, "a frame of {body_length} bytes");
+    let header = &mut out[start..body_start];
+    header[..4].copy_from_slice(&body_length.to_le_bytes());
+    header[4] = message.kind();
+    header[6..8].copy_from_slice(&fields_length.to_le_bytes());
+    let sum = checksum(&out[start..start + CHECKSUM_OFFSET], &out[body_start..]);
+    out[start + CHECKSUM_OFFSET..body_start].copy_from_slice(&sum.to_le_bytes());
+}
+
+fn checksum(header: &[u8], body: &[u8]) -> u32 {
+    crc32c::crc32c_append(crc32c::crc32c(header), body)
+}
+
+/// Iterates over the messages at the start of some bytes and passes over frames to be skipped. Ends where no whole
+/// frame is left; after an error nothing more can be read.
+pub struct Frames<'a> {
+    bytes: &'a [u8],
+    consumed: usize,
+}
+
+impl<'a> Frames<'a> {
+    /// The frames of these bytes.
+    pub fn new(bytes: &'a [u8]) -> Frames<'a> {
+        Frames { bytes, consumed: 0 }
+    }
+
+    /// Bytes of all frames that were returned or skipped.
+    pub fn consumed(&self) -> usize {
+        self.consumed
+    }
+}
+
+impl<'a> Iterator for Frames<'a> {
+    type Item = Result<Message<'a>, DecodeError>;
+
+    fn next(&mut self) -> Option<Self::Item> {
+        loop {
+            match decode(&self.bytes[self.consumed..]) {
+                Ok(Decoded::Incomplete) => return None,
+                Ok(Decoded::Skipped(length)) => self.consumed += length,
+                Ok(Decoded::Frame(message, length)) => {
+                    self.consumed += length;
+                    return Some(Ok(message));
+                }
+                Err(error) => return Some(Err(error)),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/node-protocol/src/message/endpoint_list.rs
@@ -0,0 +1,114 @@
+//! The endpoint list.
+
+use crate::fields::{FieldReader, FieldWriter};
+use crate::frame::MAX_LIST_ENTRIES;
+use crate::DecodeError;
+
+/// Bytes of an entry.
+pub const ENDPOINT_ENTRY_LENGTH: usize = 38;
+
+/// The state of a listed node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EntryState {
+    /// It serves.
+    Ready,
+    /// It finishes what it has and takes nothing new.
+    Draining,
+    /// It no longer exists.
+    Removed,
+}
+
+impl EntryState {
+    /// In the order of their numbers on the wire.
+    const ALL: [EntryState; 3] = [EntryState::Ready, EntryState::Draining, EntryState::Removed];
+}
+
+/// A node on the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndpointEntry {
+    /// Its number.
+    pub node: u32,
+    /// The shard that it holds.
+    pub shard: u32,
+    /// Where it stands.
+    pub zone: u16,
+    /// Whether it serves.
+    pub state: EntryState,
+    /// Drawn anew at every start of its process.
+    pub incarnation: u64,
+    /// How long ago its process started; [`LONG_AGO`](crate::LONG_AGO) where it no longer matters.
+    pub age_us: u64,
+    /// The IPv4 address at which it listens.
+    pub address: [u8; 4],
+    /// The port at which it listens.
+    pub port: u16,
+}
+
+impl EndpointEntry {
+    fn decode(bytes: &[u8]) -> Result<EndpointEntry, DecodeError> {
+        let mut fields = FieldReader::new(bytes);
+        let node = fields.u32("node")?;
+        let shard = fields.u32("shard")?;
+        let zone = fields.u16("zone")?;
+        let state = fields.one_of(&EntryState::ALL, "state")?;
+        fields.u8("zero")?;
+        let incarnation = fields.u64("incarnation")?;
+        let age_us = fields.u64("age")?;
+        let address = fields.u32("address")?.to_le_bytes();
+        let port = fields.u16("port")?;
+        Ok(EndpointEntry { node, shard, zone, state, incarnation, age_us, address, port })
+    }
+
+    fn encode(&self, out: &mut FieldWriter) {
+        out.u32(self.node)
+            .u32(self.shard)
+            .u16(self.zone)
+            .one_of(&EntryState::ALL, &self.state)
+            .u8(0)
+            .u64(self.incarnation)
+            .u64(self.age_us)
+            .bytes(&self.address)
+            .u16(self.port)
+            .bytes(&[0; 4]);
+    }
+}
+
+/// The endpoint list: all of it, or what changed since the epoch before.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EndpointListUpdate {
+    /// Whether it is the whole list.
+    pub snapshot: bool,
+    /// The epoch that it leads to.
+    pub epoch: u64,
+    /// The nodes of the list, or those that changed.
+    pub entries: Vec<EndpointEntry>,
+}
+
+impl EndpointListUpdate {
+    pub(super) fn decode(
+        fields: &mut FieldReader,
+        payload: &[u8],
+    ) -> Result<EndpointListUpdate, DecodeError> {
+        Ok(EndpointListUpdate {
+            snapshot: fields.flag("snapshot flag")?,
+            epoch: fields.u64("epoch")?,
+            entries: decode_entries(payload)?,
+        })
+    }
+
+    pub(super) fn encode_fields(&self, out: &mut FieldWriter) {
+        out.flag(self.snapshot).u64(self.epoch);
+    }
+
+    pub(super) fn encode_entries(&self, out: &mut FieldWriter) {
+        self.entries.iter().for_each(|entry| entry.encode(out));
+    }
+}
+
+fn decode_entries(bytes: &[u8]) -> Result<Vec<EndpointEntry>, DecodeError> {
+    let count = bytes.len() / ENDPOINT_ENTRY_LENGTH;
+    if !bytes.len().is_multiple_of(ENDPOINT_ENTRY_LENGTH) || count > MAX_LIST_ENTRIES {
+        return Err(DecodeError::InvalidField("length of the list"));
+    }
+    bytes.chunks_exact(ENDPOINT_ENTRY_LENGTH).map(EndpointEntry::decode).collect()
+}
--- /dev/null
+++ b/crates/node-protocol/src/message/hello.rs
@@ -0,0 +1,71 @@
+//! The greeting.
+
+use crate::fields::{FieldReader, FieldWriter};
+use crate::DecodeError;
+
+/// The version of the protocol that this package speaks.
+pub const VERSION: u16 = 1;
+/// The age of a process that started long ago.
+pub const LONG_AGO: u64 = u64::MAX;
+
+/// What a process is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Role {
+    /// Sends requests to hosts.
+    Client,
+    /// Sends attempts to nodes.
+    Host,
+    /// Serves attempts.
+    Node,
+    /// Serves the endpoint list and the extent map.
+    EndpointList,
+}
+
+impl Role {
+    /// In the order of their numbers on the wire.
+    const ALL: [Role; 4] = [Role::Client, Role::Host, Role::Node, Role::EndpointList];
+}
+
+/// The first message either way on every connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Hello {
+    /// The lowest version spoken; the highest that both speak is used.
+    pub lowest: u16,
+    /// The highest version spoken.
+    pub highest: u16,
+    /// What the process is.
+    pub role: Role,
+    /// Number of the node or host; a client may choose any.
+    pub number: u32,
+    /// Drawn anew at every start of the process.
+    pub incarnation: u64,
+    /// How long ago the process started; [`LONG_AGO`] where it no longer matters.
+    pub age_us: u64,
+}
+
+impl Hello {
+    /// The greeting of this version.
+    pub fn new(role: Role, number: u32, incarnation: u64, age_us: u64) -> Hello {
+        Hello { lowest: VERSION, highest: VERSION, role, number, incarnation, age_us }
+    }
+
+    pub(super) fn decode(fields: &mut FieldReader) -> Result<Hello, DecodeError> {
+        Ok(Hello {
+            lowest: fields.u16("lowest version")?,
+            highest: fields.u16("highest version")?,
+            role: fields.one_of(&Role::ALL, "role")?,
+            number: fields.u32("number")?,
+            incarnation: fields.u64("incarnation")?,
+            age_us: fields.u64("age")?,
+        })
+    }
+
+    pub(super) fn encode(&self, out: &mut FieldWriter) {
+        out.u16(self.lowest)
+            .u16(self.highest)
+            .one_of(&Role::ALL, &self.role)
+            .u32(self.number)
+            .u64(self.incarnation)
+            .u64(self.age_us);
+    }
+}
--- /dev/null
+++ b/crates/node-protocol/src/message/mod.rs
@@ -0,0 +1,240 @@
+//! The messages, one module a family, each with its encoding beside its decoding. Times travel as spans in
+//! microseconds, never as points on a clock, as no two machines share one.
+
+mod attempt;
+mod client;
+mod endpoint_list;
+mod extent_map;
+mod hello;
+
+pub use attempt::{Attempt, Outcome, OutcomeCode};
+pub use client::{ClientRequest, FinalAnswer, FinalCode};
+pub use endpoint_list::{EndpointEntry, EndpointListUpdate, EntryState};
+pub use extent_map::{MapEntry, MapEntryKind, MapUpdate, MigrationStage};
+pub use hello::{Hello, Role, LONG_AGO, VERSION};
+
+pub(crate) use endpoint_list::ENDPOINT_ENTRY_LENGTH;
+pub(crate) use extent_map::MAP_ENTRY_LENGTH;
+
+use crate::fields::{FieldReader, FieldWriter};
+use crate::frame::MAX_PAYLOAD_LENGTH;
+use crate::DecodeError;
+
+/// The numbers of the kinds in a frame's header.
+mod kind {
+    pub const HELLO: u8 = 1;
+    pub const ATTEMPT: u8 = 2;
+    pub const OUTCOME: u8 = 3;
+    pub const CANCEL_ATTEMPT: u8 = 4;
+    pub const HEALTH_CHECK: u8 = 5;
+    pub const HEALTH_REPORT: u8 = 6;
+    pub const REQUEST: u8 = 7;
+    pub const FINAL_ANSWER: u8 = 8;
+    pub const CANCEL_REQUEST: u8 = 9;
+    pub const WATCH_ENDPOINTS: u8 = 10;
+    pub const ENDPOINT_LIST: u8 = 11;
+    pub const WATCH_REJECTED: u8 = 12;
+    pub const WATCH_MAP: u8 = 13;
+    pub const EXTENT_MAP: u8 = 14;
+    pub const MIGRATE: u8 = 15;
+    pub const MIGRATION_STATE: u8 = 16;
+    pub const BATCH: u8 = 17;
+}
+
+/// One message of the protocol.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Message<'a> {
+    /// The first message either way.
+    Hello(Hello),
+    /// Host to node: one attempt of a request.
+    Attempt(Attempt<'a>),
+    /// Host to node: attempts that travel as one request of the node; each gets its own outcome.
+    Batch(Vec<Attempt<'a>>),
+    /// Node to host: how an attempt ended.
+    Outcome(Outcome<'a>),
+    /// Host to node: nobody waits for this attempt any more.
+    CancelAttempt {
+        /// The request.
+        request_id: u64,
+        /// The number of its attempt.
+        attempt: u16,
+    },
+    /// Host to node: asks for a health report.
+    HealthCheck {
+        /// Comes back with the report.
+        number: u32,
+    },
+    /// Node to host: its load.
+    HealthReport {
+        /// The number of the health check.
+        number: u32,
+        /// Requests that wait at the node.
+        queue: u32,
+        /// The part of its cores that is busy.
+        busy: f32,
+    },
+    /// Client to host: a request.
+    Request(ClientRequest<'a>),
+    /// Host to client: the one final answer to a request.
+    FinalAnswer(FinalAnswer<'a>),
+    /// Client to host: nobody waits for this request any more.
+    CancelRequest {
+        /// The client's number for it.
+        request_id: u64,
+    },
+    /// Host to list service: asks for the endpoint list from this epoch on (0: all of it) and for its changes;
+    /// answered by a list or `WatchRejected`.
+    WatchEndpoints {
+        /// The last epoch that the host has.
+        epoch: u64,
+    },
+    /// List service to host: the endpoint list, or its changes.
+    EndpointList(EndpointListUpdate),
+    /// List service to host: it cannot serve the list now.
+    WatchRejected,
+    /// Host to list service: asks for the extent map and for its changes from then on.
+    WatchMap,
+    /// List service to host: the extent map, or its changes.
+    ExtentMap(MapUpdate),
+    /// Operator to list service: migrate the extent at `start` to a shard, or abort its migration.
+    Migrate {
+        /// The volume.
+        volume: u64,
+        /// Where the extent starts.
+        start: u64,
+        /// The shard that is to own it; one that no node holds only asks for the state.
+        shard: u32,
+        /// Whether to abort the migration under way.
+        abort: bool,
+    },
+    /// List service to operator: the answer to `Migrate`.
+    MigrationState {
+        /// The volume.
+        volume: u64,
+        /// Where the extent starts.
+        start: u64,
+        /// The shard that owns it.
+        from: u32,
+        /// The shard that is to own it.
+        to: u32,
+        /// How far the migration is.
+        stage: MigrationStage,
+    },
+}
+
+impl<'a> Message<'a> {
+    /// The number of its kind in the frame's header.
+    pub(crate) fn kind(&self) -> u8 {
+        match self {
+            Message::Hello(_) => kind::HELLO,
+            Message::Attempt(_) => kind::ATTEMPT,
+            Message::Batch(_) => kind::BATCH,
+            Message::Outcome(_) => kind::OUTCOME,
+            Message::CancelAttempt { .. } => kind::CANCEL_ATTEMPT,
+            Message::HealthCheck { .. } => kind::HEALTH_CHECK,
+            Message::HealthReport { .. } => kind::HEALTH_REPORT,
+            Message::Request(_) => kind::REQUEST,
+            Message::FinalAnswer(_) => kind::FINAL_ANSWER,
+            Message::CancelRequest { .. } => kind::CANCEL_REQUEST,
+            Message::WatchEndpoints { .. } => kind::WATCH_ENDPOINTS,
+            Message::EndpointList(_) => kind::ENDPOINT_LIST,
+            Message::WatchRejected => kind::WATCH_REJECTED,
+            Message::WatchMap => kind::WATCH_MAP,
+            Message::ExtentMap(_) => kind::EXTENT_MAP,
+            Message::Migrate { .. } => kind::MIGRATE,
+            Message::MigrationState { .. } => kind::MIGRATION_STATE,
+        }
+    }
+
+    /// Decodes the body of a frame; none for a kind that is not known.
+    pub(crate) fn decode(
+        kind: u8,
+        fields: &mut FieldReader,
+        payload: &'a [u8],
+    ) -> Result<Option<Message<'a>>, DecodeError> {
+        Ok(Some(match kind {
+            kind::HELLO => Message::Hello(Hello::decode(fields)?),
+            kind::ATTEMPT => Message::Attempt(Attempt::decode(fields, payload)?),
+            kind::BATCH => Message::Batch(attempt::decode_batch(fields, payload)?),
+            kind::OUTCOME => Message::Outcome(Outcome::decode(fields, payload)?),
+            kind::CANCEL_ATTEMPT => Message::CancelAttempt {
+                request_id: fields.u64("request id")?,
+                attempt: fields.u16("attempt")?,
+            },
+            kind::HEALTH_CHECK => Message::HealthCheck { number: fields.u32("number")? },
+            kind::HEALTH_REPORT => Message::HealthReport {
+                number: fields.u32("number")?,
+                queue: fields.u32("queue")?,
+                busy: fields.amount("busy part")?,
+            },
+            kind::REQUEST => Message::Request(ClientRequest::decode(fields, payload)?),
+            kind::FINAL_ANSWER => Message::FinalAnswer(FinalAnswer::decode(fields, payload)?),
+            kind::CANCEL_REQUEST => Message::CancelRequest { request_id: fields.u64("request id")? },
+            kind::WATCH_ENDPOINTS => Message::WatchEndpoints { epoch: fields.u64("epoch")? },
+            kind::ENDPOINT_LIST => Message::EndpointList(EndpointListUpdate::decode(fields, payload)?),
+            kind::WATCH_REJECTED => Message::WatchRejected,
+            kind::WATCH_MAP => Message::WatchMap,
+            kind::EXTENT_MAP => Message::ExtentMap(MapUpdate::decode(fields, payload)?),
+            kind::MIGRATE => Message::Migrate {
+                volume: fields.u64("volume")?,
+                start: fields.u64("start")?,
+                shard: fields.u32("shard")?,
+                abort: fields.flag("abort flag")?,
+            },
+            kind::MIGRATION_STATE => Message::MigrationState {
+                volume: fields.u64("volume")?,
+                start: fields.u64("start")?,
+                from: fields.u32("owner")?,
+                to: fields.u32("target")?,
+                stage: fields.one_of(&MigrationStage::ALL, "stage")?,
+            },
+            _ => return Ok(None),
+        }))
+    }
+
+    /// Appends the fields.
+    pub(crate) fn encode_fields(&self, out: &mut FieldWriter) {
+        match self {
+            Message::Hello(hello) => hello.encode(out),
+            Message::Attempt(attempt) => attempt.encode_fields(out),
+            Message::Batch(attempts) => _ = out.u16(attempts.len() as u16),
+            Message::Outcome(outcome) => outcome.encode_fields(out),
+            Message::CancelAttempt { request_id, attempt } => _ = out.u64(*request_id).u16(*attempt),
+            Message::HealthCheck { number } => _ = out.u32(*number),
+            Message::HealthReport { number, queue, busy } => _ = out.u32(*number).u32(*queue).f32(*busy),
+            Message::Request(request) => request.encode_fields(out),
+            Message::FinalAnswer(answer) => answer.encode_fields(out),
+            Message::CancelRequest { request_id } => _ = out.u64(*request_id),
+            Message::WatchEndpoints { epoch } => _ = out.u64(*epoch),
+            Message::EndpointList(update) => update.encode_fields(out),
+            Message::WatchRejected | Message::WatchMap => {}
+            Message::ExtentMap(update) => update.encode_fields(out),
+            Message::Migrate { volume, start, shard, abort } => {
+                out.u64(*volume).u64(*start).u32(*shard).flag(*abort);
+            }
+            Message::MigrationState { volume, start, from, to, stage } => {
+                out.u64(*volume).u64(*start).u32(*from).u32(*to).one_of(&MigrationStage::ALL, stage);
+            }
+        }
+    }
+
+    /// Appends what follows the fields: a payload, or the entries of a list.
+    pub(crate) fn encode_payload(&self, out: &mut FieldWriter) {
+        match self {
+            Message::Attempt(attempt) => _ = out.bytes(attempt.payload),
+            Message::Batch(attempts) => attempt::encode_batch(attempts, out),
+            Message::Outcome(outcome) => _ = out.bytes(outcome.payload),
+            Message::Request(request) => _ = out.bytes(request.payload),
+            Message::FinalAnswer(answer) => _ = out.bytes(answer.payload),
+            Message::EndpointList(update) => update.encode_entries(out),
+            Message::ExtentMap(update) => update.encode_entries(out),
+            _ => {}
+        }
+    }
+}
+
+/// Checks the length of what is read or written.
+fn checked_payload(payload: &[u8]) -> Result<&[u8], DecodeError> {
+    let fits = payload.len() <= MAX_PAYLOAD_LENGTH;
+    fits.then_some(payload).ok_or(DecodeError::InvalidField("payload"))
+}
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -6,7 +6,7 @@
 use crate::plant::Planted;
 use hdrhistogram::Histogram;
 use magpiewick_gateway::config::HostConfig;
-use magpiewick_node_protocol::{FinalCode, Frames, Hello, Message, Role, Take, LONG_AGO};
+use magpiewick_node_protocol::{ClientRequest, FinalCode, Frames, Hello, Message, Role, LONG_AGO};
 use magpiewick_transport::{Clock, Connection, Poll, Timers, Woken, NOTHING};
 use nanorand::{Rng, WyRand};
 use std::collections::HashMap;
@@ -388,7 +388,7 @@
         let Some(address) = self.hosts[host].address else { return };
         for line in host * self.traffic.clients..(host + 1) * self.traffic.clients {
             let Ok(mut connection) = Connection::connect(&self.poll, address, line) else { continue };
-            let hello = Hello::of(Role::Client, line as u32, 0, LONG_AGO);
+            let hello = Hello::new(Role::Client, line as u32, 0, LONG_AGO);
             connection.queue(&Message::Hello(hello), NOTHING);
             self.lines[line] = Some(Line { connection, life: None });
         }
@@ -475,15 +475,15 @@
             block[..marked].copy_from_slice(&t.mark.to_le_bytes()[..marked]);
         }
         l.connection.queue(
-            &Message::Take(Take {
+            &Message::Request(ClientRequest {
                 request_id: t.number,
                 class: t.class,
                 write: mix.write,
                 volume: t.volume,
                 key: t.key,
-                mark: t.mark,
+                idempotency_key: t.mark,
                 units: t.units as f32,
-                limit_us: (t.limit * 1000.0) as u32,
+                client_timeout_us: (t.limit * 1000.0) as u32,
                 blocks: t.blocks,
                 payload: &self.payload[..size],
             }),
@@ -504,7 +504,7 @@
                 self.tally.gave_up += 1;
                 self.say(Said::GaveUp { number });
                 if let Some(line) = &mut self.lines[c.line] {
-                    line.connection.queue(&Message::GiveUp { request_id: number }, NOTHING);
+                    line.connection.queue(&Message::CancelRequest { request_id: number }, NOTHING);
                 }
             }
             Due::Write(number) => self.write(number),
@@ -525,11 +525,11 @@
             match message {
                 Ok(Message::Hello(hello)) => {
                     if let Some(l) = &mut self.lines[line] {
-                        l.life = Some(hello.life);
+                        l.life = Some(hello.incarnation);
                     }
                 }
-                Ok(Message::Final(f)) => {
-                    self.answered(f.request_id, f.verdict, f64::from(f.back_us) / 1000.0, f.payload)
+                Ok(Message::FinalAnswer(f)) => {
+                    self.answered(f.request_id, f.code, f64::from(f.retry_after_us) / 1000.0, f.payload)
                 }
                 Ok(_) => ended = true,
                 Err(_) => {
@@ -538,7 +538,7 @@
                 }
             }
         }
-        let used = frames.used();
+        let used = frames.consumed();
         if let Some(l) = &mut self.lines[line] {
             l.connection.give_back(input, used);
         }
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -2,7 +2,7 @@
 //! latency and processor time are measured against.
 
 use magpiewick_node_protocol::{
-    Attempt, Final, FinalCode, Frames, Hello, Message, OutcomeCode, Role, LONG_AGO,
+    Attempt, FinalAnswer, FinalCode, Frames, Hello, Message, OutcomeCode, Role, LONG_AGO,
 };
 use magpiewick_transport::{listen, Connection, Poll, Woken, NOTHING};
 use slab::Slab;
@@ -54,7 +54,7 @@
         let entry = self.clients.vacant_entry();
         let key = CLIENTS + entry.key();
         let mut connection = Connection::accepted(&self.poll, stream, key)?;
-        connection.queue(&Message::Hello(Hello::of(Role::Host, 0, 1, LONG_AGO)), NOTHING);
+        connection.queue(&Message::Hello(Hello::new(Role::Host, 0, 1, LONG_AGO)), NOTHING);
         entry.insert(connection);
         Ok(())
     }
@@ -74,7 +74,7 @@
         while let Some(Ok(message)) = frames.next() {
             self.pass(key, &message);
         }
-        let used = frames.used();
+        let used = frames.consumed();
         if let Some(connection) = self.connection(key) {
             connection.give_back(input, used);
         }
@@ -88,7 +88,7 @@
 
     fn pass(&mut self, key: usize, message: &Message) {
         match message {
-            Message::Take(t) => {
+            Message::Request(t) => {
                 let request_id = self.out.insert((key, t.request_id)) as u64;
                 let node = (t.key % self.nodes.len() as u64) as usize;
                 let handed = Attempt {
@@ -98,10 +98,10 @@
                     write: t.write,
                     volume: t.volume,
                     key: t.key,
-                    mark: t.mark,
+                    idempotency_key: t.idempotency_key,
                     units: t.units,
                     shard: node as u32,
-                    left_us: t.limit_us,
+                    remaining_us: t.client_timeout_us,
                     version: 0,
                     blocks: t.blocks,
                     payload: t.payload,
@@ -112,9 +112,9 @@
                 let Some((client, request_id)) = self.out.try_remove(o.request_id as usize) else { return };
                 let verdict =
                     if o.code == OutcomeCode::Succeeded { FinalCode::Succeeded } else { FinalCode::Rejected };
-                let answer = Final { request_id, verdict, back_us: 0, payload: o.payload };
+                let answer = FinalAnswer { request_id, code: verdict, retry_after_us: 0, payload: o.payload };
                 if let Some(client) = self.connection(client) {
-                    client.queue(&Message::Final(answer), NOTHING);
+                    client.queue(&Message::FinalAnswer(answer), NOTHING);
                 }
             }
             _ => {}
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection that carries frames over a stream of bytes.
 
 use crate::{Ended, Poll, Stream};
-use magpiewick_node_protocol::{write, Message};
+use magpiewick_node_protocol::{encode, Message};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -70,7 +70,7 @@
     /// Puts a message that stands for several marks behind what is to be written.
     pub fn queue_for(&mut self, message: &Message, mark: u64, others: Vec<u64>) {
         let start = self.stream.queued_in_all();
-        write(message, self.stream.output());
+        encode(message, self.stream.output());
         if mark != NOTHING {
             let end = self.stream.queued_in_all();
             self.frames.push_back(Frame { start, end, mark, others });
--- a/crates/transport/src/connection/tests.rs
+++ b/crates/transport/src/connection/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::listen;
-use magpiewick_node_protocol::{read, Message as M, Read as R, Take};
+use magpiewick_node_protocol::{decode, ClientRequest, Decoded, Message as M};
 use std::io::ErrorKind;
 
 fn pair(poll: &Poll) -> (Connection, Connection) {
@@ -20,8 +20,20 @@
 }
 
 fn take(request_id: u64, payload: &[u8]) -> M<'_> {
-    let (class, volume, key, mark, units, limit_us, blocks) = (0, 1, 2, request_id, 1.0, 1000, 1);
-    M::Take(Take { request_id, class, write: true, volume, key, mark, units, limit_us, blocks, payload })
+    let (class, volume, key, idempotency_key, units, client_timeout_us, blocks) =
+        (0, 1, 2, request_id, 1.0, 1000, 1);
+    M::Request(ClientRequest {
+        request_id,
+        class,
+        write: true,
+        volume,
+        key,
+        idempotency_key,
+        units,
+        client_timeout_us,
+        blocks,
+        payload,
+    })
 }
 
 /// Reads until as many frames came as wanted; the requests in their order.
@@ -30,8 +42,8 @@
     while found.len() < wanted {
         to.fill().unwrap();
         let (input, mut used) = (to.take_input(), 0);
-        while let Ok(R::Whole(message, n)) = read(&input[used..]) {
-            let M::Take(t) = message else { panic!("{message:?}") };
+        while let Ok(Decoded::Frame(message, n)) = decode(&input[used..]) {
+            let M::Request(t) = message else { panic!("{message:?}") };
             found.push(t.request_id);
             used += n;
         }
@@ -61,7 +73,7 @@
         from.flush().unwrap();
         to.fill().unwrap();
         let (input, mut used) = (to.take_input(), 0);
-        while let Ok(R::Whole(M::Take(t), n)) = read(&input[used..]) {
+        while let Ok(Decoded::Frame(M::Request(t), n)) = decode(&input[used..]) {
             found.push(t.request_id);
             used += n;
         }
