--- a/crates/gateway/src/floor.rs
+++ b/crates/gateway/src/floor.rs
@@ -699,7 +699,7 @@
     pub fn peer_lost(&mut self, key: usize, why: &str) {
         let index = index_of(key);
         let peer = &mut self.peers[index];
-        let unsent = peer.connection.take().map_or(Vec::new(), |c| c.never_left());
+        let unsent = peer.connection.take().map_or(Vec::new(), |c| c.unwritten());
         tracing::info!(node = peer.node, why, out = peer.out.len(), "connection to a node is over");
         (peer.life, peer.contact) = (None, Contact::default());
         for request_id in std::mem::take(&mut peer.out) {
@@ -812,13 +812,14 @@
         self.waiting_back(index);
         let peer = &mut self.peers[index];
         let Some(connection) = &mut peer.connection else { return };
-        let (pulled, whole) = connection.pull_back();
+        let magpiewick_transport::Withdrawn { tokens: pulled, partly_written } =
+            connection.withdraw_unwritten();
         peer.out.retain(|request_id| !pulled.contains(request_id));
         pulled.iter().for_each(|_| peer.contact.done(None));
         pulled.into_iter().for_each(|request_id| self.owe(request_id, Outcome::ConnectFailed, index));
         let gone =
             self.follower.node(self.peers[index].node).is_none_or(|k| k.line.state == EntryState::Removed);
-        if !whole {
+        if partly_written {
             // The rest of a frame would reach the node at a time that nobody can tell.
             self.peer_lost(key_of(Place::Node, index), "it takes nothing more, and a frame is half written");
         } else if gone && self.peers[index].out.is_empty() {
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -169,7 +169,7 @@
         let mut all: Vec<Standing> = self.standing().filter(of).collect();
         while let Some(key) = clients::gives_way(self.now, all.iter().copied()) {
             // What it has just asked would be lost with it; and the end of a connection with bytes unread is a break.
-            if !self.client(key).is_some_and(|c| c.stream.unread()) {
+            if !self.client(key).is_some_and(|c| c.stream.has_unread()) {
                 self.counts.evicted += 1;
                 self.drop_client(key, Closed::Evicted);
                 return true;
@@ -230,7 +230,7 @@
         let same = |client: &&mut Client| client.serial == serial;
         let Some(client) = self.floor.client(key).filter(same) else { return };
         client.timed = false;
-        if !client.closing && client.stream.reading() && client.stream.unread() {
+        if !client.closing && client.stream.reading() && client.stream.has_unread() {
             self.read_client(key);
         }
         let Some(client) = self.floor.client(key).filter(same) else { return };
--- a/crates/platform/src/discovery_calls.rs
+++ b/crates/platform/src/discovery_calls.rs
@@ -138,7 +138,7 @@
     fn resting_connection(&mut self) -> Option<usize> {
         let key = self.floor.resting_call.take()?;
         let Some(Peer::Call(connection)) = self.floor.peers.get_mut(key) else { return None };
-        if matches!(connection.stream.fill_to(1), Ok(false)) && connection.stream.input().is_empty() {
+        if connection.stream.is_reusable() {
             return Some(key);
         }
         self.floor.peers.try_remove(key);
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -204,7 +204,7 @@
             let key = self.pool.take(self.now, node, self.trust.quiet())?;
             let Some(link) = self.link(key) else { continue };
             // Bytes or an end that came while it rested are no answer to anything.
-            if matches!(link.stream.fill_to(1), Ok(false)) && link.stream.input().is_empty() {
+            if link.stream.is_reusable() {
                 return Some(key);
             }
             self.drop_stray(key);
@@ -391,7 +391,7 @@
             _ => {
                 let Some(link) = self.link(key) else { return };
                 link.stage = Stage::Rests;
-                link.stream.rest();
+                link.stream.release_buffers();
                 return self.pool.rests(now, node, key);
             }
         };
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that carries frames over a stream of bytes.
+//! One connection that carries frames of the node protocol over a byte stream.
 
 use crate::{Ended, Poll, Stream};
 use magpiewick_node_protocol::{encode, Message};
@@ -6,43 +6,58 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// What a frame is marked with that need not be told apart.
+/// The token of a frame that is not tracked.
 pub const NOTHING: u64 = 0;
 
-/// A frame in the output: where it starts and ends, counted in bytes since the connection began, and its marks.
-struct Frame {
+/// A tracked frame in the output: where it starts and ends, in bytes since the connection began, and its tokens.
+struct TrackedFrame {
     start: u64,
     end: u64,
-    mark: u64,
-    /// Further marks of a message that stands for several.
-    others: Vec<u64>,
+    token: u64,
+    /// Further tokens, of a frame that carries several attempts.
+    more_tokens: Vec<u64>,
 }
 
-impl Frame {
-    fn marks(&self) -> impl Iterator<Item = u64> + '_ {
-        std::iter::once(self.mark).chain(self.others.iter().copied())
+impl TrackedFrame {
+    fn tokens(&self) -> impl Iterator<Item = u64> + '_ {
+        std::iter::once(self.token).chain(self.more_tokens.iter().copied())
     }
 }
 
+/// What [`Connection::withdraw_unwritten`] found.
+#[derive(Debug, PartialEq, Eq)]
+#[must_use]
+pub struct Withdrawn {
+    /// Tokens of the frames that will not be sent.
+    pub tokens: Vec<u64>,
+    /// Whether a tracked frame is left of which a part was written.
+    pub partly_written: bool,
+}
+
+/// A connection that carries frames, and knows which of them left whole.
 pub struct Connection {
     stream: Stream,
-    frames: VecDeque<Frame>,
+    /// Tracked frames whose last byte the kernel has not taken.
+    unwritten: VecDeque<TrackedFrame>,
 }
 
 impl Connection {
+    /// Takes over a connection that a listener accepted.
     pub fn accepted(poll: &Poll, stream: TcpStream, key: usize) -> io::Result<Connection> {
-        Ok(Connection { stream: Stream::accepted(poll, stream, key)?, frames: VecDeque::new() })
+        Ok(Connection { stream: Stream::accepted(poll, stream, key)?, unwritten: VecDeque::new() })
     }
 
     /// Starts to connect; whether that succeeds shows at the first write or read.
     pub fn connect(poll: &Poll, address: SocketAddr, key: usize) -> io::Result<Connection> {
-        Ok(Connection { stream: Stream::connect(poll, address, key)?, frames: VecDeque::new() })
+        Ok(Connection { stream: Stream::connect(poll, address, key)?, unwritten: VecDeque::new() })
     }
 
+    /// The key under which it is registered at the poller.
     pub fn key(&self) -> usize {
         self.stream.key()
     }
 
+    /// Whether the connection is not established yet.
     pub fn connecting(&self) -> bool {
         self.stream.connecting()
     }
@@ -52,32 +67,33 @@
         self.stream.fill()
     }
 
-    /// Takes what was read out, so that frames can be used while the connection is written to; what was not
-    /// used comes back by [`Connection::give_back`].
+    /// Takes out what was read, so that frames can be used while the connection is written to; the caller returns
+    /// it by [`Connection::give_back`].
     pub fn take_input(&mut self) -> Vec<u8> {
         self.stream.take_input()
     }
 
+    /// Returns what [`Connection::take_input`] took; its first `used` bytes are dropped.
     pub fn give_back(&mut self, input: Vec<u8>, used: usize) {
         self.stream.give_back(input, used);
     }
 
-    /// Puts a message behind what is to be written. `mark` names it to [`Connection::never_left`].
-    pub fn queue(&mut self, message: &Message, mark: u64) {
-        self.queue_for(message, mark, Vec::new());
+    /// Queues a message. `token` names it to [`Connection::unwritten`], unless it is [`NOTHING`].
+    pub fn queue(&mut self, message: &Message, token: u64) {
+        self.queue_for(message, token, Vec::new());
     }
 
-    /// Puts a message that stands for several marks behind what is to be written.
-    pub fn queue_for(&mut self, message: &Message, mark: u64, others: Vec<u64>) {
+    /// Queues a message that has several tokens.
+    pub fn queue_for(&mut self, message: &Message, token: u64, more_tokens: Vec<u64>) {
         let start = self.stream.queued_in_all();
         encode(message, self.stream.output());
-        if mark != NOTHING {
+        if token != NOTHING {
             let end = self.stream.queued_in_all();
-            self.frames.push_back(Frame { start, end, mark, others });
+            self.unwritten.push_back(TrackedFrame { start, end, token, more_tokens });
         }
     }
 
-    /// Puts bytes that need not be a whole frame behind what is to be written; for rigs that break off.
+    /// Queues bytes that need not be a whole frame; for emulated peers that break off.
     pub fn queue_bytes(&mut self, bytes: &[u8]) {
         self.stream.output().extend_from_slice(bytes);
     }
@@ -89,40 +105,40 @@
 
     /// Writes what the kernel takes.
     pub fn flush(&mut self) -> Result<(), Ended> {
-        let done = self.stream.flush();
-        let taken = self.stream.written_in_all();
-        while self.frames.front().is_some_and(|f| f.end <= taken) {
-            self.frames.pop_front();
+        let flushed = self.stream.flush();
+        let written = self.stream.written_in_all();
+        while self.unwritten.front().is_some_and(|frame| frame.end <= written) {
+            self.unwritten.pop_front();
         }
-        done
+        flushed
     }
 
-    /// Whether to read on; a peer that is not read is held back by its own buffers.
+    /// Sets whether to read on. A peer that is not read from is slowed down by TCP's flow control.
     pub fn set_reading(&mut self, reading: bool) -> Result<(), Ended> {
         self.stream.set_reading(reading)
     }
 
-    /// Tells the peer that nothing more comes, while what it sends can still be read.
+    /// Closes the writing half; what the peer sends can still be read.
     pub fn end_writing(&mut self) {
         self.stream.end_writing();
     }
 
-    /// Marks of the frames whose last byte the kernel has not taken: the peer cannot have read them whole, and
+    /// Tokens of the frames whose last byte the kernel has not taken: the peer cannot have read them whole, and
     /// a frame that is not whole fails its checksum.
-    pub fn never_left(&self) -> Vec<u64> {
-        self.frames.iter().flat_map(Frame::marks).collect()
-    }
-
-    /// Takes marked frames of which no byte was written out of the output; their marks come back. False where a
-    /// marked frame is left of which a part was written.
-    pub fn pull_back(&mut self) -> (Vec<u64>, bool) {
-        let taken = self.stream.written_in_all();
-        let begun = self.frames.front().is_some_and(|f| f.start < taken);
-        let pulled: Vec<Frame> = self.frames.drain(usize::from(begun)..).collect();
-        for frame in pulled.iter().rev() {
-            self.stream.pull(frame.start, frame.end);
+    #[must_use]
+    pub fn unwritten(&self) -> Vec<u64> {
+        self.unwritten.iter().flat_map(TrackedFrame::tokens).collect()
+    }
+
+    /// Withdraws the tracked frames of which no byte was written.
+    pub fn withdraw_unwritten(&mut self) -> Withdrawn {
+        let written = self.stream.written_in_all();
+        let partly_written = self.unwritten.front().is_some_and(|frame| frame.start < written);
+        let withdrawn: Vec<TrackedFrame> = self.unwritten.drain(usize::from(partly_written)..).collect();
+        for frame in withdrawn.iter().rev() {
+            self.stream.remove_unwritten(frame.start, frame.end);
         }
-        (pulled.iter().flat_map(Frame::marks).collect(), !begun)
+        Withdrawn { tokens: withdrawn.iter().flat_map(TrackedFrame::tokens).collect(), partly_written }
     }
 
     /// Ends the connection so that the peer sees a reset, not an orderly end.
--- a/crates/transport/src/connection/tests.rs
+++ b/crates/transport/src/connection/tests.rs
@@ -19,7 +19,7 @@
     (from, to)
 }
 
-fn take(request_id: u64, payload: &[u8]) -> M<'_> {
+fn request(request_id: u64, payload: &[u8]) -> M<'_> {
     let (class, volume, key, idempotency_key, units, client_timeout_us, blocks) =
         (0, 1, 2, request_id, 1.0, 1000, 1);
     M::Request(ClientRequest {
@@ -53,21 +53,21 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_is_written_in_parts_and_what_never_left_is_known() {
+fn frames_that_a_slow_peer_did_not_take_are_known_and_can_be_withdrawn() {
     let poll = Poll::new().unwrap();
     let (mut from, mut to) = pair(&poll);
     let payload = vec![7; 1 << 20];
     for request_id in 1..=40 {
-        from.queue(&take(request_id, &payload), request_id);
+        from.queue(&request(request_id, &payload), request_id);
     }
     from.flush().unwrap();
-    let left = from.never_left();
-    assert!(!left.is_empty() && from.pending() > 0, "the kernel took 40 MiB at once");
-    let (pulled, whole) = from.pull_back();
-    assert!(!whole, "a frame was begun");
-    assert_eq!(pulled, left[1..]);
-    from.queue(&take(99, &[]), 99);
-    let wanted = 40 - pulled.len() + 1;
+    let unwritten = from.unwritten();
+    assert!(!unwritten.is_empty() && from.pending() > 0, "the kernel took 40 MiB at once");
+    let Withdrawn { tokens: withdrawn, partly_written } = from.withdraw_unwritten();
+    assert!(partly_written, "a frame was begun");
+    assert_eq!(withdrawn, unwritten[1..]);
+    from.queue(&request(99, &[]), 99);
+    let wanted = 40 - withdrawn.len() + 1;
     let mut found = Vec::new();
     while found.len() < wanted {
         from.flush().unwrap();
@@ -84,17 +84,17 @@
 }
 
 #[test]
-fn what_was_not_begun_is_pulled_back_and_the_rest_stays_in_order() {
+fn withdrawn_frames_are_not_sent_and_the_rest_stays_in_order() {
     let poll = Poll::new().unwrap();
     let (mut from, mut to) = pair(&poll);
-    from.queue(&take(1, &[1]), 1);
-    from.queue(&take(2, &[2]), NOTHING);
-    from.queue(&take(3, &[3]), 3);
-    assert_eq!(from.pull_back(), (vec![1, 3], true));
-    from.queue(&take(4, &[4]), 4);
-    assert_eq!(from.never_left(), [4]);
+    from.queue(&request(1, &[1]), 1);
+    from.queue(&request(2, &[2]), NOTHING);
+    from.queue(&request(3, &[3]), 3);
+    assert_eq!(from.withdraw_unwritten(), Withdrawn { tokens: vec![1, 3], partly_written: false });
+    from.queue(&request(4, &[4]), 4);
+    assert_eq!(from.unwritten(), [4]);
     from.flush().unwrap();
-    assert!(from.never_left().is_empty());
+    assert!(from.unwritten().is_empty());
     assert_eq!(requests(&mut to, 2), [2, 4]);
 }
 
@@ -106,7 +106,7 @@
         Ok(connection) => connection,
         Err(_) => return,
     };
-    refused.queue(&take(1, &[]), 1);
+    refused.queue(&request(1, &[]), 1);
     let ended = loop {
         match refused.flush() {
             Ok(()) => std::thread::yield_now(),
@@ -114,5 +114,5 @@
         }
     };
     assert!(matches!(ended, Ended::Failed(_)));
-    assert_eq!(refused.never_left(), [1]);
+    assert_eq!(refused.unwritten(), [1]);
 }
--- a/crates/transport/src/errors.rs
+++ b/crates/transport/src/errors.rs
@@ -1,4 +1,4 @@
-//! What the errors of socket calls say, so that none is taken for another.
+//! Classifies the errors of socket calls.
 
 use rustix::io::Errno;
 use std::io;
@@ -6,13 +6,13 @@
 /// What to do after `accept` failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
-    /// Nobody waits to be accepted.
+    /// No connection waits to be accepted.
     Empty,
     /// This connection or this call failed; the next one may be accepted.
     Next,
     /// No descriptor is left: another connection has to end before the next one can be accepted.
     OutOfDescriptors,
-    /// The system is short of something else. FinalStatus a connection does not help; it is tried again later.
+    /// The system is short of something else. Closing a connection does not help; it is tried again later.
     Short,
 }
 
@@ -20,12 +20,12 @@
     Errno::from_io_error(error)
 }
 
-/// Whether a connect that does not block goes on behind this error. One that a signal interrupts does.
+/// Whether a non-blocking connect is still under way after this error, as after an interrupting signal.
 pub fn connect_goes_on(error: &io::Error) -> bool {
     matches!(errno(error), Some(Errno::INPROGRESS | Errno::AGAIN | Errno::INTR))
 }
 
-/// Whether a call failed for want of a descriptor.
+/// Whether a call failed because no descriptor was left.
 pub fn out_of_descriptors(error: &io::Error) -> bool {
     matches!(errno(error), Some(Errno::MFILE | Errno::NFILE))
 }
@@ -59,7 +59,8 @@
     }
 }
 
-/// Linux passes on to `accept` what already happened to a connection, which says nothing of the next one.
+/// What to do after `accept` failed. Linux reports errors of the accepted connection through `accept`; they say
+/// nothing about the next connection.
 pub fn accept_error(error: &io::Error) -> AcceptError {
     if out_of_descriptors(error) {
         return AcceptError::OutOfDescriptors;
--- a/crates/transport/src/errors/tests.rs
+++ b/crates/transport/src/errors/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_peer_is_blamed_for_no_want_of_this_host() {
+fn only_network_errors_are_blamed_on_the_peer() {
     let of = |errno: Errno| reach(&io::Error::from(errno));
     for errno in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::NETUNREACH, Errno::TIMEDOUT] {
         assert_eq!(of(errno), Reach::Remote, "{errno:?}");
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn only_want_of_descriptors_is_taken_for_it() {
+fn only_missing_descriptors_are_classified_as_such() {
     let of = |errno: Errno| accept_error(&io::Error::from(errno));
     assert_eq!(of(Errno::AGAIN), AcceptError::Empty);
     for errno in [Errno::MFILE, Errno::NFILE] {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,7 @@
-//! What every loop of magpiewick needs and what decides nothing: a poller that owns its sources, streams of
-//! bytes, connections that carry frames on them, and timers.
+//! What every event loop of magpiewick needs: a poller that owns its sources, byte streams, connections that carry
+//! frames, and timers. It decides nothing.
+
+#![warn(missing_docs)]
 
 mod connection;
 mod errors;
@@ -7,7 +9,7 @@
 mod stream;
 mod timers;
 
-pub use connection::{Connection, NOTHING};
+pub use connection::{Connection, Withdrawn, NOTHING};
 pub use errors::{accept_error, out_of_descriptors, reach, AcceptError, Reach};
 pub use poll::{Poll, Registered, Woken};
 pub use stream::{Ended, Stream};
@@ -16,13 +18,16 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// A listener that does not block. The address may be used again at once, as a restarted process must be
-/// reachable where the old one was.
+/// Connections that the kernel completes before they are accepted.
+const BACKLOG: i32 = 1024;
+
+/// A non-blocking listener. Its address can be reused at once, so that a restarted process is reachable where the old
+/// one was.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(1024)?;
+    socket.listen(BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
 }
--- a/crates/transport/src/poll.rs
+++ b/crates/transport/src/poll.rs
@@ -15,11 +15,14 @@
 #[derive(Default)]
 pub struct Woken {
     events: Option<Events>,
+    /// Keys of the sources that can be read.
     pub readable: Vec<usize>,
+    /// Keys of the sources that can be written.
     pub writable: Vec<usize>,
 }
 
 impl Poll {
+    /// A poller without sources.
     pub fn new() -> io::Result<Poll> {
         Ok(Poll(Arc::new(Poller::new()?)))
     }
@@ -32,16 +35,16 @@
         unsafe {
             self.0.add_with_mode(&source, Event::readable(key), PollMode::Level)?;
         }
-        Ok(Registered { poll: self.clone(), source, key, interest: (true, false) })
+        Ok(Registered { poll: self.clone(), source, key, interest: Interest { read: true, write: false } })
     }
 
-    /// Waits until a source is ready, somebody calls [`Poll::wake`], or the time is over.
-    pub fn wait(&self, woken: &mut Woken, most: Option<Duration>) -> io::Result<()> {
+    /// Waits until a source is ready, another thread calls [`Poll::wake`], or the timeout is over.
+    pub fn wait(&self, woken: &mut Woken, timeout: Option<Duration>) -> io::Result<()> {
         let events = woken.events.get_or_insert_with(Events::new);
         events.clear();
         woken.readable.clear();
         woken.writable.clear();
-        match self.0.wait(events, most) {
+        match self.0.wait(events, timeout) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
             _ => {}
         }
@@ -63,28 +66,37 @@
     }
 }
 
-/// A source under a poller's eyes until it is dropped.
+/// What a source is polled for.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct Interest {
+    read: bool,
+    write: bool,
+}
+
+/// A source that stays registered at a poller until it is dropped.
 pub struct Registered<S: AsSource> {
     poll: Poll,
     source: S,
     key: usize,
-    interest: (bool, bool),
+    interest: Interest,
 }
 
 impl<S: AsSource> Registered<S> {
+    /// The key under which it is registered.
     pub fn key(&self) -> usize {
         self.key
     }
 
-    /// Whether to be told when the source can be read, and when it can be written.
+    /// Sets whether readiness for reading and for writing is reported.
     pub fn watch(&mut self, read: bool, write: bool) -> io::Result<()> {
-        if self.interest == (read, write) {
+        let interest = Interest { read, write };
+        if self.interest == interest {
             return Ok(());
         }
         let mut event = Event::none(self.key);
         (event.readable, event.writable) = (read, write);
         self.poll.0.modify_with_mode(&self.source, event, PollMode::Level)?;
-        self.interest = (read, write);
+        self.interest = interest;
         Ok(())
     }
 }
@@ -105,7 +117,7 @@
 
 impl<S: AsSource> Drop for Registered<S> {
     fn drop(&mut self) {
-        // A source that the poller has lost needs no deleting.
+        // It fails only where the source is no longer registered.
         _ = self.poll.0.delete(&self.source);
     }
 }
--- a/crates/transport/src/stream.rs
+++ b/crates/transport/src/stream.rs
@@ -1,40 +1,44 @@
-//! One byte stream over a socket of the loop: what was read and not yet used, and what is to be written.
+//! One byte stream over a socket of an event loop, with its input and output buffers.
 
 use crate::errors::connect_goes_on;
 use crate::{Poll, Registered};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// How many bytes one call of [`Stream::fill`] takes at most, so that one peer cannot hold up a loop.
-pub const AT_ONCE: usize = 256 << 10;
+/// The most bytes that one call of [`Stream::fill`] reads, so that one peer cannot hold up a loop.
+const MAX_BYTES_PER_FILL: usize = 256 << 10;
+/// Buffers that are empty give memory beyond this back.
+const MAX_IDLE_CAPACITY: usize = 256 << 10;
+/// Written bytes are removed from the output once they are more than this.
+const MAX_WRITTEN_KEPT: usize = 256 << 10;
 
 /// Why a stream is over.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum Ended {
     /// The peer closed it in order.
+    #[error("closed by the other side")]
     Closed,
-    Failed(io::Error),
-}
-
-impl From<io::Error> for Ended {
-    fn from(e: io::Error) -> Ended {
-        Ended::Failed(e)
-    }
+    /// A call on the socket failed.
+    #[error("{0}")]
+    Failed(#[from] io::Error),
 }
 
+/// A TCP stream that does not block, with what was read and not yet used, and what is to be written.
 pub struct Stream {
     socket: Registered<TcpStream>,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Bytes of the output that the kernel has taken, and those before it since the stream began.
+    /// Bytes at the start of the output that the kernel has taken.
     written: usize,
-    before: u64,
+    /// Bytes that were removed from the output since the stream began.
+    removed: u64,
     reading: bool,
-    /// Set until the connection stands.
+    /// Set until the connection is established.
     connecting: bool,
 }
 
 impl Stream {
+    /// Takes over a connection that a listener accepted.
     pub fn accepted(poll: &Poll, stream: TcpStream, key: usize) -> io::Result<Stream> {
         Stream::over(poll, stream, key, false)
     }
@@ -55,41 +59,43 @@
 
     fn over(poll: &Poll, stream: TcpStream, key: usize, connecting: bool) -> io::Result<Stream> {
         stream.set_nonblocking(true)?;
-        // Answers must not wait for company; the loop gathers what belongs together itself.
+        // The loop itself writes in one call what belongs together.
         stream.set_nodelay(true)?;
         Ok(Stream {
             socket: poll.register(stream, key)?,
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
-            before: 0,
+            removed: 0,
             reading: true,
             connecting,
         })
     }
 
+    /// The key under which it is registered at the poller.
     pub fn key(&self) -> usize {
         self.socket.key()
     }
 
+    /// Whether the connection is not established yet.
     pub fn connecting(&self) -> bool {
         self.connecting
     }
 
     /// Reads what is there, up to a bound; true where more may be waiting.
     pub fn fill(&mut self) -> Result<bool, Ended> {
-        self.fill_to(self.input.len() + AT_ONCE)
+        self.fill_to(self.input.len() + MAX_BYTES_PER_FILL)
     }
 
     /// Reads what is there until the input holds so many bytes; true where more may be waiting.
-    pub fn fill_to(&mut self, bound: usize) -> Result<bool, Ended> {
-        let mut piece = [0; 16 << 10];
+    fn fill_to(&mut self, bound: usize) -> Result<bool, Ended> {
+        let mut chunk = [0; 16 << 10];
         while self.input.len() < bound {
-            match self.socket.read(&mut piece) {
+            match self.socket.read(&mut chunk) {
                 Ok(0) => return Err(Ended::Closed),
                 Ok(n) => {
-                    self.input.extend_from_slice(&piece[..n]);
-                    if n < piece.len() {
+                    self.input.extend_from_slice(&chunk[..n]);
+                    if n < chunk.len() {
                         return Ok(false);
                     }
                 }
@@ -106,52 +112,48 @@
         &self.input
     }
 
-    /// Takes what was read out, so that it can be used while the stream is written to; what was not used comes
-    /// back by [`Stream::give_back`].
+    /// Whether an idle stream can carry another exchange: it is open, and the peer sent nothing in between.
+    pub fn is_reusable(&mut self) -> bool {
+        matches!(self.fill_to(1), Ok(false)) && self.input.is_empty()
+    }
+
+    /// Takes out what was read, so that it can be used while the stream is written to; the caller returns it by
+    /// [`Stream::give_back`].
     pub fn take_input(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.input)
     }
 
+    /// Returns what [`Stream::take_input`] took; its first `used` bytes are dropped.
     pub fn give_back(&mut self, mut input: Vec<u8>, used: usize) {
         input.drain(..used);
-        debug_assert!(self.input.is_empty(), "input was read while it was out");
-        // A burst's room is not kept for ever by a stream that went idle.
-        if input.is_empty() && input.capacity() > AT_ONCE {
+        debug_assert!(self.input.is_empty(), "input was read while it was taken out");
+        if input.is_empty() && input.capacity() > MAX_IDLE_CAPACITY {
             input = Vec::new();
         }
         self.input = input;
     }
 
-    /// Throws what was read away.
-    pub fn discard(&mut self) {
-        self.truncate(0);
-    }
-
-    /// Throws all but the first bytes of what was read away.
-    pub fn truncate(&mut self, kept: usize) {
-        self.input.truncate(kept);
-    }
-
     /// The memory that both buffers take.
     pub fn held(&self) -> usize {
         self.input.capacity() + self.output.capacity()
     }
 
-    /// Gives the room of both buffers back; for a stream that rests, of which there may be many.
-    pub fn rest(&mut self) {
+    /// Releases the memory of both buffers; for an idle stream, of which there may be many.
+    pub fn release_buffers(&mut self) {
         if self.input.is_empty() && self.output.is_empty() {
             (self.input, self.output) = (Vec::new(), Vec::new());
         }
     }
 
-    /// Where the next byte goes that is put behind what is to be written.
+    /// The output buffer; what is to be written is appended to it.
     pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// Takes bytes out of what is to be written, counted from the beginning of the stream.
-    pub fn pull(&mut self, start: u64, end: u64) {
-        self.output.drain((start - self.before) as usize..(end - self.before) as usize);
+    /// Removes bytes that were not written from the output; positions count from the beginning of the stream.
+    pub fn remove_unwritten(&mut self, start: u64, end: u64) {
+        let (start, end) = (start - self.removed, end - self.removed);
+        self.output.drain(start as usize..end as usize);
     }
 
     /// Bytes that wait to be written.
@@ -159,13 +161,14 @@
         self.output.len() - self.written
     }
 
-    /// Bytes since the stream began: those that were queued, and those that the kernel has taken.
+    /// Bytes that were queued since the stream began.
     pub fn queued_in_all(&self) -> u64 {
-        self.before + self.output.len() as u64
+        self.removed + self.output.len() as u64
     }
 
+    /// Bytes that the kernel has taken since the stream began.
     pub fn written_in_all(&self) -> u64 {
-        self.before + self.written as u64
+        self.removed + self.written as u64
     }
 
     /// Writes what the kernel takes.
@@ -186,22 +189,24 @@
                 Err(e) => return Err(e.into()),
             }
         }
-        if self.pending() == 0 || self.written > AT_ONCE {
+        if self.pending() == 0 || self.written > MAX_WRITTEN_KEPT {
             self.output.drain(..self.written);
-            (self.before, self.written) = (self.written_in_all(), 0);
+            self.removed = self.written_in_all();
+            self.written = 0;
         }
-        if self.output.is_empty() && self.output.capacity() > AT_ONCE {
+        if self.output.is_empty() && self.output.capacity() > MAX_IDLE_CAPACITY {
             self.output = Vec::new();
         }
         self.socket.watch(self.reading, self.pending() > 0)?;
         Ok(())
     }
 
+    /// Whether the loop reads from it.
     pub fn reading(&self) -> bool {
         self.reading
     }
 
-    /// Whether to read on; a peer that is not read is held back by its own buffers.
+    /// Sets whether to read on. A peer that is not read from is slowed down by TCP's flow control.
     pub fn set_reading(&mut self, reading: bool) -> Result<(), Ended> {
         self.reading = reading;
         self.socket.watch(reading, self.connecting || self.pending() > 0)?;
@@ -211,26 +216,26 @@
     /// Whether the peer ended or broke the connection, also behind bytes that are not read.
     pub fn peer_ended(&self) -> bool {
         use rustix::event::{poll, PollFd, PollFlags, Timespec};
-        let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        let mut this = [PollFd::new(&*self.socket, PollFlags::RDHUP)];
+        let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+        let mut descriptors = [PollFd::new(&*self.socket, PollFlags::RDHUP)];
         let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-        poll(&mut this, Some(&now)).is_ok_and(|_| this[0].revents().intersects(over))
+        poll(&mut descriptors, Some(&now)).is_ok_and(|_| descriptors[0].revents().intersects(ended))
     }
 
     /// Whether the kernel holds bytes that were not read.
-    pub fn unread(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         matches!(self.socket.peek(&mut [0]), Ok(n) if n > 0)
     }
 
-    /// Tells the peer that nothing more comes, while what it sends can still be read.
+    /// Closes the writing half; what the peer sends can still be read.
     pub fn end_writing(&mut self) {
-        // A peer that has gone needs no telling.
+        // It fails only where the connection is closed already.
         _ = self.socket.shutdown(std::net::Shutdown::Write);
     }
 
     /// Ends the stream so that the peer sees a reset, not an orderly end.
     pub fn reset(self) {
-        // Without it the peer sees an end in order: as good, only less plain.
+        // Where it fails the peer sees an orderly end, which it must handle as well.
         _ = socket2::SockRef::from(&*self.socket).set_linger(Some(std::time::Duration::ZERO));
     }
 }
--- a/crates/transport/src/timers.rs
+++ b/crates/transport/src/timers.rs
@@ -1,55 +1,61 @@
-//! A monotonic clock in milliseconds and things due on it.
+//! A monotonic clock in milliseconds, and timers on it.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// Milliseconds since a start; never runs back. Copies tell the same time.
+/// Monotonic milliseconds since a start. Copies show the same time.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
+    /// A clock that starts at 0 now.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
 
+    /// Milliseconds since the start.
     pub fn now(&self) -> f64 {
         self.0.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The time from `now` until `at`, none where that is over.
+    /// The time from `now` until `at`; zero where that has passed.
     pub fn until(now: f64, at: f64) -> Duration {
-        // Rounded up to the poller's grain, or a loop would turn idly until a time within it.
+        // Rounded up to the poller's resolution, or a loop would spin until a time within it.
         Duration::from_micros(((at - now).max(0.0) * 1000.0).ceil() as u64)
     }
 }
 
-/// Things due at times; of one time, in the order they were set. They are not taken back: what is no longer
-/// wanted is passed over when it is due.
+/// Timers, due in the order of their times and, at one time, in the order in which they were set. They cannot be
+/// cancelled: the owner ignores a timer that is due and no longer wanted.
 pub struct Timers<T> {
+    /// By time in microseconds, then by serial number.
     heap: BinaryHeap<Reverse<(u64, u64, T)>>,
-    set: u64,
+    serial: u64,
 }
 
 impl<T: Ord> Default for Timers<T> {
     fn default() -> Timers<T> {
-        Timers { heap: BinaryHeap::new(), set: 0 }
+        Timers { heap: BinaryHeap::new(), serial: 0 }
     }
 }
 
 impl<T: Ord> Timers<T> {
-    pub fn set(&mut self, at: f64, what: T) {
-        self.set += 1;
-        self.heap.push(Reverse(((at.max(0.0) * 1000.0).ceil() as u64, self.set, what)));
+    /// Sets a timer.
+    pub fn set(&mut self, at: f64, timer: T) {
+        self.serial += 1;
+        let at_us = (at.max(0.0) * 1000.0).ceil() as u64;
+        self.heap.push(Reverse((at_us, self.serial, timer)));
     }
 
+    /// When the next timer is due.
     pub fn next_at(&self) -> Option<f64> {
-        self.heap.peek().map(|Reverse((at, ..))| *at as f64 / 1000.0)
+        self.heap.peek().map(|Reverse((at_us, ..))| *at_us as f64 / 1000.0)
     }
 
-    /// The next thing that is due by now.
+    /// Takes the next timer that is due by now.
     pub fn due(&mut self, now: f64) -> Option<T> {
         self.next_at().filter(|at| *at <= now)?;
-        self.heap.pop().map(|Reverse((.., what))| what)
+        self.heap.pop().map(|Reverse((.., timer))| timer)
     }
 }
