--- a/crates/cli/src/extents.rs
+++ b/crates/cli/src/extents.rs
@@ -132,7 +132,7 @@
                 std::thread::sleep(Duration::from_millis(50));
                 let now = service.state(*volume, *start, TELL, false)?;
                 if now.2 != stage {
-                    println!("{:?}", now.2);
+                    println!("{}", now.2);
                 }
                 stage = now.2;
                 if stage == MigrationStage::Idle {
@@ -143,7 +143,7 @@
         }
         Ask::Abandon { volume, start } => {
             let (_, _, stage) = service.state(*volume, *start, 0, true)?;
-            println!("{stage:?}");
+            println!("{stage}");
             Ok(stage == MigrationStage::Aborted)
         }
         Ask::Follow { seconds } => {
--- a/crates/node-protocol/src/message/extent_map.rs
+++ b/crates/node-protocol/src/message/extent_map.rs
@@ -2,6 +2,7 @@
 
 use crate::fields::{FieldReader, FieldWriter};
 use crate::DecodeError;
+use std::fmt;
 
 /// Bytes of an entry.
 pub const MAP_ENTRY_LENGTH: usize = 33;
@@ -142,3 +143,16 @@
         MigrationStage::Aborted,
     ];
 }
+
+/// The words that `magpiewick extents` prints.
+impl fmt::Display for MigrationStage {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
+            MigrationStage::Idle => "Still",
+            MigrationStage::Copying => "Copying",
+            MigrationStage::Copied => "Copied",
+            MigrationStage::Completed => "Moved",
+            MigrationStage::Aborted => "Abandoned",
+        })
+    }
+}
