--- /dev/null
+++ b/crates/gateway/src/client_connections.rs
@@ -0,0 +1,195 @@
+//! The connections of clients, and which requests each of them waits for.
+
+use crate::config::Bounds;
+use crate::poll_key::{index_of, poll_key, source_of, Source};
+use magpiewick::Ms;
+use magpiewick_node_protocol::Message;
+use magpiewick_transport::{Connection, Ended, Poll, NOTHING};
+use slab::Slab;
+use std::collections::HashMap;
+use std::net::TcpStream;
+
+struct Client {
+    connection: Connection,
+    /// Ids by the client's own numbers.
+    requests: HashMap<u64, u64>,
+    /// Since when nothing is read from it.
+    paused_since: Option<Ms>,
+    has_partial_frame: bool,
+    /// Counts its partial frames, so that a timer of an earlier one is recognized.
+    partial_frame_serial: u64,
+}
+
+/// All clients by poll key.
+pub struct ClientConnections {
+    clients: Slab<Client>,
+    max_clients: usize,
+    /// Bytes of answers that may wait for a client before nothing more is read from it.
+    max_pending_bytes: usize,
+}
+
+impl ClientConnections {
+    pub fn new(bounds: &Bounds) -> ClientConnections {
+        ClientConnections {
+            clients: Slab::new(),
+            max_clients: bounds.most_clients,
+            max_pending_bytes: bounds.client_buffer,
+        }
+    }
+
+    fn get(&self, key: usize) -> Option<&Client> {
+        self.clients.get(index_of(key))
+    }
+
+    fn get_mut(&mut self, key: usize) -> Option<&mut Client> {
+        self.clients.get_mut(index_of(key))
+    }
+
+    /// Takes over an accepted connection; returns its key, none where it is rejected.
+    pub fn accept(&mut self, poll: &Poll, stream: TcpStream) -> Option<usize> {
+        if self.clients.len() >= self.max_clients {
+            tracing::warn!(reason = "too_many_clients", max_clients = self.max_clients, "client_rejected");
+            return None;
+        }
+        let entry = self.clients.vacant_entry();
+        let key = poll_key(Source::Client, entry.key());
+        let connection = match Connection::accepted(poll, stream, key) {
+            Ok(connection) => connection,
+            Err(error) => {
+                tracing::warn!(%error, "client_accept_failed");
+                return None;
+            }
+        };
+        entry.insert(Client {
+            connection,
+            requests: HashMap::new(),
+            paused_since: None,
+            has_partial_frame: false,
+            partial_frame_serial: 0,
+        });
+        Some(key)
+    }
+
+    pub fn connection_mut(&mut self, key: usize) -> Option<&mut Connection> {
+        self.get_mut(key).map(|client| &mut client.connection)
+    }
+
+    /// Queues a message; false where the client has gone.
+    pub fn send(&mut self, key: usize, message: &Message) -> bool {
+        let Some(client) = self.get_mut(key) else { return false };
+        client.connection.queue(message, NOTHING);
+        true
+    }
+
+    pub fn keys(&self) -> Vec<usize> {
+        self.clients.iter().map(|(index, _)| poll_key(Source::Client, index)).collect()
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.clients.is_empty()
+    }
+
+    /// Pauses a client that does not read its answers, until it does: what is kept for it is bounded by what it had
+    /// pending.
+    pub fn pause_if_slow(&mut self, now: Ms, key: usize) -> Result<(), Ended> {
+        let max_pending_bytes = self.max_pending_bytes;
+        let Some(client) = self.get_mut(key).filter(|_| source_of(key) == Source::Client) else {
+            return Ok(());
+        };
+        if client.paused_since.is_none() && client.connection.pending() > max_pending_bytes {
+            client.paused_since = Some(now);
+            client.connection.set_reading(false)?;
+        }
+        Ok(())
+    }
+
+    /// Pauses all clients, as the host has as many requests as it may.
+    pub fn pause_all(&mut self, now: Ms) {
+        for (_, client) in self.clients.iter_mut().filter(|(_, client)| client.paused_since.is_none()) {
+            client.paused_since = Some(now);
+            // A connection that cannot be paused is broken and ends at its next read.
+            _ = client.connection.set_reading(false);
+        }
+    }
+
+    /// Whether a client is paused and has read enough of its answers to be resumed.
+    pub fn may_resume(&self, key: usize) -> bool {
+        let paused = self.get(key).filter(|client| client.paused_since.is_some());
+        paused.is_some_and(|client| client.connection.pending() <= self.max_pending_bytes / 2)
+    }
+
+    /// Reads from a client again.
+    pub fn resume(&mut self, key: usize) {
+        if let Some(client) = self.get_mut(key) {
+            client.paused_since = None;
+            // A connection that cannot be resumed is broken and ends at its next read.
+            _ = client.connection.set_reading(true);
+        }
+    }
+
+    /// For how long a client has been paused: what it sent may have waited as long.
+    pub fn paused_for(&self, now: Ms, key: usize) -> Ms {
+        self.get(key).and_then(|client| client.paused_since).map_or(0.0, |since| now - since)
+    }
+
+    /// Notes whether a client's bytes end in a partial frame, and whether frames were consumed since the last note.
+    /// Returns the serial number of a new partial frame, for its timer.
+    pub fn note_partial_frame(&mut self, key: usize, partial: bool, progress: bool) -> Option<u64> {
+        let client = self.get_mut(key)?;
+        if !partial || progress {
+            client.has_partial_frame = false;
+            client.partial_frame_serial += 1;
+        }
+        if !partial || client.has_partial_frame {
+            return None;
+        }
+        client.has_partial_frame = true;
+        Some(client.partial_frame_serial)
+    }
+
+    /// Whether a partial frame is still incomplete, and the client is not paused.
+    pub fn is_partial_frame_late(&self, key: usize, serial: u64) -> bool {
+        self.get(key).is_some_and(|client| {
+            let same_frame = client.has_partial_frame && client.partial_frame_serial == serial;
+            same_frame && client.paused_since.is_none()
+        })
+    }
+
+    /// Removes a client; returns the ids of its requests without a final answer.
+    pub fn remove(&mut self, key: usize) -> Vec<u64> {
+        let Some(client) = self.clients.try_remove(index_of(key)) else { return Vec::new() };
+        let mut request_ids: Vec<u64> = client.requests.into_values().collect();
+        request_ids.sort_unstable();
+        request_ids
+    }
+
+    /// Notes a request under the client's own number; none where the client has gone.
+    pub fn add_request(&mut self, key: usize, number: u64, request_id: u64) -> Option<()> {
+        self.get_mut(key)?.requests.insert(number, request_id);
+        Some(())
+    }
+
+    /// Forgets the request of this number; returns its id.
+    pub fn remove_request(&mut self, key: usize, number: u64) -> Option<u64> {
+        self.get_mut(key)?.requests.remove(&number)
+    }
+
+    /// Whether a request of this number is pending.
+    pub fn has_request(&self, key: usize, number: u64) -> bool {
+        self.get(key).is_some_and(|client| client.requests.contains_key(&number))
+    }
+
+    /// Ends writing to all clients, and reads what they still send.
+    pub fn end_writing(&mut self) {
+        for (_, client) in &mut self.clients {
+            client.connection.end_writing();
+            // One that cannot be read any more ends at its next read.
+            _ = client.connection.set_reading(true);
+        }
+    }
+
+    /// Whether all answers have been written.
+    pub fn all_written(&self) -> bool {
+        self.clients.iter().all(|(_, client)| client.connection.pending() == 0)
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/connections.rs
@@ -0,0 +1,216 @@
+//! The engine's environment: the owners of a host's connections, requests and timers. Does what the engine asks for
+//! and turns what happens on sockets into outcomes.
+
+use crate::client_connections::ClientConnections;
+use crate::config::HostConfig;
+use crate::endpoint_list::EndpointList;
+use crate::gossip_socket::{GossipSocket, Reports};
+use crate::list_connection::ListConnection;
+use crate::poll_key::{index_of, source_of, Source};
+use crate::request_registry::RequestRegistry;
+use crate::split_reads::{FinishedPart, SplitReads};
+use crate::timer::Timer;
+use crate::upstream_pool::UpstreamPool;
+use magpiewick::{Ms, Outcome};
+use magpiewick_coalescing::{Coalescer, OverlapLock};
+use magpiewick_node_protocol::{Hello, Role, LONG_AGO};
+use magpiewick_transport::{Clock, Connection, Ended, Poll, Timers};
+use std::collections::VecDeque;
+
+mod clients;
+mod engine_environment;
+mod list_service;
+mod nodes;
+mod requests;
+
+/// The outcome of an attempt that the engine has not been told yet.
+pub struct UnreportedOutcome {
+    pub request_id: u64,
+    pub attempt: u32,
+    pub outcome: Outcome,
+}
+
+/// What happened while the engine was calling and is to be handled after the call.
+#[derive(Default)]
+struct PendingEvents {
+    poll_failed: bool,
+    outcomes: VecDeque<UnreportedOutcome>,
+    finished_parts: VecDeque<FinishedPart>,
+    /// Writes that no earlier one holds back any more.
+    unblocked: VecDeque<u64>,
+}
+
+impl PendingEvents {
+    fn is_empty(&self) -> bool {
+        let no_queue =
+            self.outcomes.is_empty() && self.finished_parts.is_empty() && self.unblocked.is_empty();
+        no_queue && !self.poll_failed
+    }
+}
+
+/// The environment of a gateway's engine.
+pub struct Connections {
+    clock: Clock,
+    poll: Poll,
+    timers: Timers<Timer>,
+    /// When the engine is to run again.
+    engine_wakes_at: Ms,
+    /// What counts for the loop's present turn.
+    now: Ms,
+    events: PendingEvents,
+    clients: ClientConnections,
+    requests: RequestRegistry,
+    split_reads: SplitReads,
+    upstreams: UpstreamPool,
+    list_connection: ListConnection,
+    gossip: Option<GossipSocket>,
+    endpoint_list: EndpointList,
+    extent_map: magpiewick_extents::Follower,
+    overlap_lock: OverlapLock,
+    coalescer: Coalescer,
+    /// For how long what was not answered may still take effect.
+    late_effect_duration: Ms,
+    connect_timeout: Ms,
+    frame_timeout: Ms,
+    hello: Hello,
+    /// Keys of connections with something to write; may hold one several times.
+    to_write: Vec<usize>,
+}
+
+impl Connections {
+    pub fn new(
+        config: &HostConfig,
+        poll: Poll,
+        clock: Clock,
+        incarnation: u64,
+        gossip: Option<GossipSocket>,
+    ) -> Connections {
+        Connections {
+            now: clock.now(),
+            clock,
+            poll,
+            timers: Timers::default(),
+            engine_wakes_at: 0.0,
+            events: PendingEvents::default(),
+            clients: ClientConnections::new(&config.bounds),
+            requests: RequestRegistry::default(),
+            split_reads: SplitReads::default(),
+            upstreams: UpstreamPool::default(),
+            list_connection: ListConnection::new(&config.list, config.start.seed),
+            gossip,
+            endpoint_list: EndpointList::default(),
+            extent_map: magpiewick_extents::Follower::default(),
+            overlap_lock: OverlapLock::default(),
+            coalescer: Coalescer::new(config.merge.clone()),
+            late_effect_duration: config.start.ordering_quiet_period + config.start.round,
+            connect_timeout: config.bounds.connect_within,
+            frame_timeout: config.bounds.frame_within,
+            hello: Hello::new(Role::Host, config.number, incarnation, LONG_AGO),
+            to_write: Vec::new(),
+        }
+    }
+
+    /// What counts for the loop's present turn.
+    pub fn now(&self) -> Ms {
+        self.now
+    }
+
+    /// The clock as it stands, which may be later than the present turn.
+    pub fn clock_now(&self) -> Ms {
+        self.clock.now()
+    }
+
+    /// Lets the present time count from now on.
+    pub fn update_now(&mut self) {
+        self.now = self.clock.now();
+    }
+
+    /// When something is due next.
+    pub fn next_due_at(&self) -> Ms {
+        self.timers.next_at().unwrap_or(f64::INFINITY).min(self.engine_wakes_at)
+    }
+
+    /// Takes the next timer that is due.
+    pub fn next_due_timer(&mut self) -> Option<Timer> {
+        self.timers.due(self.now)
+    }
+
+    /// Whether something happened that is to be handled.
+    pub fn has_events(&self) -> bool {
+        !self.events.is_empty()
+    }
+
+    /// Takes the note that the endpoint list could not be polled.
+    pub fn take_poll_failed(&mut self) -> bool {
+        std::mem::take(&mut self.events.poll_failed)
+    }
+
+    pub fn next_outcome(&mut self) -> Option<UnreportedOutcome> {
+        self.events.outcomes.pop_front()
+    }
+
+    pub fn next_finished_part(&mut self) -> Option<FinishedPart> {
+        self.events.finished_parts.pop_front()
+    }
+
+    pub fn next_unblocked_write(&mut self) -> Option<u64> {
+        self.events.unblocked.pop_front()
+    }
+
+    /// Notes that a connection has something to write.
+    pub fn note_to_write(&mut self, key: usize) {
+        self.to_write.push(key);
+    }
+
+    pub fn has_to_write(&self) -> bool {
+        !self.to_write.is_empty()
+    }
+
+    /// Takes the keys of the connections with something to write, each once.
+    pub fn take_to_write(&mut self) -> Vec<usize> {
+        let mut keys = std::mem::take(&mut self.to_write);
+        keys.sort_unstable();
+        keys.dedup();
+        keys
+    }
+
+    fn connection_mut(&mut self, key: usize) -> Option<&mut Connection> {
+        match source_of(key) {
+            Source::Client => self.clients.connection_mut(key),
+            Source::Node => self.upstreams.connection_mut(index_of(key)),
+            Source::ListService => self.list_connection.connection_mut(),
+            Source::Listener | Source::ShutdownSignal | Source::Gossip => None,
+        }
+    }
+
+    /// Reads what is there on a connection; the bytes, and why the connection is over where it is.
+    pub fn read(&mut self, key: usize) -> Option<(Vec<u8>, Option<Ended>)> {
+        let connection = self.connection_mut(key)?;
+        let ended = connection.fill().err();
+        Some((connection.take_input(), ended))
+    }
+
+    /// Takes the bytes that were read before and not consumed.
+    pub fn take_unconsumed(&mut self, key: usize) -> Option<Vec<u8>> {
+        self.connection_mut(key).map(Connection::take_input)
+    }
+
+    /// Returns what was read; its first `consumed` bytes are dropped.
+    pub fn give_back(&mut self, key: usize, input: Vec<u8>, consumed: usize) {
+        if let Some(connection) = self.connection_mut(key) {
+            connection.give_back(input, consumed);
+        }
+    }
+
+    /// Writes what the kernel takes, and pauses a client that does not read its answers.
+    pub fn flush(&mut self, key: usize) -> Result<(), Ended> {
+        let Some(connection) = self.connection_mut(key) else { return Ok(()) };
+        connection.flush()?;
+        self.clients.pause_if_slow(self.now, key)
+    }
+
+    /// The next message from another host; `datagrams` counts those read in this turn.
+    pub fn receive_gossip(&mut self, datagrams: &mut usize) -> Option<(usize, Reports)> {
+        self.gossip.as_mut()?.receive(datagrams)
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/event_loop.rs
@@ -0,0 +1,276 @@
+//! The event loop: waits for readiness and timers, dispatches them in a fixed order, and writes what came of them.
+
+mod admission;
+mod client_events;
+mod list_events;
+mod map_events;
+mod node_events;
+mod split_read_events;
+
+use crate::config::HostConfig;
+use crate::connections::{Connections, UnreportedOutcome};
+use crate::gossip_socket::GossipSocket;
+use crate::graceful_shutdown::GracefulShutdown;
+use crate::listener::Listener;
+use crate::poll_key::{index_of, source_of, Source};
+use crate::timer::Timer;
+use crate::upstream_pool::CloseReason;
+use magpiewick::{Answer, EndpointUpdate, Ms, Outcome};
+use magpiewick_engine::{Engine, StallDetector};
+use magpiewick_transport::{Clock, Poll, Woken};
+use std::io;
+use std::net::SocketAddr;
+use std::os::unix::net::UnixStream;
+
+/// The loop never sleeps longer: what came while the process stalled is told from what just came by it.
+const MAX_SLEEP: Ms = 20.0;
+
+/// How a host ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HostEnd {
+    /// A shutdown was requested, and everything pending got its final answer.
+    Stopped,
+    /// A second shutdown was requested.
+    Abandoned,
+}
+
+/// A host with its listener bound.
+pub struct Gateway {
+    config: HostConfig,
+    engine: Engine,
+    connections: Connections,
+    poll: Poll,
+    listener: Listener,
+    shutdown: GracefulShutdown,
+    /// Set while no more is read from clients, as enough is pending.
+    at_capacity: bool,
+    stall_detector: StallDetector,
+}
+
+/// What came of an attempt, besides its outcome.
+#[derive(Clone, Copy, Default)]
+struct OutcomeDetails<'a> {
+    /// The volume's service, as a part of its policy's rate; none where unknown.
+    used: Option<f64>,
+    /// Units that the node served the volume through other hosts.
+    remote_units: f64,
+    payload: &'a [u8],
+}
+
+impl Gateway {
+    /// Binds the listener. A byte on `shutdown_signal` requests a graceful shutdown, a second one an end at once;
+    /// `incarnation` names this start of the process and must differ from all others.
+    pub fn bind(
+        mut config: HostConfig,
+        shutdown_signal: UnixStream,
+        incarnation: u64,
+    ) -> io::Result<Gateway> {
+        let clock = Clock::start();
+        let poll = Poll::new()?;
+        let listener = Listener::bind(config.listen, &poll)?;
+        let now = clock.now();
+        let mut gossip = None;
+        if !config.peers.is_empty() {
+            let own_number = config.number as usize;
+            gossip = Some(GossipSocket::bind(own_number, std::mem::take(&mut config.peers), &poll)?);
+            config.start.peer = Some(own_number);
+        }
+        Ok(Gateway {
+            engine: Engine::new(config.start.clone(), now),
+            connections: Connections::new(&config, poll.clone(), clock, incarnation, gossip),
+            listener,
+            shutdown: GracefulShutdown::new(shutdown_signal, &poll)?,
+            poll,
+            at_capacity: false,
+            stall_detector: StallDetector::new(now, config.start.round),
+            config,
+        })
+    }
+
+    /// Where clients reach it.
+    pub fn address(&self) -> SocketAddr {
+        self.listener.address()
+    }
+
+    /// Serves until a shutdown is requested and done.
+    pub fn run(mut self) -> io::Result<HostEnd> {
+        self.restore_endpoint_list();
+        if !self.config.list.asked {
+            self.connections.watch_endpoints();
+        }
+        let mut woken = Woken::default();
+        loop {
+            let max_sleep = self.max_sleep();
+            self.stall_detector.on_sleep(self.connections.clock_now(), max_sleep);
+            self.poll.wait(&mut woken, Some(Clock::until(0.0, max_sleep)))?;
+            self.connections.update_now();
+            self.stall_detector.on_wake(self.connections.now());
+            self.turn(&woken);
+            if self.shutdown.is_forced() {
+                return Ok(HostEnd::Abandoned);
+            }
+            let write_timeout = self.config.bounds.connect_within;
+            if self.shutdown.is_requested()
+                && self.pending() == 0
+                && self.shutdown.has_closed_clients(&mut self.connections, write_timeout)
+            {
+                return Ok(HostEnd::Stopped);
+            }
+        }
+    }
+
+    /// Requests without their final answer, wherever they wait.
+    fn pending(&self) -> usize {
+        self.engine.pending() + self.connections.blocked_writes()
+    }
+
+    fn max_sleep(&self) -> Ms {
+        (self.connections.next_due_at() - self.connections.clock_now()).clamp(0.0, MAX_SLEEP)
+    }
+
+    /// One turn. Endpoint updates come first, so that nothing is decided on old ones; then outcomes, which free
+    /// slots; then new requests; then what is due.
+    fn turn(&mut self, woken: &Woken) {
+        let readable =
+            |source: Source| woken.readable.iter().copied().filter(move |key| source_of(*key) == source);
+        readable(Source::ListService).for_each(|key| self.on_list_readable(key));
+        readable(Source::Node).for_each(|key| self.on_node_readable(key));
+        readable(Source::Gossip).for_each(|_| self.on_gossip_readable());
+        self.run_timers();
+        readable(Source::Client).for_each(|key| self.on_client_readable(key));
+        readable(Source::Listener).for_each(|_| self.listener.accept_all(&mut self.connections));
+        readable(Source::ShutdownSignal).for_each(|_| self.on_shutdown_signal());
+        self.run_engine();
+        // A turn that took long, or was stopped in its middle, may have decided on an old endpoint list: updates that
+        // came meanwhile are applied before anything is sent.
+        if self.connections.clock_now() - self.connections.now() > self.config.start.round {
+            self.connections.update_now();
+            if let Some(key) = self.connections.list_key() {
+                self.on_list_readable(key);
+            }
+            self.run_engine();
+        }
+        woken.writable.iter().for_each(|key| self.connections.note_to_write(*key));
+        self.write();
+    }
+
+    /// Runs the engine until nothing is due and no event is unhandled.
+    fn run_engine(&mut self) {
+        loop {
+            self.handle_events();
+            self.engine.run(self.connections.now(), &mut self.connections);
+            if !self.connections.has_events() {
+                return;
+            }
+        }
+    }
+
+    /// Handles what happened while the engine was calling.
+    fn handle_events(&mut self) {
+        if self.connections.take_poll_failed() {
+            self.engine.on_endpoint_update(self.connections.now(), EndpointUpdate::PollFailed, &[]);
+        }
+        while let Some(UnreportedOutcome { request_id, attempt, outcome }) = self.connections.next_outcome() {
+            self.on_outcome(request_id, attempt, outcome, OutcomeDetails::default());
+        }
+        while let Some(part) = self.connections.next_finished_part() {
+            self.on_part_finished(part);
+        }
+        while let Some(request_id) = self.connections.next_unblocked_write() {
+            if let Some(incoming) = self.connections.unblock(request_id) {
+                self.engine.submit(self.connections.now(), incoming, &mut self.connections);
+            }
+        }
+    }
+
+    /// Writes what is to be written. Connections that break at it bring outcomes, and these bring new attempts.
+    fn write(&mut self) {
+        loop {
+            for key in self.connections.take_to_write() {
+                self.write_connection(key);
+            }
+            if self.at_capacity && self.pending() < self.config.bounds.most_in_hand {
+                self.at_capacity = false;
+                for key in self.connections.clients().keys() {
+                    if self.connections.clients().may_resume(key) {
+                        self.resume_client(key);
+                    }
+                }
+            }
+            if !self.connections.has_events() && !self.connections.has_to_write() {
+                return;
+            }
+            self.run_engine();
+        }
+    }
+
+    fn write_connection(&mut self, key: usize) {
+        match self.connections.flush(key) {
+            Ok(()) => {
+                if self.connections.clients().may_resume(key) && !self.at_capacity {
+                    self.resume_client(key);
+                }
+            }
+            Err(ended) => match source_of(key) {
+                Source::Node => self.connections.close_upstream(index_of(key), &CloseReason::from(ended)),
+                Source::ListService => self.connections.on_list_connection_lost(&ended),
+                _ => self.on_client_disconnect(key, &ended),
+            },
+        }
+    }
+
+    /// Ends an attempt; what comes for one that has ended before is ignored.
+    fn on_outcome(&mut self, request_id: u64, attempt: u32, outcome: Outcome, details: OutcomeDetails) {
+        let Some(sent_at) = self.connections.end_attempt(request_id, attempt, outcome) else { return };
+        let OutcomeDetails { used, remote_units, payload } = details;
+        let over = outcome == Outcome::Succeeded;
+        if over {
+            self.connections.succeed(request_id, payload);
+        }
+        let now = self.connections.now();
+        let answer = Answer { outcome, latency: now - sent_at, over, used, others: remote_units };
+        self.engine.on_outcome(now, request_id, answer, &mut self.connections);
+        if outcome == Outcome::ShardMoved {
+            self.follow_moved_shard(request_id);
+        }
+        self.connections.offer_for_coalescing(request_id);
+        self.connections.release(request_id);
+    }
+
+    fn run_timers(&mut self) {
+        while let Some(timer) = self.connections.next_due_timer() {
+            match timer {
+                Timer::AttemptTimeout { request_id, attempt } => self.on_attempt_timeout(request_id, attempt),
+                Timer::Connect { upstream, connect_attempt } => {
+                    self.connections.on_connect_timeout(upstream, connect_attempt);
+                }
+                Timer::PartialFrame { client, serial } => self.on_partial_frame_timeout(client, serial),
+                Timer::ReconnectList => self.connections.watch_endpoints(),
+                Timer::Reroute => self.reroute(),
+                Timer::OverlapTimeout { request_id } => self.on_overlap_timeout(request_id),
+                Timer::OverlapRelease { request_id } => self.connections.leave_overlap_lock(request_id),
+            }
+        }
+    }
+
+    fn on_attempt_timeout(&mut self, request_id: u64, attempt: u32) {
+        if self.connections.is_in_flight(request_id, attempt) {
+            self.connections.send_cancel(request_id, attempt);
+            self.on_outcome(request_id, attempt, Outcome::TimedOut, OutcomeDetails::default());
+        }
+    }
+
+    fn on_gossip_readable(&mut self) {
+        let mut datagrams = 0;
+        while let Some((from, reports)) = self.connections.receive_gossip(&mut datagrams) {
+            self.engine.on_gossip(self.connections.now(), from, &reports);
+        }
+    }
+
+    fn on_shutdown_signal(&mut self) {
+        self.shutdown.on_signal();
+        if self.shutdown.is_requested() && self.listener.close(&mut self.connections) {
+            tracing::info!(pending = self.engine.pending(), "graceful_shutdown_started");
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/event_loop/map_events.rs
@@ -0,0 +1,78 @@
+//! The extent map: where requests' data lies, and what follows from its changes.
+
+use super::Gateway;
+use crate::extent_map;
+use crate::request_registry::Location;
+use magpiewick_extents::{Fault, Place};
+use magpiewick_node_protocol::MapUpdate;
+use xxhash_rust::xxh3::xxh3_64;
+
+impl Gateway {
+    pub(super) fn on_extent_map(&mut self, update: &MapUpdate) {
+        let (epoch, snapshot) = (update.epoch, update.snapshot);
+        match extent_map::apply(self.connections.extent_map_mut(), update) {
+            Ok(true) => {
+                tracing::info!(epoch, snapshot, "extent_map_updated");
+                self.reroute();
+            }
+            Ok(false) | Err(Fault::Old) => {}
+            Err(error) => {
+                tracing::warn!(reason = %error, "extent_map_update_rejected");
+                self.connections.request_extent_map();
+            }
+        }
+    }
+
+    /// Where a piece of data lies. Without a map of its volume it lies on the shard of the settings that its key
+    /// hashes to; without a key, anywhere.
+    pub(super) fn locate(&self, volume: u64, key: u64) -> Location {
+        match self.connections.extent_map().place(self.connections.now(), volume, key) {
+            Place::At { shard, version } => Location { shard: Some(shard as usize), version },
+            Place::Flux => Location { shard: Some(extent_map::NO_SHARD), version: 0 },
+            Place::Unknown if key == 0 => Location { shard: None, version: 0 },
+            Place::Unknown => {
+                let shards = self.config.volumes.get(&volume).map_or(&[][..], |volume| &volume.shards);
+                let index = xxh3_64(&key.to_le_bytes()) % shards.len().max(1) as u64;
+                Location { shard: shards.get(index as usize).copied(), version: 0 }
+            }
+        }
+    }
+
+    /// Pending requests follow the map before they are sent.
+    pub(super) fn reroute(&mut self) {
+        for placed in self.connections.requests().placed() {
+            let location = self.locate(placed.volume, placed.key);
+            if location.wire_shard() != placed.wire_shard || location.version != placed.version {
+                self.relocate(placed.request_id, location);
+            }
+        }
+    }
+
+    /// A request whose node no longer holds its data goes where the map says now.
+    pub(super) fn follow_moved_shard(&mut self, request_id: u64) {
+        let request = self.connections.requests().get(request_id);
+        let Some((volume, key)) = request.and_then(|request| request.unanswered_piece()) else { return };
+        let location = self.locate(volume, key);
+        self.relocate(request_id, location);
+    }
+
+    fn relocate(&mut self, request_id: u64, location: Location) {
+        self.connections.relocate(request_id, location);
+        if let Some(shard) = location.shard {
+            self.engine.on_shard_moved(self.connections.now(), request_id, shard);
+        }
+    }
+
+    /// A node does not hold a request's data. The request goes to the owner that the node names, or waits until the
+    /// map is known.
+    pub(super) fn on_shard_moved(&mut self, request_id: u64, attempt: u32, owner: Option<(u32, u32)>) {
+        let Some(request) = self.connections.requests().get(request_id) else { return };
+        let Some(piece) = request.unanswered_piece() else { return };
+        let version = request.version_sent(attempt).unwrap_or(0);
+        tracing::debug!(request_id, version, ?owner, "stale_extent_map_used");
+        let now = self.connections.now();
+        if let Some(at) = self.connections.extent_map_mut().refused(now, piece, version, owner) {
+            self.connections.reroute_at(at);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gossip_socket.rs
@@ -0,0 +1,76 @@
+//! Gossip between hosts: datagrams to and from the addresses that the settings name. Datagrams from others, and those
+//! that cannot be decoded, are ignored; to the scheduler they are lost.
+
+use crate::poll_key::{poll_key, Source};
+use magpiewick::GossipReport;
+use magpiewick_transport::{Poll, Registered};
+use std::collections::BTreeMap;
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
+
+/// The most datagrams read in a turn: a flood must not keep the loop from clients and nodes.
+const MAX_DATAGRAMS_PER_TURN: usize = 256;
+
+/// The reports of one message, with the tags of their nodes.
+pub type Reports = Vec<(u16, GossipReport)>;
+
+/// The socket, and the hosts that it talks to.
+pub struct GossipSocket {
+    socket: Registered<UdpSocket>,
+    /// By number; this host is not among them.
+    hosts: BTreeMap<usize, SocketAddr>,
+    rejected: u64,
+}
+
+impl GossipSocket {
+    /// Binds the address that the settings state for this host.
+    pub fn bind(
+        own_number: usize,
+        mut hosts: BTreeMap<usize, SocketAddr>,
+        poll: &Poll,
+    ) -> io::Result<GossipSocket> {
+        let missing =
+            || io::Error::other(format!("no block peer {own_number:?} states the address of this host"));
+        let socket = UdpSocket::bind(hosts.remove(&own_number).ok_or_else(missing)?)?;
+        socket.set_nonblocking(true)?;
+        let socket = poll.register(socket, poll_key(Source::Gossip, 0))?;
+        Ok(GossipSocket { socket, hosts, rejected: 0 })
+    }
+
+    /// Sends reports to hosts, named by their numbers; what the socket does not take is lost.
+    pub fn send(&self, hosts: &[usize], reports: &[(u16, GossipReport)]) {
+        for message in magpiewick_gossip::encode(reports) {
+            for address in hosts.iter().filter_map(|number| self.hosts.get(number)) {
+                if let Err(error) = self.socket.send_to(&message, address) {
+                    tracing::debug!(%address, %error, "gossip_send_failed");
+                }
+            }
+        }
+    }
+
+    /// The next valid message and its sender's number; `datagrams` counts those read in this turn.
+    pub fn receive(&mut self, datagrams: &mut usize) -> Option<(usize, Reports)> {
+        // One byte more than a message may have, so that a longer one is recognized.
+        let mut bytes = [0; magpiewick_gossip::MAX_MESSAGE_LENGTH + 1];
+        while *datagrams < MAX_DATAGRAMS_PER_TURN {
+            let Ok((length, from)) = self.socket.recv_from(&mut bytes) else { return None };
+            *datagrams += 1;
+            let sender = self.hosts.iter().find(|(_, address)| **address == from).map(|(number, _)| *number);
+            let reason = match (sender, magpiewick_gossip::decode(&bytes[..length])) {
+                (Some(number), Ok(reports)) => return Some((number, reports)),
+                (Some(_), Err(error)) => error.to_string(),
+                (None, _) => "a sender that no block peer names".to_string(),
+            };
+            self.log_rejected(from, &reason);
+        }
+        None
+    }
+
+    /// A flood must not fill the log: the first is logged, then each time that their count has doubled.
+    fn log_rejected(&mut self, from: SocketAddr, reason: &str) {
+        self.rejected += 1;
+        if self.rejected.is_power_of_two() {
+            tracing::warn!(%from, rejected = self.rejected, reason, "gossip_rejected");
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/request_log.rs
@@ -0,0 +1,55 @@
+//! The log of requests: one span and one final line each, under the target `request`.
+
+use magpiewick::Ms;
+use magpiewick_node_protocol::FinalCode;
+use tracing::Span;
+
+/// The log of one request.
+pub struct RequestLog {
+    span: Span,
+}
+
+impl RequestLog {
+    /// Opens the span of a request.
+    pub fn open(host: u32, request_id: u64, volume: &str, class: &str) -> RequestLog {
+        RequestLog {
+            span: tracing::info_span!(target: "request", "request", host, request_id, volume, class),
+        }
+    }
+
+    /// The log of a part of the same request.
+    pub fn for_part(&self) -> RequestLog {
+        RequestLog { span: self.span.clone() }
+    }
+
+    /// The request got its final answer.
+    pub fn finished(
+        &self,
+        code: FinalCode,
+        reason: &str,
+        attempts: u32,
+        endpoint: Option<u32>,
+        elapsed_ms: Ms,
+    ) {
+        let answer = match code {
+            FinalCode::Succeeded => "succeeded",
+            FinalCode::Rejected => "rejected",
+            FinalCode::Failed => "failed",
+        };
+        self.span.in_scope(|| {
+            tracing::info!(target: "request", answer, reason, attempts, endpoint, elapsed_ms, "request_finished");
+        });
+    }
+
+    /// Nobody waits for the request any more.
+    pub fn cancelled(&self, reason: &str, attempts: u32, endpoint: Option<u32>) {
+        self.span.in_scope(|| {
+            tracing::info!(target: "request", reason, attempts, endpoint, "request_cancelled");
+        });
+    }
+
+    /// A read that was split got its final answer.
+    pub fn split_read_finished(&self, code: FinalCode) {
+        self.span.in_scope(|| tracing::info!(target: "request", answer = ?code, "split_read_finished"));
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/split_reads.rs
@@ -0,0 +1,137 @@
+//! Reads that travel as several requests, as they cross extents or are large.
+
+use crate::request_log::RequestLog;
+use crate::request_registry::ClientRef;
+use magpiewick::Ms;
+use magpiewick_coalescing::{Progress, SplitRead};
+use magpiewick_node_protocol::{ClientRequest, FinalCode, MAX_PAYLOAD_LENGTH};
+use std::collections::HashMap;
+
+/// A split read as it is admitted.
+pub struct NewSplitRead<'a> {
+    pub client: ClientRef,
+    pub request: &'a ClientRequest<'a>,
+    /// Where each part starts and ends, in blocks.
+    pub parts: Vec<(u64, u64)>,
+    /// The most parts in flight at once.
+    pub max_in_flight: usize,
+    pub deadline: Ms,
+    pub log: RequestLog,
+}
+
+/// A read that was split; what each part is requested with.
+struct OpenSplitRead {
+    client: ClientRef,
+    read: SplitRead,
+    parts: Vec<(u64, u64)>,
+    /// The request of each part, once it has one.
+    request_ids: Vec<Option<u64>>,
+    class: u16,
+    volume: u64,
+    idempotency_key: u64,
+    units_per_block: f32,
+    deadline: Ms,
+    log: RequestLog,
+}
+
+/// A part that is to be requested now.
+pub struct NextPart {
+    pub index: usize,
+    pub request: ClientRequest<'static>,
+    pub deadline: Ms,
+    pub log: RequestLog,
+}
+
+/// A part that has its final answer.
+pub struct FinishedPart {
+    pub read: u64,
+    pub index: usize,
+    pub code: FinalCode,
+    pub retry_after: Ms,
+    pub payload: Vec<u8>,
+}
+
+/// All split reads by id.
+#[derive(Default)]
+pub struct SplitReads {
+    reads: HashMap<u64, OpenSplitRead>,
+}
+
+impl SplitReads {
+    pub fn insert(&mut self, id: u64, new: NewSplitRead) {
+        let NewSplitRead { client, request, parts, max_in_flight, deadline, log } = new;
+        let blocks = parts.iter().map(|(start, end)| end - start).sum::<u64>().max(1);
+        self.reads.insert(
+            id,
+            OpenSplitRead {
+                client,
+                read: SplitRead::new(parts.len(), max_in_flight, MAX_PAYLOAD_LENGTH),
+                request_ids: vec![None; parts.len()],
+                parts,
+                class: request.class,
+                volume: request.volume,
+                idempotency_key: request.idempotency_key,
+                units_per_block: request.units / blocks as f32,
+                deadline,
+                log,
+            },
+        );
+    }
+
+    /// The next part, where another one may be in flight.
+    #[must_use]
+    pub fn next_part(&mut self, id: u64) -> Option<NextPart> {
+        let split = self.reads.get_mut(&id)?;
+        let index = split.read.begin()?;
+        let (start, end) = split.parts[index];
+        let request = ClientRequest {
+            request_id: 0,
+            class: split.class,
+            write: false,
+            volume: split.volume,
+            key: start,
+            idempotency_key: split.idempotency_key,
+            units: split.units_per_block * (end - start) as f32,
+            client_timeout_us: 0,
+            blocks: (end - start) as u32,
+            payload: &[],
+        };
+        Some(NextPart { index, request, deadline: split.deadline, log: split.log.for_part() })
+    }
+
+    /// Notes the request of a part.
+    pub fn set_request(&mut self, id: u64, index: usize, request_id: Option<u64>) {
+        if let Some(split) = self.reads.get_mut(&id) {
+            split.request_ids[index] = request_id;
+        }
+    }
+
+    /// A part succeeded; returns how far the read is, none where it is over.
+    pub fn on_part_read(&mut self, id: u64, index: usize, payload: Vec<u8>) -> Option<Progress> {
+        Some(self.reads.get_mut(&id)?.read.brought(index, payload))
+    }
+
+    pub fn contains(&self, id: u64) -> bool {
+        self.reads.contains_key(&id)
+    }
+
+    /// Ends a read early; returns the requests of its parts in flight, which nobody waits for any more.
+    #[must_use]
+    pub fn cancel_parts(&mut self, id: u64) -> Vec<u64> {
+        let Some(split) = self.reads.get_mut(&id) else { return Vec::new() };
+        let in_flight = split.read.end();
+        in_flight.into_iter().filter_map(|index| split.request_ids[index]).collect()
+    }
+
+    /// Forgets a read that has its final answer; returns its client.
+    pub fn finish(&mut self, id: u64, code: FinalCode) -> Option<ClientRef> {
+        let split = self.reads.remove(&id)?;
+        split.log.split_read_finished(code);
+        Some(split.client)
+    }
+
+    /// Forgets a read that nobody waits for.
+    pub fn remove(&mut self, id: u64) {
+        self.reads.remove(&id);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/upstream_pool.rs
@@ -0,0 +1,243 @@
+//! The storage nodes, with one connection to each.
+
+use crate::endpoint_list::ListedNode;
+use crate::node_connection::{GreetingCheck, NodeConnection, Process, SendPlan};
+use crate::poll_key::{poll_key, Source};
+use crate::protocol_error::ProtocolError;
+use magpiewick::{Ms, Outcome};
+use magpiewick_node_protocol::{Attempt, Message};
+use magpiewick_transport::{Connection, Ended, Poll, Withdrawn, NOTHING};
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+
+/// Why the connection to a node is closed.
+#[derive(Debug, thiserror::Error)]
+pub enum CloseReason {
+    #[error(transparent)]
+    Transport(#[from] Ended),
+    #[error(transparent)]
+    Connect(#[from] io::Error),
+    #[error(transparent)]
+    Protocol(#[from] ProtocolError),
+    #[error("no greeting in time")]
+    GreetingTimeout,
+    #[error("the list names a later process")]
+    LaterProcessListed,
+    #[error("it takes nothing more, and a frame is half written")]
+    PartlyWrittenFrame,
+    #[error("it has gone")]
+    Removed,
+    #[error("it is unresponsive; connecting again")]
+    Unresponsive,
+}
+
+/// An attempt by its request and number.
+pub type AttemptId = (u64, u32);
+
+/// A node and the connection to it.
+struct Upstream {
+    node: u32,
+    address: SocketAddr,
+    state: NodeConnection,
+    connection: Option<Connection>,
+    /// The incarnation that greeted on this connection.
+    incarnation: Option<u64>,
+    /// Attempts that wait for the greeting.
+    waiting: Vec<AttemptId>,
+    /// Requests whose attempt was sent on the connection.
+    in_flight: Vec<u64>,
+    connect_attempts: u64,
+}
+
+/// All nodes that were ever addressed, by index.
+#[derive(Default)]
+pub struct UpstreamPool {
+    upstreams: Vec<Upstream>,
+    index_of_node: HashMap<u32, usize>,
+}
+
+impl UpstreamPool {
+    /// The index of a node, with its address where the list names it.
+    pub fn index_of(&mut self, node: u32, listed: Option<&ListedNode>) -> usize {
+        let address = listed.map(ListedNode::address);
+        let next = self.upstreams.len();
+        let index = *self.index_of_node.entry(node).or_insert(next);
+        if index == next {
+            self.upstreams.push(Upstream {
+                node,
+                address: address.unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0))),
+                state: NodeConnection::default(),
+                connection: None,
+                incarnation: None,
+                waiting: Vec::new(),
+                in_flight: Vec::new(),
+                connect_attempts: 0,
+            });
+        }
+        let upstream = &mut self.upstreams[index];
+        upstream.address = address.unwrap_or(upstream.address);
+        index
+    }
+
+    pub fn len(&self) -> usize {
+        self.upstreams.len()
+    }
+
+    pub fn node(&self, index: usize) -> u32 {
+        self.upstreams[index].node
+    }
+
+    pub fn incarnation(&self, index: usize) -> Option<u64> {
+        self.upstreams[index].incarnation
+    }
+
+    pub fn connection_mut(&mut self, index: usize) -> Option<&mut Connection> {
+        self.upstreams.get_mut(index)?.connection.as_mut()
+    }
+
+    /// What to do for an attempt that is to be sent now.
+    pub fn plan_send(&self, index: usize) -> SendPlan {
+        self.upstreams[index].state.plan_send()
+    }
+
+    /// Starts to connect; returns the number of this connect, for its timer.
+    pub fn connect(&mut self, index: usize, poll: &Poll, hello: &Message) -> io::Result<u64> {
+        let upstream = &mut self.upstreams[index];
+        upstream.connect_attempts += 1;
+        upstream.state.on_connect_started();
+        let mut connection = Connection::connect(poll, upstream.address, poll_key(Source::Node, index))?;
+        connection.queue(hello, NOTHING);
+        upstream.connection = Some(connection);
+        Ok(upstream.connect_attempts)
+    }
+
+    /// Whether this connect is the latest one and its greeting has not come.
+    pub fn is_greeting_late(&self, index: usize, connect_attempt: u64) -> bool {
+        let upstream = &self.upstreams[index];
+        upstream.connect_attempts == connect_attempt && upstream.state.is_connecting()
+    }
+
+    /// Attempts wait for the greeting.
+    pub fn wait_for_greeting(&mut self, index: usize, attempts: impl Iterator<Item = AttemptId>) {
+        self.upstreams[index].waiting.extend(attempts);
+    }
+
+    /// Takes the attempts that wait for the greeting.
+    #[must_use]
+    pub fn take_waiting(&mut self, index: usize) -> Vec<AttemptId> {
+        std::mem::take(&mut self.upstreams[index].waiting)
+    }
+
+    /// Whether an attempt waits for a greeting, at whatever node.
+    pub fn is_waiting(&self, attempt: AttemptId) -> bool {
+        self.upstreams.iter().any(|upstream| upstream.waiting.contains(&attempt))
+    }
+
+    /// A greeting came; `listed` is the process that the list names.
+    pub fn on_greeting(
+        &mut self,
+        index: usize,
+        now: Ms,
+        listed: Process,
+        greeting: Process,
+    ) -> GreetingCheck {
+        let upstream = &mut self.upstreams[index];
+        let check = upstream.state.on_greeting(now, listed, greeting);
+        if check != GreetingCheck::Mismatch {
+            upstream.incarnation = Some(greeting.incarnation);
+        }
+        check
+    }
+
+    /// A message came; false where the node has not sent the expected greeting.
+    pub fn on_message(&mut self, index: usize, now: Ms) -> bool {
+        let state = &mut self.upstreams[index].state;
+        state.on_message(now);
+        state.is_established()
+    }
+
+    /// Sends attempts as one frame; false where nothing was queued.
+    pub fn send<'a>(&mut self, index: usize, mut attempts: impl Iterator<Item = Attempt<'a>>) -> bool {
+        let Upstream { connection, state, in_flight, .. } = &mut self.upstreams[index];
+        let Some(connection) = connection else { return false };
+        let Some(first) = attempts.next() else { return false };
+        let first_id = first.request_id;
+        let mut count = |request_id| {
+            in_flight.push(request_id);
+            state.on_sent();
+        };
+        count(first_id);
+        match attempts.next() {
+            None => connection.queue(&Message::Attempt(first), first_id),
+            Some(second) => {
+                let batch: Vec<Attempt> = [first, second].into_iter().chain(attempts).collect();
+                let other_ids: Vec<u64> = batch[1..].iter().map(|attempt| attempt.request_id).collect();
+                other_ids.iter().for_each(|request_id| count(*request_id));
+                connection.queue_for(&Message::Batch(batch), first_id, other_ids);
+            }
+        }
+        true
+    }
+
+    /// Tells a node that nobody waits for an attempt any more; false where nothing was queued.
+    pub fn send_cancel(&mut self, index: usize, (request_id, attempt): AttemptId) -> bool {
+        let upstream = &mut self.upstreams[index];
+        let was_sent = upstream.in_flight.contains(&request_id);
+        let Some(connection) = upstream.connection.as_mut().filter(|_| was_sent) else { return false };
+        connection.queue(&Message::CancelAttempt { request_id, attempt: attempt as u16 }, NOTHING);
+        true
+    }
+
+    /// Checks a node's health on an established connection; false where there is none.
+    pub fn send_health_check(&mut self, index: usize) -> bool {
+        let upstream = &mut self.upstreams[index];
+        let is_established = upstream.state.is_established();
+        let Some(connection) = upstream.connection.as_mut().filter(|_| is_established) else { return false };
+        connection.queue(&Message::HealthCheck { number: upstream.node }, NOTHING);
+        true
+    }
+
+    /// An attempt ended; `unanswered` tells when it was sent, where no answer came for it.
+    pub fn on_attempt_ended(&mut self, index: usize, ended: AttemptId, unanswered: Option<Ms>) {
+        let upstream = &mut self.upstreams[index];
+        let waiting_before = upstream.waiting.len();
+        upstream.waiting.retain(|attempt| *attempt != ended);
+        if upstream.waiting.len() == waiting_before {
+            upstream.in_flight.retain(|request_id| *request_id != ended.0);
+            upstream.state.on_attempt_ended(unanswered);
+        }
+    }
+
+    /// Closes the connection; returns the requests whose attempts were in flight, each with its outcome. What was not
+    /// written whole never ran: a frame that is not whole fails its checksum. What was written may have run.
+    #[must_use]
+    pub fn close(&mut self, index: usize, reason: &CloseReason) -> Vec<(u64, Outcome)> {
+        let upstream = &mut self.upstreams[index];
+        let unwritten = upstream.connection.take().map_or(Vec::new(), |connection| connection.unwritten());
+        let (endpoint, in_flight) = (upstream.node, upstream.in_flight.len());
+        tracing::info!(endpoint, %reason, in_flight, "upstream_closed");
+        upstream.incarnation = None;
+        upstream.state = NodeConnection::default();
+        let outcome = |request_id: u64| match unwritten.contains(&request_id) {
+            true => Outcome::ConnectFailed,
+            false => Outcome::Reset,
+        };
+        std::mem::take(&mut upstream.in_flight).into_iter().map(|id| (id, outcome(id))).collect()
+    }
+
+    /// Withdraws the attempts of which no byte was written; none where there is no connection.
+    #[must_use]
+    pub fn withdraw(&mut self, index: usize) -> Option<Withdrawn> {
+        let upstream = &mut self.upstreams[index];
+        let withdrawn = upstream.connection.as_mut()?.withdraw_unwritten();
+        upstream.in_flight.retain(|request_id| !withdrawn.tokens.contains(request_id));
+        withdrawn.tokens.iter().for_each(|_| upstream.state.on_attempt_ended(None));
+        Some(withdrawn)
+    }
+
+    /// Whether no attempt is in flight on the connection.
+    pub fn is_idle(&self, index: usize) -> bool {
+        self.upstreams[index].in_flight.is_empty()
+    }
+}
