--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -207,10 +207,10 @@
         }
         Task::Serve { number, listen, list, seed, bare, alone, undamped, .. } => {
             if alone {
-                config.host.send_alone();
+                config.host.disable_coalescing();
             }
             if undamped {
-                config.host.damp_nothing();
+                config.host.disable_overload_damping();
             }
             config.host.number = number.unwrap_or(config.host.number);
             config.host.listen = listen.unwrap_or(config.host.listen);
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -32,8 +32,8 @@
     pub fn new(bounds: &Bounds) -> ClientConnections {
         ClientConnections {
             clients: Slab::new(),
-            max_clients: bounds.most_clients,
-            max_pending_bytes: bounds.client_buffer,
+            max_clients: bounds.max_clients,
+            max_pending_bytes: bounds.max_client_buffer,
         }
     }
 
--- a/crates/gateway/src/config/tests.rs
+++ b/crates/gateway/src/config/tests.rs
@@ -10,11 +10,11 @@
 }
 
 #[test]
-fn peers_are_numbers_below_the_hosts_each_at_an_address_of_its_own() {
+fn gossip_addresses_need_a_host_number_and_an_address_of_their_own() {
     let peer = |label: &str, at: &str| format!("peer \"{label}\" {{\n  address = \"{at}\"\n}}\n");
-    assert!(read("").unwrap().peers.is_empty());
+    assert!(read("").unwrap().gossip_addresses.is_empty());
     let both = [peer("0", "127.0.0.1:7500"), peer("1", "127.0.0.1:7501")].concat();
-    assert_eq!(read(&both).unwrap().peers.into_keys().collect::<Vec<_>>(), [0, 1]);
+    assert_eq!(read(&both).unwrap().gossip_addresses.into_keys().collect::<Vec<_>>(), [0, 1]);
     let faults = [
         (peer("2", "127.0.0.1:7500"), "f:12:", "expected a host's number, 0 to 1"),
         (peer("01", "127.0.0.1:7500"), "f:12:", "expected a host's number, 0 to 1"),
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -101,10 +101,10 @@
             endpoint_list: EndpointList::default(),
             extent_map: magpiewick_extents::Follower::default(),
             overlap_lock: OverlapLock::default(),
-            coalescer: Coalescer::new(config.merge.clone()),
+            coalescer: Coalescer::new(config.coalescing.clone()),
             late_effect_duration: config.start.ordering_quiet_period + config.start.round,
-            connect_timeout: config.bounds.connect_within,
-            frame_timeout: config.bounds.frame_within,
+            connect_timeout: config.bounds.connect_timeout,
+            frame_timeout: config.bounds.partial_frame_timeout,
             hello: Hello::new(Role::Host, config.number, incarnation, LONG_AGO),
             to_write: Vec::new(),
         }
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -70,9 +70,10 @@
         let listener = Listener::bind(config.listen, &poll)?;
         let now = clock.now();
         let mut gossip = None;
-        if !config.peers.is_empty() {
+        if !config.gossip_addresses.is_empty() {
             let own_number = config.number as usize;
-            gossip = Some(GossipSocket::bind(own_number, std::mem::take(&mut config.peers), &poll)?);
+            gossip =
+                Some(GossipSocket::bind(own_number, std::mem::take(&mut config.gossip_addresses), &poll)?);
             config.start.peer = Some(own_number);
         }
         Ok(Gateway {
@@ -95,7 +96,7 @@
     /// Serves until a shutdown is requested and done.
     pub fn run(mut self) -> io::Result<HostEnd> {
         self.restore_endpoint_list();
-        if !self.config.list.asked {
+        if !self.config.list.polled {
             self.connections.watch_endpoints();
         }
         let mut woken = Woken::default();
@@ -109,7 +110,7 @@
             if self.shutdown.is_forced() {
                 return Ok(HostEnd::Abandoned);
             }
-            let write_timeout = self.config.bounds.connect_within;
+            let write_timeout = self.config.bounds.connect_timeout;
             if self.shutdown.is_requested()
                 && self.pending() == 0
                 && self.shutdown.has_closed_clients(&mut self.connections, write_timeout)
@@ -189,7 +190,7 @@
             for key in self.connections.take_to_write() {
                 self.write_connection(key);
             }
-            if self.at_capacity && self.pending() < self.config.bounds.most_in_hand {
+            if self.at_capacity && self.pending() < self.config.bounds.max_pending_requests {
                 self.at_capacity = false;
                 for key in self.connections.clients().keys() {
                     if self.connections.clients().may_resume(key) {
--- a/crates/gateway/src/event_loop/admission.rs
+++ b/crates/gateway/src/event_loop/admission.rs
@@ -84,7 +84,7 @@
         match self.split(request)? {
             None => _ = self.admit(Requester::Client(client), request, client_timeout, log),
             Some(parts) => {
-                let max_in_flight = self.config.split.at_once;
+                let max_in_flight = self.config.split.max_in_flight;
                 let deadline = now + client_timeout;
                 self.admit_split_read(NewSplitRead { client, request, parts, max_in_flight, deadline, log });
             }
@@ -110,7 +110,7 @@
         // Half of a write cannot be undone, and parts of an ordered request or one with an idempotency key would be
         // taken for repetitions of each other.
         let may_split = !request.write && class.idempotency == Idempotency::Idempotent && !class.ordered;
-        let max_blocks = if may_split { self.config.split.blocks } else { u64::MAX };
+        let max_blocks = if may_split { self.config.split.max_blocks } else { u64::MAX };
         let parts = cut(start, end, edges.into_iter(), max_blocks);
         if parts.len() > 1 && !may_split {
             return Err(Rejection::CrossesExtents);
--- a/crates/gateway/src/event_loop/client_events.rs
+++ b/crates/gateway/src/event_loop/client_events.rs
@@ -60,7 +60,7 @@
 
     fn on_client_message(&mut self, key: usize, message: Message) -> Result<(), ClientStop> {
         match message {
-            Message::Request(_) if self.pending() >= self.config.bounds.most_in_hand => {
+            Message::Request(_) if self.pending() >= self.config.bounds.max_pending_requests => {
                 return Err(ClientStop::AtCapacity);
             }
             Message::Request(request) => self.on_client_request(key, &request),
--- a/crates/gateway/src/list_connection.rs
+++ b/crates/gateway/src/list_connection.rs
@@ -35,8 +35,8 @@
     pub fn new(source: &ListSource, seed: u64) -> ListConnection {
         ListConnection {
             address: source.address,
-            is_polled: source.asked,
-            serves_map: source.map,
+            is_polled: source.polled,
+            serves_map: source.serves_map,
             connection: None,
             unanswered: false,
             backoff: ReconnectBackoff::new(seed),
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -163,7 +163,7 @@
         let list = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut config: HostConfig = read_text("test", SETTINGS, |r| host(r, 1)).unwrap().unwrap();
         change(&mut config);
-        (config.list.address, config.list.map) = (list.local_addr().unwrap(), true);
+        (config.list.address, config.list.serves_map) = (list.local_addr().unwrap(), true);
         let (stop, other) = UnixStream::pair().unwrap();
         let gateway = Gateway::bind(config, other, 99).unwrap();
         let address = gateway.address();
@@ -441,7 +441,7 @@
 /// Settings of a host that tells the other.
 fn tells(config: &mut HostConfig, own: SocketAddr, other: &UdpSocket) {
     config.start.hosts = 2.0;
-    config.peers = [(0, own), (1, other.local_addr().unwrap())].into();
+    config.gossip_addresses = [(0, own), (1, other.local_addr().unwrap())].into();
 }
 
 #[test]
@@ -489,7 +489,7 @@
 fn a_host_that_takes_over_serves_from_the_kept_list_though_old_builds_still_talk() {
     let (own, other) = two_hosts();
     let kept = std::env::temp_dir().join(format!("magpiewick-kept-{}", std::process::id()));
-    let remember = |config: &mut HostConfig| config.list.remember = Some(kept.clone());
+    let remember = |config: &mut HostConfig| config.list.cache_path = Some(kept.clone());
     let mut before = Rig::unheard(TcpListener::bind("127.0.0.1:0").unwrap(), remember);
     before.tell(true, 1, EntryState::Ready, 1, LONG_AGO);
     let mut client = before.client();
@@ -694,7 +694,7 @@
 fn a_list_service_that_answers_nothing_is_connected_to_anew() {
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config: HostConfig = read_text("test", SETTINGS, |r| host(r, 1)).unwrap().unwrap();
-    (config.list.address, config.list.asked) = (list.local_addr().unwrap(), true);
+    (config.list.address, config.list.polled) = (list.local_addr().unwrap(), true);
     config.start.max_poll_interval = Some(1000.0);
     let (mut stop, other) = UnixStream::pair().unwrap();
     let gateway = Gateway::bind(config, other, 99).unwrap();
@@ -713,7 +713,7 @@
 #[test]
 fn what_is_held_back_when_the_host_is_told_to_stop_is_answered() {
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut rig = Rig::unheard(node, |config| config.bounds.most_in_hand = 2);
+    let mut rig = Rig::unheard(node, |config| config.bounds.max_pending_requests = 2);
     rig.tell(true, 1, EntryState::Ready, 1, LONG_AGO);
     let mut client = rig.client();
     (1..=6).for_each(|request_id| client.take(request_id, 1, b"block"));
