--- /dev/null
+++ b/crates/gateway/tests/sockets/clients.rs
@@ -0,0 +1,72 @@
+//! Clients that misbehave, vanish or do not read.
+
+use crate::harness::{Peer, TestHost};
+use magpiewick_gateway::HostEnd;
+use magpiewick_node_protocol::{FinalCode, LONG_AGO};
+use std::io::Write;
+use std::time::Duration;
+
+#[test]
+fn a_client_with_a_partial_frame_is_closed_and_idle_clients_disturb_nobody() {
+    let host = TestHost::start(LONG_AGO);
+    let idle: Vec<Peer> = (0..1000).map(|_| host.client()).collect();
+    let mut partial_client = host.client();
+    partial_client.stream.write_all(&[9, 0, 0, 0, 9]).unwrap();
+    let mut client = host.client();
+    client.send_request(1, 0, &[]);
+    let mut node = host.accept_node();
+    let out = node.receive_attempt().unwrap();
+    node.succeed(out, &[]);
+    assert_eq!(client.receive_answer().map(|a| a.1), Some(FinalCode::Succeeded));
+    assert_eq!(partial_client.receive_answer(), None, "the client with the partial frame was kept");
+    drop(idle);
+    host.shut_down();
+}
+
+#[test]
+fn a_non_idempotent_write_completes_after_its_client_disconnects() {
+    let host = TestHost::start(LONG_AGO);
+    let mut client = host.client();
+    client.send_request(1, 1, b"paid");
+    let mut node = host.accept_node();
+    let out = node.receive_attempt().unwrap();
+    drop(client);
+    let mut other = host.client();
+    other.send_request(1, 0, &[]);
+    let second = node.receive_attempt().unwrap();
+    node.succeed(out, &[]);
+    node.succeed(second, b"other");
+    assert_eq!(other.receive_answer(), Some((1, FinalCode::Succeeded, "other".to_string())));
+    assert_eq!(host.shut_down(), HostEnd::Stopped);
+}
+
+#[test]
+fn a_client_that_never_reads_is_paused_and_others_are_served() {
+    let host = TestHost::start(LONG_AGO);
+    let mut slow_client = host.client();
+    slow_client.send_request(1, 0, &[]);
+    let mut node = host.accept_node();
+    let big = vec![1; 1 << 20];
+    let out = node.receive_attempt().unwrap();
+    node.succeed(out, &big);
+    // Its answers fill what the kernel takes and then what the host keeps for it.
+    for request_id in 2..60 {
+        slow_client.send_request(request_id, 0, &[]);
+    }
+    let mut served = 1;
+    node.stream.set_read_timeout(Some(Duration::from_millis(700))).unwrap();
+    while let Ok(Some(out)) =
+        std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| node.receive_attempt()))
+    {
+        node.succeed(out, &big);
+        served += 1;
+    }
+    assert!(served < 60, "all was read from a client that does not read");
+    node.stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    let mut client = host.client();
+    client.send_request(1, 0, &[]);
+    let out = node.receive_attempt().unwrap();
+    node.succeed(out, b"here");
+    assert_eq!(client.receive_answer(), Some((1, FinalCode::Succeeded, "here".to_string())));
+    host.shut_down();
+}
