--- a/crates/gateway/src/request_log.rs
+++ b/crates/gateway/src/request_log.rs
@@ -31,11 +31,7 @@
         endpoint: Option<u32>,
         elapsed_ms: Ms,
     ) {
-        let answer = match code {
-            FinalCode::Succeeded => "succeeded",
-            FinalCode::Rejected => "rejected",
-            FinalCode::Failed => "failed",
-        };
+        let answer = answer_word(code);
         self.span.in_scope(|| {
             tracing::info!(target: "request", answer, reason, attempts, endpoint, elapsed_ms, "request_finished");
         });
@@ -50,6 +46,15 @@
 
     /// A read that was split got its final answer.
     pub fn split_read_finished(&self, code: FinalCode) {
-        self.span.in_scope(|| tracing::info!(target: "request", answer = ?code, "split_read_finished"));
+        let answer = answer_word(code);
+        self.span.in_scope(|| tracing::info!(target: "request", answer, "split_read_finished"));
+    }
+}
+
+fn answer_word(code: FinalCode) -> &'static str {
+    match code {
+        FinalCode::Succeeded => "succeeded",
+        FinalCode::Rejected => "rejected",
+        FinalCode::Failed => "failed",
     }
 }
