--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -23,7 +23,7 @@
 mod nodes;
 mod requests;
 
-/// The outcome of an attempt that the engine has not been told yet.
+/// The outcome of an attempt that is to be reported to the engine.
 pub struct UnreportedOutcome {
     pub request_id: u64,
     pub attempt: u32,
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedNode {
     pub entry: EndpointEntry,
-    /// When its process started. It is fixed when this incarnation is first seen: two ages of one process, heard at
+    /// When its process started. It is fixed when this incarnation is first seen: two ages of one process, received at
     /// different times, must not make two starts.
     pub started_at: Option<Ms>,
 }
