--- a/crates/cli/src/commands/extents/map_service.rs
+++ b/crates/cli/src/commands/extents/map_service.rs
@@ -1,7 +1,7 @@
 //! A blocking client of the map service.
 
-use magpiewick_node_protocol::{read, write, Hello, Message, MoveStage, Read, Role, LONG_AGO};
-use std::io::{self, ErrorKind, Read as _, Write};
+use magpiewick_node_protocol::{decode, encode, Decoded, Hello, Message, MigrationStage, Role, LONG_AGO};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 pub struct MigrationState {
     pub from: u32,
     pub to: u32,
-    pub stage: MoveStage,
+    pub stage: MigrationStage,
 }
 
 /// A connection to the service.
@@ -28,7 +28,7 @@
         let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         stream.set_read_timeout(Some(READ_TIMEOUT))?;
         let mut service = MapService { stream, received: Vec::new() };
-        service.send(&Message::Hello(Hello::of(Role::Client, 0, 0, LONG_AGO)))?;
+        service.send(&Message::Hello(Hello::new(Role::Client, 0, 0, LONG_AGO)))?;
         Ok(service)
     }
 
@@ -50,9 +50,9 @@
         shard: u32,
         abandon: bool,
     ) -> io::Result<MigrationState> {
-        self.send(&Message::Move { volume, start, shard, abandon })?;
+        self.send(&Message::Migrate { volume, start, shard, abort: abandon })?;
         self.receive(|message| match message {
-            Message::MoveState { from, to, stage, .. } => {
+            Message::MigrationState { from, to, stage, .. } => {
                 Some(MigrationState { from: *from, to: *to, stage: *stage })
             }
             _ => None,
@@ -62,24 +62,24 @@
     /// Passes messages to `wanted` until it returns a value.
     pub fn receive<T>(&mut self, mut wanted: impl FnMut(&Message) -> Option<T>) -> io::Result<T> {
         loop {
-            let decoded = read(&self.received).map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?;
+            let decoded = decode(&self.received).map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?;
             match decoded {
-                Read::Whole(message, length) => {
+                Decoded::Frame(message, length) => {
                     let found = wanted(&message);
                     self.received.drain(..length);
                     if let Some(found) = found {
                         return Ok(found);
                     }
                 }
-                Read::Skip(length) => _ = self.received.drain(..length),
-                Read::Partial => self.fill()?,
+                Decoded::Skipped(length) => _ = self.received.drain(..length),
+                Decoded::Incomplete => self.fill()?,
             }
         }
     }
 
     fn send(&mut self, message: &Message) -> io::Result<()> {
         let mut bytes = Vec::new();
-        write(message, &mut bytes);
+        encode(message, &mut bytes);
         self.stream.write_all(&bytes)
     }
 
--- a/crates/cli/src/commands/extents/mod.rs
+++ b/crates/cli/src/commands/extents/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::error::{Error, ExitStatus};
 use clap::Subcommand;
-use magpiewick_node_protocol::{MapLine, Mapped, Message, MoveStage};
+use magpiewick_node_protocol::{MapEntry, MapEntryKind, Message, MigrationStage};
 use map_service::MapService;
 use std::io::{self, ErrorKind, Write};
 use std::net::SocketAddr;
@@ -73,8 +73,8 @@
     service.watch()?;
     let mut rows = vec![["volume", "start", "end", "shard", "version"].map(str::to_string)];
     service.receive(|message| {
-        let Message::Map(update) = message else { return None };
-        let wanted = update.lines.iter().filter(|line| volume.is_none_or(|v| v == line.volume));
+        let Message::ExtentMap(update) = message else { return None };
+        let wanted = update.entries.iter().filter(|line| volume.is_none_or(|v| v == line.volume));
         rows.extend(wanted.map(row));
         update.last.then_some(())
     })?;
@@ -87,24 +87,24 @@
     }
 }
 
-fn row(line: &MapLine) -> [String; 5] {
-    let fields = [line.volume, line.start, line.at, line.shard.into(), line.version.into()];
+fn row(line: &MapEntry) -> [String; 5] {
+    let fields = [line.volume, line.start, line.position, line.shard.into(), line.version.into()];
     fields.map(|field| field.to_string())
 }
 
 fn migrate(service: &mut MapService, volume: u64, start: u64, to: u32) -> io::Result<bool> {
     let mut state = service.migrate(volume, start, to, false)?;
-    if state.stage == MoveStage::Still {
+    if state.stage == MigrationStage::Idle {
         println!("not moved: there is no such extent, it lies there already, or no node holds that shard");
         return Ok(false);
     }
     let target = state.to;
     println!("moving from shard {} to shard {target}", state.from);
-    while state.stage != MoveStage::Still {
+    while state.stage != MigrationStage::Idle {
         std::thread::sleep(MIGRATION_POLL_INTERVAL);
         let next = service.migrate(volume, start, NO_SHARD, false)?;
         if next.stage != state.stage {
-            println!("{:?}", next.stage);
+            println!("{}", next.stage);
         }
         state = next;
     }
@@ -113,8 +113,8 @@
 
 fn cancel(service: &mut MapService, volume: u64, start: u64) -> io::Result<bool> {
     let state = service.migrate(volume, start, 0, true)?;
-    println!("{:?}", state.stage);
-    Ok(state.stage == MoveStage::Abandoned)
+    println!("{}", state.stage);
+    Ok(state.stage == MigrationStage::Aborted)
 }
 
 fn watch(service: &mut MapService, time: Duration) -> io::Result<bool> {
@@ -122,8 +122,8 @@
     service.watch()?;
     let until = Instant::now() + time;
     let watched = service.receive(|message| {
-        if let Message::Map(update) = message {
-            let changes = update.lines.iter().filter(|line| line.kind != Mapped::Extent);
+        if let Message::ExtentMap(update) = message {
+            let changes = update.entries.iter().filter(|line| line.kind != MapEntryKind::Extent);
             changes.for_each(|line| print_change(update.epoch, line));
         }
         (Instant::now() >= until).then_some(true)
@@ -134,7 +134,7 @@
     }
 }
 
-fn print_change(epoch: impl std::fmt::Display, line: &MapLine) {
+fn print_change(epoch: impl std::fmt::Display, line: &MapEntry) {
     println!(
         "epoch {epoch} {:?} volume {} start {} shard {} version {}",
         line.kind, line.volume, line.start, line.shard, line.version
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -67,10 +67,10 @@
 fn override_settings(settings: &mut Config, arguments: &ServeArguments) {
     let host = &mut settings.host;
     if arguments.no_coalescing {
-        host.send_alone();
+        host.disable_coalescing();
     }
     if arguments.undamped {
-        host.damp_nothing();
+        host.disable_overload_damping();
     }
     host.number = arguments.number.unwrap_or(host.number);
     host.listen = arguments.listen.unwrap_or(host.listen);
--- a/crates/emulator/src/emulator.rs
+++ b/crates/emulator/src/emulator.rs
@@ -14,7 +14,7 @@
 use crate::received_attempt::{AttemptInterceptor, ReceivedAttempt};
 use crate::timer_queue::TimerQueue;
 use crate::Ms;
-use magpiewick_node_protocol::{Frames, Hello, MapNews, Message, Role, LONG_AGO};
+use magpiewick_node_protocol::{Frames, Hello, MapUpdate, Message, Role, LONG_AGO};
 use magpiewick_transport::{listen, Clock, Poll, Registered, Woken};
 use nanorand::{Rng, WyRand};
 use std::net::{SocketAddr, TcpListener};
@@ -47,7 +47,7 @@
         node: usize,
     },
     PublishEndpoints,
-    PublishMap(Box<MapNews>),
+    PublishMap(Box<MapUpdate>),
     MigrationStep(ExtentKey),
 }
 
@@ -312,8 +312,10 @@
 
     fn hello(&self, node: Option<usize>) -> Message<'static> {
         let hello = match node.map(|node| &self.nodes[node]) {
-            None => Hello::of(Role::List, 0, 0, LONG_AGO),
-            Some(node) => Hello::of(Role::Node, node.config.number, node.incarnation, age_us(node, self.now)),
+            None => Hello::new(Role::EndpointList, 0, 0, LONG_AGO),
+            Some(node) => {
+                Hello::new(Role::Node, node.config.number, node.incarnation, age_us(node, self.now))
+            }
         };
         Message::Hello(hello)
     }
@@ -332,7 +334,7 @@
                 return;
             }
         }
-        let used = frames.used();
+        let used = frames.consumed();
         self.connections.at(index).connection.give_back(input, used);
         if ended {
             self.close_connection(index);
@@ -351,7 +353,7 @@
     fn on_message(&mut self, index: usize, message: &Message) -> bool {
         let peer = self.connections.at(index);
         if let Message::Hello(hello) = message {
-            peer.host = hello.life;
+            peer.host = hello.incarnation;
             return true;
         }
         let host = peer.host;
@@ -363,10 +365,10 @@
 
     fn on_list_message(&mut self, index: usize, message: &Message) -> bool {
         match *message {
-            Message::Watch { .. } => self.watch_endpoints(index),
+            Message::WatchEndpoints { .. } => self.watch_endpoints(index),
             Message::WatchMap => self.watch_map(index),
-            Message::Move { volume, start, shard, abandon } => {
-                let state = self.on_migration_request(ExtentKey { volume, start }, shard, abandon);
+            Message::Migrate { volume, start, shard, abort } => {
+                let state = self.on_migration_request(ExtentKey { volume, start }, shard, abort);
                 self.connections.send(index, &state);
             }
             _ => return false,
@@ -378,12 +380,14 @@
         match message {
             Message::Attempt(attempt) => self.on_attempts(index, node, std::slice::from_ref(attempt)),
             Message::Batch(parts) => self.on_attempts(index, node, parts),
-            Message::Take(take) => self.on_direct_request(index, node, take),
-            Message::Cancel { request_id, attempt } => self.on_cancel(node, host, *request_id, *attempt),
-            Message::Probe { number } => {
+            Message::Request(request) => self.on_direct_request(index, node, request),
+            Message::CancelAttempt { request_id, attempt } => {
+                self.on_cancel(node, host, *request_id, *attempt)
+            }
+            Message::HealthCheck { number } => {
                 let node = &self.nodes[node];
                 let (queue, busy) = (node.queue.len() as u32, node.busy());
-                self.connections.send(index, &Message::Probed { number: *number, queue, busy });
+                self.connections.send(index, &Message::HealthReport { number: *number, queue, busy });
             }
             _ => return false,
         }
--- a/crates/emulator/src/endpoint_list.rs
+++ b/crates/emulator/src/endpoint_list.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::node_event::NodeEvent;
 use crate::Ms;
-use magpiewick_node_protocol::{Line, List, Message, State};
+use magpiewick_node_protocol::{EndpointEntry, EndpointListUpdate, EntryState, Message};
 use std::net::IpAddr;
 
 /// The state of the endpoint list service.
@@ -25,14 +25,14 @@
     }
 
     /// The whole list. A change that is not published yet is in it: an entry may be early, never wrong.
-    fn snapshot(&self, nodes: &[Node], now: Ms) -> List {
+    fn snapshot(&self, nodes: &[Node], now: Ms) -> EndpointListUpdate {
         let listed = nodes.iter().filter(|node| node.is_listed);
-        let lines = listed.filter_map(|node| entry(node, now)).collect();
-        List { whole: true, epoch: self.epoch, lines }
+        let entries = listed.filter_map(|node| entry(node, now)).collect();
+        EndpointListUpdate { snapshot: true, epoch: self.epoch, entries }
     }
 
     /// The update that is due now, under the next epoch.
-    fn next_update(&mut self, nodes: &[Node], now: Ms) -> Option<List> {
+    fn next_update(&mut self, nodes: &[Node], now: Ms) -> Option<EndpointListUpdate> {
         let unpublished = std::mem::take(&mut self.unpublished);
         let (due, later): (Vec<_>, Vec<_>) = unpublished.into_iter().partition(|change| change.0 <= now);
         self.unpublished = later;
@@ -41,24 +41,24 @@
         }
         self.epoch += 1;
         let node = |number: u32| nodes.iter().find(|node| node.config.number == number);
-        let lines = due.into_iter().filter_map(|(_, number)| entry(node(number)?, now)).collect();
-        Some(List { whole: false, epoch: self.epoch, lines })
+        let entries = due.into_iter().filter_map(|(_, number)| entry(node(number)?, now)).collect();
+        Some(EndpointListUpdate { snapshot: false, epoch: self.epoch, entries })
     }
 }
 
-fn entry(node: &Node, now: Ms) -> Option<Line> {
+fn entry(node: &Node, now: Ms) -> Option<EndpointEntry> {
     let IpAddr::V4(address) = node.address.ip() else { return None };
     let state = match (node.is_listed, node.is_draining) {
-        (false, _) => State::Gone,
-        (true, true) => State::Draining,
-        (true, false) => State::Ready,
+        (false, _) => EntryState::Removed,
+        (true, true) => EntryState::Draining,
+        (true, false) => EntryState::Ready,
     };
-    Some(Line {
+    Some(EndpointEntry {
         node: node.config.number,
         shard: node.config.shard,
         zone: node.config.zone,
         state,
-        life: node.incarnation,
+        incarnation: node.incarnation,
         age_us: age_us(node, now),
         address: address.octets(),
         port: node.address.port(),
@@ -110,12 +110,12 @@
         }
     }
 
-    fn send_list(&mut self, index: usize, list: &List) {
+    fn send_list(&mut self, index: usize, list: &EndpointListUpdate) {
         let host = self.connections.at(index).host;
-        for entry in list.lines.iter().filter(|entry| entry.state != State::Ready) {
-            let (node, incarnation) = (entry.node, entry.life);
+        for entry in list.entries.iter().filter(|entry| entry.state != EntryState::Ready) {
+            let (node, incarnation) = (entry.node, entry.incarnation);
             self.events.record(NodeEvent::DrainNotified { host, node, incarnation });
         }
-        self.connections.send(index, &Message::List(list.clone()));
+        self.connections.send(index, &Message::EndpointList(list.clone()));
     }
 }
--- a/crates/emulator/src/execution.rs
+++ b/crates/emulator/src/execution.rs
@@ -7,7 +7,7 @@
 use crate::node_event::NodeEvent;
 use crate::received_attempt::ReceivedAttempt;
 use magpiewick_node_protocol::{
-    self as wire, Attempt, Final, FinalCode, Message, Outcome, OutcomeCode, Take,
+    self as wire, Attempt, ClientRequest, FinalAnswer, FinalCode, Message, Outcome, OutcomeCode,
 };
 use magpiewick_transport::NOTHING;
 
@@ -40,21 +40,21 @@
     }
 
     /// A client sent a request to a node directly.
-    pub(crate) fn on_direct_request(&mut self, index: usize, node: usize, take: &Take) {
+    pub(crate) fn on_direct_request(&mut self, index: usize, node: usize, request: &ClientRequest) {
         let attempt = Attempt {
-            request_id: take.request_id,
+            request_id: request.request_id,
             attempt: 0,
-            class: take.class,
-            write: take.write,
-            volume: take.volume,
-            key: take.key,
-            mark: take.mark,
-            units: take.units,
+            class: request.class,
+            write: request.write,
+            volume: request.volume,
+            key: request.key,
+            idempotency_key: request.idempotency_key,
+            units: request.units,
             shard: self.nodes[node].config.shard,
-            left_us: take.limit_us,
+            remaining_us: request.client_timeout_us,
             version: 0,
-            blocks: take.blocks,
-            payload: take.payload,
+            blocks: request.blocks,
+            payload: request.payload,
         };
         let attempt = ReceivedAttempt { direct: true, ..self.received(index, node, &attempt, 1) };
         self.enqueue(node, vec![attempt]);
@@ -66,14 +66,14 @@
             host: peer.host,
             connection: peer.id,
             node_incarnation: self.nodes[node].incarnation,
-            deadline: self.now + f64::from(attempt.left_us) / 1000.0,
+            deadline: self.now + f64::from(attempt.remaining_us) / 1000.0,
             request_id: attempt.request_id,
             attempt: attempt.attempt,
             class: attempt.class,
             write: attempt.write,
             volume: attempt.volume,
             key: attempt.key,
-            mark: attempt.mark,
+            mark: attempt.idempotency_key,
             units: f64::from(attempt.units),
             blocks: attempt.blocks,
             version: attempt.version,
@@ -243,12 +243,12 @@
         });
     }
 
-    fn answer_client(&mut self, attempt: &ReceivedAttempt, code: OutcomeCode, payload: &[u8]) {
+    fn answer_client(&mut self, attempt: &ReceivedAttempt, outcome: OutcomeCode, payload: &[u8]) {
         let Some(peer) = self.connections.get(attempt.connection) else { return };
-        let succeeded = code == OutcomeCode::Succeeded;
-        let verdict = if succeeded { FinalCode::Succeeded } else { FinalCode::Rejected };
-        let answer = Final { request_id: attempt.request_id, verdict, back_us: 0, payload };
-        peer.connection.queue(&Message::Final(answer), NOTHING);
+        let succeeded = outcome == OutcomeCode::Succeeded;
+        let code = if succeeded { FinalCode::Succeeded } else { FinalCode::Rejected };
+        let answer = FinalAnswer { request_id: attempt.request_id, code, retry_after_us: 0, payload };
+        peer.connection.queue(&Message::FinalAnswer(answer), NOTHING);
     }
 
     fn outcome<'a>(
@@ -280,7 +280,7 @@
     /// Sends the first half of a message and closes the connection.
     fn reset_mid_frame(&mut self, attempt: &ReceivedAttempt, message: &Message) {
         let mut frame = Vec::new();
-        wire::write(message, &mut frame);
+        wire::encode(message, &mut frame);
         let Some(peer) = self.connections.get(attempt.connection) else { return };
         peer.connection.queue_bytes(&frame[..frame.len() / 2]);
         // A connection that broke already is closed all the same.
--- a/crates/emulator/src/map_publication.rs
+++ b/crates/emulator/src/map_publication.rs
@@ -4,13 +4,13 @@
 use crate::map_service::{ExtentKey, MigrationStatus};
 use crate::node_event::NodeEvent;
 use magpiewick_extents::{Change, Changes, Extent, Stage};
-use magpiewick_node_protocol::{MapLine, MapNews, Mapped, Message, MoveStage, MOST_MAP_LINES};
+use magpiewick_node_protocol::{MapEntry, MapEntryKind, MapUpdate, Message, MigrationStage, MAX_MAP_ENTRIES};
 
 /// The map at one epoch, as it is sent.
 #[derive(Clone)]
 pub(crate) struct MapSnapshot {
     epoch: u64,
-    lines: Vec<MapLine>,
+    entries: Vec<MapEntry>,
 }
 
 impl Emulator {
@@ -54,10 +54,10 @@
             Some(MigrationStatus { shards, stage }) => (shards.source, shards.target, wire_stage(stage)),
             None => {
                 let owner = extent.map_or(u32::MAX, |extent| extent.shard);
-                (owner, owner, MoveStage::Still)
+                (owner, owner, MigrationStage::Idle)
             }
         };
-        Message::MoveState { volume, start, from, to, stage }
+        Message::MigrationState { volume, start, from, to, stage }
     }
 
     /// Takes one step of a migration, and publishes the change that it makes.
@@ -78,31 +78,31 @@
     }
 
     fn schedule_map_update(&mut self, changes: &Changes) {
-        let lines: Vec<MapLine> = changes.changes.iter().filter_map(switch_line).collect();
-        for line in &lines {
-            let MapLine { volume, start, shard, version, .. } = *line;
+        let entries: Vec<MapEntry> = changes.changes.iter().filter_map(switch_entry).collect();
+        for entry in &entries {
+            let MapEntry { volume, start, shard, version, .. } = *entry;
             self.events.record(NodeEvent::ExtentSwitched { volume, start, shard, version });
         }
-        let update = MapNews { whole: false, epoch: changes.epoch, part: 0, last: true, lines };
+        let update = MapUpdate { snapshot: false, epoch: changes.epoch, part: 0, last: true, entries };
         let publish_at = self.now + self.config.publication_delay;
         self.timers.set(publish_at, Timer::PublishMap(Box::new(update)));
     }
 
-    pub(crate) fn publish_map_update(&mut self, update: &MapNews) {
+    pub(crate) fn publish_map_update(&mut self, update: &MapUpdate) {
         if self.endpoint_list.is_down() {
             return;
         }
         let mut sent = update.clone();
         if self.defects.half_map_updates {
-            sent.lines.truncate(sent.lines.len() / 2);
+            sent.entries.truncate(sent.entries.len() / 2);
         }
         let watching = self.connections.indexes(|peer| peer.watches_map);
         for index in &watching {
-            self.connections.send(*index, &Message::Map(sent.clone()));
+            self.connections.send(*index, &Message::ExtentMap(sent.clone()));
         }
         // The record is of the whole update: what the defect leaves out is missed by the host.
-        for line in update.lines.iter().filter(|line| line.kind == Mapped::Switch) {
-            let MapLine { volume, start, version, .. } = *line;
+        for entry in update.entries.iter().filter(|entry| entry.kind == MapEntryKind::Switch) {
+            let MapEntry { volume, start, version, .. } = *entry;
             let end = self.map.map().find(volume, start).map_or(start, |extent| extent.end);
             for index in &watching {
                 let host = self.connections.at(*index).host;
@@ -119,25 +119,25 @@
     }
 
     fn map_snapshot(&self) -> MapSnapshot {
-        let line = |(volume, extent): (u64, Extent)| MapLine {
-            kind: Mapped::Extent,
+        let entry = |(volume, extent): (u64, Extent)| MapEntry {
+            kind: MapEntryKind::Extent,
             volume,
             start: extent.start,
-            at: extent.end,
+            position: extent.end,
             shard: extent.shard,
             version: extent.version,
         };
         let map = self.map.map();
-        MapSnapshot { epoch: map.epoch(), lines: map.extents().map(line).collect() }
+        MapSnapshot { epoch: map.epoch(), entries: map.extents().map(entry).collect() }
     }
 
     fn send_map_snapshot(&mut self, index: usize, snapshot: &MapSnapshot) {
-        let parts = snapshot.lines.chunks(MOST_MAP_LINES).count().max(1);
+        let parts = snapshot.entries.chunks(MAX_MAP_ENTRIES).count().max(1);
         for part in 0..parts {
-            let lines = snapshot.lines.chunks(MOST_MAP_LINES).nth(part).unwrap_or_default().to_vec();
+            let entries = snapshot.entries.chunks(MAX_MAP_ENTRIES).nth(part).unwrap_or_default().to_vec();
             let (epoch, last) = (snapshot.epoch, part + 1 == parts);
-            let update = MapNews { whole: true, epoch, part: part as u32, last, lines };
-            self.connections.send(index, &Message::Map(update));
+            let update = MapUpdate { snapshot: true, epoch, part: part as u32, last, entries };
+            self.connections.send(index, &Message::ExtentMap(update));
         }
     }
 
@@ -156,20 +156,20 @@
 }
 
 /// The line of an update for a change; the service makes no others.
-fn switch_line(change: &Change) -> Option<MapLine> {
+fn switch_entry(change: &Change) -> Option<MapEntry> {
     match *change {
         Change::Switch { volume, start, shard, version } => {
-            Some(MapLine { kind: Mapped::Switch, volume, start, at: 0, shard, version })
+            Some(MapEntry { kind: MapEntryKind::Switch, volume, start, position: 0, shard, version })
         }
         _ => None,
     }
 }
 
-fn wire_stage(stage: Stage) -> MoveStage {
+fn wire_stage(stage: Stage) -> MigrationStage {
     match stage {
-        Stage::Copying => MoveStage::Copying,
-        Stage::Copied => MoveStage::Copied,
-        Stage::Switched => MoveStage::Moved,
-        Stage::Abandoned => MoveStage::Abandoned,
+        Stage::Copying => MigrationStage::Copying,
+        Stage::Copied => MigrationStage::Copied,
+        Stage::Switched => MigrationStage::Completed,
+        Stage::Abandoned => MigrationStage::Aborted,
     }
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,452 +1,131 @@
-//! What a host is told by its settings file, read and checked as a whole. `docs/settings.md` lists it.
+//! The settings of a host. `docs/settings.md` lists their names in a file.
 
-use magpiewick::{
-    DeduplicationScope, Idempotency, Ms, QosPolicy, RequestClass, RetryBudget, SchedulerConfig,
-};
-use magpiewick_hcl_settings::SettingsBlock;
+mod reader;
+
+pub use reader::host;
+
+use magpiewick::{Ms, SchedulerConfig};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Where a host learns of nodes.
+/// The endpoint list service.
 #[derive(Clone, Debug)]
 pub struct ListSource {
+    /// Where it listens.
     pub address: SocketAddr,
-    /// The service must be asked, else it pushes to whoever connects.
-    pub asked: bool,
-    /// The service tells the map of extents too.
-    pub map: bool,
-    /// Where the list is kept over a restart.
-    pub remember: Option<PathBuf>,
+    /// It must be polled; else it pushes updates to each connection.
+    pub polled: bool,
+    /// It serves the extent map too.
+    pub serves_map: bool,
+    /// The file in which the list is cached over a restart.
+    pub cache_path: Option<PathBuf>,
 }
 
-/// A volume as the operators state it.
+/// A volume.
 #[derive(Clone, Debug)]
 pub struct Volume {
+    /// Its name in logs.
     pub name: String,
+    /// The index of its QoS policy.
     pub plan: usize,
-    /// The shards that hold its data; a piece of data lies on the one that its key falls to.
+    /// The shards that hold its data; a piece of data lies on the one that its key hashes to.
     pub shards: Vec<usize>,
-    /// Through how many hosts its requests come.
+    /// The number of hosts that serve its requests.
     pub hosts: f64,
 }
 
-/// Bounds of what a host takes up, and its waits on sockets.
+/// Limits on what a host accepts, and its timeouts on sockets.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    pub connect_within: Ms,
-    /// How long a client may leave a frame half sent.
-    pub frame_within: Ms,
-    pub most_clients: usize,
-    pub most_in_hand: usize,
-    /// Bytes of answers that wait for a client before nothing more is read from it.
-    pub client_buffer: usize,
-}
-
+    /// The time for a connect and the peer's greeting.
+    pub connect_timeout: Ms,
+    /// How long a client may leave a frame incomplete.
+    pub partial_frame_timeout: Ms,
+    /// Connections of clients.
+    pub max_clients: usize,
+    /// Requests without their final answer; at this number nothing is read from clients.
+    pub max_pending_requests: usize,
+    /// Bytes of answers that may wait for a client before nothing more is read from it.
+    pub max_client_buffer: usize,
+}
+
+/// How log lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
+    /// As text for people.
     Text,
+    /// As JSON, one object a line.
     Json,
 }
 
+/// What is logged.
 #[derive(Clone, Debug)]
 pub struct LogConfig {
+    /// The lowest level that is logged.
     pub level: String,
+    /// How lines are written.
     pub format: LogFormat,
-    /// A line for each request.
+    /// Whether each request is logged.
     pub requests: bool,
 }
 
-/// All that a host is told.
+/// All settings of a host.
 #[derive(Clone, Debug)]
 pub struct HostConfig {
+    /// Its number among the hosts.
     pub number: u32,
+    /// Where it listens for clients.
     pub listen: SocketAddr,
+    /// The endpoint list service.
     pub list: ListSource,
+    /// The settings of the scheduler.
     pub start: SchedulerConfig,
+    /// The names of the request classes, in the scheduler's order.
     pub classes: Vec<String>,
+    /// The volumes by id.
     pub volumes: BTreeMap<u64, Volume>,
-    /// By number, where hosts may tell each other what they see of nodes; this host is among them.
-    pub peers: BTreeMap<usize, SocketAddr>,
+    /// The gossip addresses of hosts by number, this host's included; empty where hosts do not gossip.
+    pub gossip_addresses: BTreeMap<usize, SocketAddr>,
+    /// Limits and timeouts.
     pub bounds: Bounds,
+    /// What is logged.
     pub log: LogConfig,
-    /// What travels together; one part where merging is off.
-    pub merge: magpiewick_coalescing::BatchLimits,
+    /// Which writes are coalesced; one part where none are.
+    pub coalescing: magpiewick_coalescing::BatchLimits,
+    /// How reads are split.
     pub split: Split,
 }
 
-/// How large reads are cut.
+/// How large reads are split.
 #[derive(Clone, Debug)]
 pub struct Split {
-    /// The most blocks of a piece; extents are kept apart in any case.
-    pub blocks: u64,
-    /// Pieces of one read that are out at a time.
-    pub at_once: usize,
+    /// The most blocks of a part; extents are kept apart in any case.
+    pub max_blocks: u64,
+    /// The most parts of one read in flight at once.
+    pub max_in_flight: usize,
 }
 
 impl HostConfig {
-    /// A host that knows nothing of cold nodes and names no time to come back, to compare with.
-    pub fn damp_nothing(&mut self) {
+    /// Disables slow start of nodes and the retry-after of rejections, for comparison.
+    pub fn disable_overload_damping(&mut self) {
         (self.start.slow_start_share, self.start.slow_start_duration, self.start.overload_window) =
             (1.0, 0.0, 0.0);
         self.start.max_retry_after = 0.0;
     }
 
-    /// Sends every request by itself from now on.
-    pub fn send_alone(&mut self) {
-        self.merge.max_parts = 1;
+    /// Sends every request by itself.
+    pub fn disable_coalescing(&mut self) {
+        self.coalescing.max_parts = 1;
         self.start.max_batch_units = self.start.max_units;
     }
 }
 
-const REPEATS: [(&str, Idempotency); 3] = [
-    ("retriable", Idempotency::Idempotent),
-    ("fingerprinted", Idempotency::IdempotentWithKey),
-    ("binding", Idempotency::NonIdempotent),
-];
-const SCOPES: [(&str, DeduplicationScope); 3] = [
-    ("all", DeduplicationScope::All),
-    ("zone", DeduplicationScope::Zone),
-    ("shard", DeduplicationScope::Shard),
-];
-const MODES: [(&str, bool); 2] = [("push", false), ("ask", true)];
-const FORMATS: [(&str, LogFormat); 2] = [("text", LogFormat::Text), ("json", LogFormat::Json)];
-const LEVELS: [(&str, &str); 5] =
-    [("error", "error"), ("warn", "warn"), ("info", "info"), ("debug", "debug"), ("trace", "trace")];
-const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-
-/// Reads a host's part of a file. `seed` is used where the file states none.
-pub fn host(root: &SettingsBlock, seed: u64) -> Option<HostConfig> {
-    let part = root.required_block("host");
-    let list = root.optional_block("list").map(|p| list(&p));
-    let round = part.as_ref().map_or(2.0, |p| p.attribute("round").duration_ms_or(2.0));
-    let (classes, class_names) = classes(root, round);
-    let (plans, plan_names) = plans(root);
-    let hosts = part.as_ref().map_or(1, |p| p.attribute("hosts").integer_or(1..=10_000, 1)) as f64;
-    let volumes = volumes(root, &plan_names, hosts);
-    let log = log(root.optional_block("log"));
-    let part = part?;
-    let units = part.attribute("most_units").number_or(1.0);
-    let mean = part.attribute("mean_units").number_or(units);
-    if mean > units || units <= 0.0 {
-        part.report_attribute_error(
-            "mean_units",
-            format!("mean_units {mean} must lie within most_units {units}"),
-        );
-    }
-    let max_poll_interval = list.as_ref().and_then(|(_, within)| *within);
-    let mut start = SchedulerConfig {
-        seed: part.attribute("seed").integer_or(0..=u64::MAX, seed),
-        hosts,
-        classes,
-        policies: plans,
-        round,
-        max_attempts: part.attribute("hand_offs").integer_or(1..=100, 3) as u32,
-        can_cancel: part.attribute("cancels").bool_or(true),
-        max_retry_after: part.attribute("longest_back").duration_ms_or(500.0),
-        max_poll_interval,
-        slow_start_share: 1.0,
-        slow_start_duration: 0.0,
-        slow_start_units: 0.0,
-        overload_window: 0.0,
-        overload_multiple: 1.0,
-        ordering_quiet_period: part.attribute("order_rest").duration_ms_or(0.0),
-        budget: None,
-        max_units: units,
-        mean_units: mean,
-        max_batch_units: units,
-        share_weight: part.attribute("share_payoff").fraction_or(0.35),
-        counts_remote_service: part.attribute("counts_others").bool_or(true),
-        peer: None,
-    };
-    if let Some(p) = root.optional_block("cold") {
-        cold(&p, &mut start);
-    }
-    start.budget = root.optional_block("budget").map(|p| budget(&p));
-    if start.max_attempts > 1 && start.classes.iter().all(|b| b.idempotency == Idempotency::NonIdempotent) {
-        let message = "hand_offs to spare, where every band is binding; a second one is never allowed after \
-            the first may have run";
-        part.report_attribute_error("hand_offs", message);
-    }
-    capacity(root, &start, &volumes);
-    let bounds = Bounds {
-        connect_within: part.attribute("connect_within").duration_ms_or(250.0),
-        frame_within: part.attribute("frame_within").duration_ms_or(10_000.0),
-        most_clients: part.attribute("most_clients").integer_or(1..=1_000_000, 4096) as usize,
-        most_in_hand: part.attribute("most_in_hand").integer_or(1..=10_000_000, 50_000) as usize,
-        client_buffer: part.attribute("client_buffer").integer_or(1024..=1 << 30, 4 << 20) as usize,
-    };
-    let merge = merge(root.optional_block("merge"), units);
-    if merge.max_parts > 1 {
-        start.max_batch_units = merge.max_units.max(units);
-    }
-    Some(HostConfig {
-        number: part.attribute("number").integer_or(0..=u64::from(u32::MAX), 0) as u32,
-        listen: part.attribute("listen").address_or(LOOPBACK),
-        list: list.map_or(
-            ListSource { address: LOOPBACK, asked: false, map: false, remember: None },
-            |(source, _)| source,
-        ),
-        start,
-        classes: class_names,
-        volumes,
-        peers: peers(root, hosts as usize),
-        bounds,
-        log,
-        merge,
-        split: split(root.optional_block("split")),
-    })
-}
-
-fn list(p: &SettingsBlock) -> (ListSource, Option<Ms>) {
-    let asked = p.attribute("mode").one_of_or(&MODES, false);
-    let within = p.attribute("ask_within");
-    let max_poll_interval = match (asked, within.is_present()) {
-        (true, _) => Some(within.duration_ms()),
-        (false, true) => {
-            p.report_attribute_error(
-                "ask_within",
-                "ask_within goes with mode = \"ask\"; a list that is pushed is not asked for",
-            );
-            None
-        }
-        (false, false) => None,
-    };
-    let remember = p.attribute("remember");
-    let remember = remember.is_present().then(|| PathBuf::from(remember.string()));
-    let (address, map) = (p.attribute("address").address_or(LOOPBACK), p.attribute("map").bool_or(false));
-    let source = ListSource { address, asked, map, remember };
-    (source, max_poll_interval)
-}
-
-/// Without the block a batch weighs at most two of the largest requests.
-fn merge(part: Option<SettingsBlock>, max_units: f64) -> magpiewick_coalescing::BatchLimits {
-    let (parts, units, bytes, reach) = (8, 2.0 * max_units, 64 << 10, 64);
-    part.map_or(
-        magpiewick_coalescing::BatchLimits {
-            max_parts: parts,
-            max_units: units,
-            max_bytes: bytes,
-            max_gap: reach,
-        },
-        |p| magpiewick_coalescing::BatchLimits {
-            max_parts: p.attribute("parts").integer_or(1..=256, parts as u64) as usize,
-            max_units: p.attribute("units").number_or(units),
-            max_bytes: p.attribute("bytes").integer_or(1..=512 << 10, bytes as u64) as usize,
-            max_gap: p.attribute("reach").integer_or(0..=1 << 40, reach),
-        },
-    )
-}
-
-fn split(part: Option<SettingsBlock>) -> Split {
-    let (blocks, at_once) = (64, 4);
-    part.map_or(Split { blocks, at_once }, |p| Split {
-        blocks: p.attribute("blocks").integer_or(1..=1 << 30, blocks),
-        at_once: p.attribute("at_once").integer_or(1..=256, at_once as u64) as usize,
-    })
-}
-
-fn classes(root: &SettingsBlock, round: Ms) -> (Vec<RequestClass>, Vec<String>) {
-    let parts = root.labelled_blocks("band");
-    if parts.is_empty() {
-        root.report_error("no band; expected at least one block band \"name\"");
-    }
-    let read = |p: &SettingsBlock| {
-        let idempotency = p.attribute("repeats").one_of(&REPEATS).unwrap_or(Idempotency::NonIdempotent);
-        let (deduplication_scope, deduplication_window) = (p.attribute("group"), p.attribute("memory"));
-        let fingerprinted = idempotency == Idempotency::IdempotentWithKey;
-        for (name, given) in
-            [("group", deduplication_scope.is_present()), ("memory", deduplication_window.is_present())]
-        {
-            if given && !fingerprinted {
-                p.report_attribute_error(name, format!("{name} goes with repeats = \"fingerprinted\" only"));
-            }
-        }
-        let class = RequestClass {
-            latency_objective: p.attribute("soft_limit").duration_ms(),
-            client_timeout: p.attribute("time_limit").duration_ms(),
-            priority_weight: p.attribute("payoff").number_or(1.0),
-            idempotency,
-            deduplication_scope: deduplication_scope.one_of_or(&SCOPES, DeduplicationScope::Shard),
-            deduplication_window: if fingerprinted { deduplication_window.duration_ms() } else { 0.0 },
-            ordered: p.attribute("in_order").bool_or(false),
-        };
-        if class.latency_objective > class.client_timeout {
-            let (soft, most) = (class.latency_objective, class.client_timeout);
-            p.report_attribute_error(
-                "soft_limit",
-                format!("soft_limit of {soft}ms lies beyond the time_limit of {most}ms"),
-            );
-        }
-        if class.client_timeout <= 4.0 * round && p.attribute("time_limit").is_present() {
-            p.report_attribute_error(
-                "time_limit",
-                format!("time_limit leaves no time beside a round of {round}ms"),
-            );
-        }
-        class
-    };
-    (parts.iter().map(read).collect(), parts.iter().map(|p| p.label().to_string()).collect())
-}
-
-fn plans(root: &SettingsBlock) -> (Vec<QosPolicy>, Vec<String>) {
-    let parts = root.labelled_blocks("plan");
-    if parts.is_empty() {
-        root.report_error("no plan; expected at least one block plan \"name\"");
-    }
-    let read = |p: &SettingsBlock| {
-        let rate = p.attribute("rate").number();
-        let plan = QosPolicy {
-            price: p.attribute("price").number_or(1.0),
-            weight: p.attribute("weight").number_or(1.0),
-            rate,
-            reserve: p.attribute("reserve").number_or(0.0),
-            limit_rate: p.attribute("limit_rate").number_or(0.0),
-            limit_burst: p.attribute("limit_store").number_or(0.0),
-        };
-        if plan.limit_rate > 0.0 && plan.reserve > plan.limit_rate {
-            let (reserve, limit) = (plan.reserve, plan.limit_rate);
-            p.report_attribute_error(
-                "reserve",
-                format!("a reserve of {reserve} lies beyond the limit_rate of {limit}"),
-            );
-        }
-        if (plan.limit_rate > 0.0) != (plan.limit_burst > 0.0) {
-            p.report_attribute_error(
-                "limit_store",
-                "limit_rate and limit_store go together: a rate and what may come at once",
-            );
-        }
-        plan
-    };
-    (parts.iter().map(read).collect(), parts.iter().map(|p| p.label().to_string()).collect())
-}
-
-fn volumes(root: &SettingsBlock, plans: &[String], hosts: f64) -> BTreeMap<u64, Volume> {
-    let mut volumes = BTreeMap::new();
-    for p in root.labelled_blocks("volume") {
-        let id = p.attribute("id").integer(0..=u64::MAX);
-        let names: Vec<(&str, usize)> = plans.iter().map(String::as_str).zip(0..).collect();
-        let plan = p.attribute("plan").one_of(&names).unwrap_or(0);
-        let shards: Vec<usize> = p.attribute("shards").integers().iter().map(|s| *s as usize).collect();
-        if p.attribute("shards").is_present() && shards.is_empty() {
-            p.report_attribute_error("shards", "shards is empty; a volume's data lies on one at least");
-        }
-        let through = p.attribute("hosts").number_or(hosts);
-        if through < 1.0 || through > hosts {
-            p.report_attribute_error(
-                "hosts",
-                format!("a volume comes through 1 to {hosts} hosts, not {through}"),
-            );
-        }
-        let volume = Volume { name: p.label().to_string(), plan, shards, hosts: through };
-        if volumes.insert(id, volume).is_some() {
-            p.report_attribute_error("id", format!("a second volume with the id {id}"));
-        }
-    }
-    volumes
-}
-
-/// The hosts that tell each other; all of them state each other in the same words, so each can be given the same
-/// file. Which of them this one is stands in its number, which may be given at its start.
-fn peers(root: &SettingsBlock, hosts: usize) -> BTreeMap<usize, SocketAddr> {
-    let mut peers = BTreeMap::new();
-    for p in root.labelled_blocks("peer") {
-        let number: Option<usize> = p.label().parse().ok().filter(|number| *number < hosts);
-        let Some(address) = p.attribute("address").address() else { continue };
-        if address.port() == 0 {
-            p.report_attribute_error(
-                "address",
-                "an address without a port; expected one that other hosts can send to",
-            );
-        }
-        if peers.values().any(|other| *other == address) {
-            p.report_attribute_error("address", format!("a second peer at {address}"));
-        }
-        match number {
-            Some(number) if number.to_string() == p.label() => _ = peers.insert(number, address),
-            _ => p.report_error(format!(
-                "a peer {:?}; expected a host's number, 0 to {}",
-                p.label(),
-                hosts - 1
-            )),
-        }
-    }
-    peers
-}
-
-fn cold(p: &SettingsBlock, start: &mut SchedulerConfig) {
-    start.slow_start_share = p.attribute("share").fraction_or(1.0);
-    start.slow_start_duration = p.attribute("time").duration_ms();
-    start.slow_start_units = p.attribute("units").number_or(0.0);
-    start.overload_window = p.attribute("fall_time").duration_ms();
-    start.overload_multiple = p.attribute("fall_multiple").number();
-    if start.slow_start_share <= 0.0 {
-        p.report_attribute_error(
-            "share",
-            "a share of 0: a node that can do nothing at its start is never warm",
-        );
-    }
-    if start.overload_window <= 0.0 && p.attribute("fall_time").is_present() {
-        p.report_attribute_error(
-            "fall_time",
-            "a fall_time of 0; expected the time over which a cold node is pushed over",
-        );
-    }
-    if start.overload_multiple < 1.0 && p.attribute("fall_multiple").is_present() {
-        p.report_attribute_error(
-            "fall_multiple",
-            "a fall_multiple under 1: a cold node could not be sent what it can do",
-        );
-    }
-}
-
-fn budget(p: &SettingsBlock) -> RetryBudget {
-    let window = p.attribute("window").duration_ms();
-    if window <= 0.0 && p.attribute("window").is_present() {
-        p.report_attribute_error(
-            "window",
-            "a window of 0; expected the time over which further hand-offs are counted",
-        );
-    }
-    RetryBudget {
-        free: p.attribute("free").number_or(0.0),
-        share: p.attribute("share").number_or(0.0),
-        window,
-    }
-}
-
-/// Checks what is reserved, and what a store may let out, against what the shards can do, where that is stated.
-fn capacity(root: &SettingsBlock, start: &SchedulerConfig, volumes: &BTreeMap<u64, Volume>) {
-    let Some(p) = root.optional_block("capacity") else { return };
-    let a_shard = p.attribute("units_a_second").number();
-    let mut reserved: BTreeMap<usize, f64> = BTreeMap::new();
-    for volume in volumes.values() {
-        for shard in &volume.shards {
-            let reserve = start.policies.get(volume.plan).map_or(0.0, |plan| plan.reserve);
-            *reserved.entry(*shard).or_default() += reserve / volume.shards.len() as f64;
-        }
-    }
-    for (shard, reserved) in reserved.into_iter().filter(|(_, reserved)| *reserved > a_shard) {
-        p.report_error(format!(
-            "the reserves on shard {shard} come to {reserved} units a second; it can do {a_shard}"
-        ));
-    }
-}
-
 impl Default for LogConfig {
     fn default() -> LogConfig {
         LogConfig { level: "info".to_string(), format: LogFormat::Text, requests: false }
     }
 }
 
-fn log(part: Option<SettingsBlock>) -> LogConfig {
-    part.map_or_else(LogConfig::default, |p| LogConfig {
-        level: p.attribute("level").one_of_or(&LEVELS, "info").to_string(),
-        format: p.attribute("format").one_of_or(&FORMATS, LogFormat::Text),
-        requests: p.attribute("commands").bool_or(false),
-    })
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -147,7 +147,7 @@
 
     /// Whether there is input that was not read yet.
     pub fn has_unread_input(&self) -> bool {
-        self.stream.unread()
+        self.stream.has_unread()
     }
 
     /// Whether the client has ended its connection, whatever was read of it.
@@ -174,7 +174,7 @@
     /// Its timer is due. Whether input is to be read before anything is decided.
     pub fn on_timer(&mut self) -> bool {
         self.timer_armed = false;
-        !self.closing && self.stream.reading() && self.stream.unread()
+        !self.closing && self.stream.reading() && self.stream.has_unread()
     }
 
     /// What it is doing, as far as its timer is concerned.
--- a/crates/platform/src/proxy.rs
+++ b/crates/platform/src/proxy.rs
@@ -146,7 +146,7 @@
     }
 
     fn log_attempt_count(&mut self, outcome: Outcome) {
-        *self.metrics.attempt_outcomes.entry(Reason::After(outcome).word()).or_default() += 1;
+        *self.metrics.attempt_outcomes.entry(Reason::After(outcome).as_str()).or_default() += 1;
     }
 }
 
--- a/crates/platform/src/proxy/attempts.rs
+++ b/crates/platform/src/proxy/attempts.rs
@@ -132,7 +132,7 @@
             "0.000" => &[],
             seconds => &[("Retry-After", seconds.as_bytes())],
         };
-        let body = format!("{}\n", reason.word());
+        let body = format!("{}\n", reason.as_str());
         let response = OutgoingResponse { status: http_status, headers, body: body.as_bytes(), close: false };
         self.send_response(client, &response);
     }
--- a/crates/platform/src/reactor.rs
+++ b/crates/platform/src/reactor.rs
@@ -105,11 +105,11 @@
     pub fn wait(&mut self, woken: &mut Woken, wake_at: Ms) -> io::Result<()> {
         let now = self.clock.now();
         let sleep = (wake_at - now).clamp(0.0, MAX_POLL_WAIT_MS);
-        self.stall_detector.sleeps(now, sleep);
+        self.stall_detector.on_sleep(now, sleep);
         self.poll.wait(woken, Some(Clock::until(now, now + sleep)))?;
         self.now = self.clock.now();
-        self.stall_detector.woke(self.now);
-        self.input_age = self.stall_detector.age();
+        self.stall_detector.on_wake(self.now);
+        self.input_age = self.stall_detector.max_request_age();
         Ok(())
     }
 
--- a/crates/platform/src/request_log.rs
+++ b/crates/platform/src/request_log.rs
@@ -160,7 +160,7 @@
 
     /// This host gave the response itself.
     pub fn request_not_served(&mut self, now: Ms, request: &RequestLabels, status: u16, reason: Reason) {
-        let reason = reason.word();
+        let reason = reason.as_str();
         *self.counts.not_served.entry(reason).or_default() += 1;
         if let Some(suppressed) = self.not_served.admit(now) {
             let RequestLabels { id: request_id, attempts, age: elapsed_ms, endpoint } = *request;
@@ -179,7 +179,7 @@
 
     /// Another attempt of a request starts at `next`; `outcome`: that of the one before.
     pub fn request_retried(&mut self, now: Ms, request: &RequestLabels, next: &str, outcome: Outcome) {
-        let outcome = Reason::After(outcome).word();
+        let outcome = Reason::After(outcome).as_str();
         *self.counts.retried.entry(outcome).or_default() += 1;
         if let Some(suppressed) = self.retried.admit(now) {
             let RequestLabels { id: request_id, attempts: attempt, age: elapsed_ms, endpoint } = *request;
@@ -251,7 +251,7 @@
     /// An attempt has ended.
     pub fn attempt_finished(&self, request: &RequestLabels, outcome: Outcome, elapsed_ms: Ms) {
         let RequestLabels { id: request_id, attempts: attempt, endpoint, .. } = *request;
-        let outcome = Reason::After(outcome).word();
+        let outcome = Reason::After(outcome).as_str();
         tracing::debug!(request_id, attempt, endpoint, outcome, elapsed_ms, "attempt_finished");
     }
 
--- a/crates/platform/src/response_stream.rs
+++ b/crates/platform/src/response_stream.rs
@@ -54,7 +54,7 @@
 
     /// Whether neither bytes nor an end have arrived while nothing was requested.
     pub fn is_quiet(&mut self) -> bool {
-        matches!(self.stream.fill_to(1), Ok(false)) && self.stream.input().is_empty()
+        self.stream.is_reusable()
     }
 
     /// Reads what arrived while nothing was requested; how many bytes that are.
--- a/crates/platform/src/upstream_connection.rs
+++ b/crates/platform/src/upstream_connection.rs
@@ -235,6 +235,6 @@
     /// It carries no attempt any more, and may be used again.
     pub fn become_idle(&mut self) {
         self.state = UpstreamState::Idle;
-        self.responses.stream_mut().rest();
+        self.responses.stream_mut().release_buffers();
     }
 }
--- a/crates/scenario/src/client_loop.rs
+++ b/crates/scenario/src/client_loop.rs
@@ -9,7 +9,7 @@
 use crate::Ms;
 use magpiewick::Idempotency;
 use magpiewick_gateway::config::HostConfig;
-use magpiewick_node_protocol::{FinalCode, Frames, Hello, Message, Role, Take, LONG_AGO};
+use magpiewick_node_protocol::{self as wire, FinalCode, Frames, Hello, Message, Role, LONG_AGO};
 use magpiewick_transport::{Clock, Connection, Poll, Timers, Woken, NOTHING};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -227,7 +227,7 @@
         let Some(address) = self.hosts[host] else { return };
         for index in self.connections_of(host) {
             let Ok(mut connection) = Connection::connect(&self.poll, address, index) else { continue };
-            let hello = Hello::of(Role::Client, index as u32, 0, LONG_AGO);
+            let hello = Hello::new(Role::Client, index as u32, 0, LONG_AGO);
             connection.queue(&Message::Hello(hello), NOTHING);
             self.connections[index] = Some(HostConnection { connection, incarnation: None });
         }
@@ -301,19 +301,19 @@
             let mark_size = block.len().min(8);
             block[..mark_size].copy_from_slice(&request.mark.to_le_bytes()[..mark_size]);
         }
-        let take = Take {
+        let message = wire::ClientRequest {
             request_id: request.number,
             class: request.class,
             write: mix.write,
             volume: request.volume,
             key: request.key,
-            mark: request.mark,
+            idempotency_key: request.mark,
             units: request.units as f32,
-            limit_us: (request.timeout * 1000.0) as u32,
+            client_timeout_us: (request.timeout * 1000.0) as u32,
             blocks: request.blocks,
             payload: &self.payload[..size],
         };
-        host.connection.queue(&Message::Take(take), NOTHING);
+        host.connection.queue(&Message::Request(message), NOTHING);
     }
 
     fn set_timer(&mut self, at: Ms, timer: Timer) {
@@ -339,7 +339,7 @@
         self.statistics.timed_out += 1;
         self.record(ClientEvent::TimedOut { number });
         if let Some(host) = &mut self.connections[open.request.connection] {
-            host.connection.queue(&Message::GiveUp { request_id: number }, NOTHING);
+            host.connection.queue(&Message::CancelRequest { request_id: number }, NOTHING);
         }
     }
 
@@ -352,12 +352,12 @@
             match message {
                 Ok(Message::Hello(hello)) => {
                     if let Some(host) = &mut self.connections[index] {
-                        host.incarnation = Some(hello.life);
+                        host.incarnation = Some(hello.incarnation);
                     }
                 }
-                Ok(Message::Final(answer)) => {
-                    let retry_after = f64::from(answer.back_us) / 1000.0;
-                    self.on_answer(answer.request_id, answer.verdict, retry_after, answer.payload);
+                Ok(Message::FinalAnswer(answer)) => {
+                    let retry_after = f64::from(answer.retry_after_us) / 1000.0;
+                    self.on_answer(answer.request_id, answer.code, retry_after, answer.payload);
                 }
                 Ok(_) => ended = true,
                 Err(_) => {
@@ -366,7 +366,7 @@
                 }
             }
         }
-        let used = frames.used();
+        let used = frames.consumed();
         if let Some(host) = &mut self.connections[index] {
             host.connection.give_back(input, used);
         }
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -2,7 +2,7 @@
 //! a host's latency and processor time.
 
 use magpiewick_node_protocol::{
-    Attempt, Final, FinalCode, Frames, Hello, Message, OutcomeCode, Role, LONG_AGO,
+    Attempt, FinalAnswer, FinalCode, Frames, Hello, Message, OutcomeCode, Role, LONG_AGO,
 };
 use magpiewick_transport::{listen, Connection, Poll, Woken, NOTHING};
 use slab::Slab;
@@ -57,7 +57,7 @@
         let entry = self.clients.vacant_entry();
         let key = CLIENTS + entry.key();
         let mut connection = Connection::accepted(&self.poll, stream, key)?;
-        connection.queue(&Message::Hello(Hello::of(Role::Host, 0, 1, LONG_AGO)), NOTHING);
+        connection.queue(&Message::Hello(Hello::new(Role::Host, 0, 1, LONG_AGO)), NOTHING);
         entry.insert(connection);
         Ok(())
     }
@@ -77,7 +77,7 @@
         while let Some(Ok(message)) = frames.next() {
             self.forward(key, &message);
         }
-        let used = frames.used();
+        let used = frames.consumed();
         if let Some(connection) = self.connection(key) {
             connection.give_back(input, used);
         }
@@ -91,23 +91,23 @@
 
     fn forward(&mut self, key: usize, message: &Message) {
         match message {
-            Message::Take(take) => {
-                let request_id = self.in_flight.insert((key, take.request_id)) as u64;
-                let node = (take.key % self.nodes.len() as u64) as usize;
+            Message::Request(request) => {
+                let request_id = self.in_flight.insert((key, request.request_id)) as u64;
+                let node = (request.key % self.nodes.len() as u64) as usize;
                 let attempt = Attempt {
                     request_id,
                     attempt: 0,
-                    class: take.class,
-                    write: take.write,
-                    volume: take.volume,
-                    key: take.key,
-                    mark: take.mark,
-                    units: take.units,
+                    class: request.class,
+                    write: request.write,
+                    volume: request.volume,
+                    key: request.key,
+                    idempotency_key: request.idempotency_key,
+                    units: request.units,
                     shard: node as u32,
-                    left_us: take.limit_us,
+                    remaining_us: request.client_timeout_us,
                     version: 0,
-                    blocks: take.blocks,
-                    payload: take.payload,
+                    blocks: request.blocks,
+                    payload: request.payload,
                 };
                 self.nodes[node].queue(&Message::Attempt(attempt), NOTHING);
             }
@@ -116,14 +116,14 @@
                 else {
                     return;
                 };
-                let verdict = if outcome.code == OutcomeCode::Succeeded {
+                let code = if outcome.code == OutcomeCode::Succeeded {
                     FinalCode::Succeeded
                 } else {
                     FinalCode::Rejected
                 };
-                let answer = Final { request_id, verdict, back_us: 0, payload: outcome.payload };
+                let answer = FinalAnswer { request_id, code, retry_after_us: 0, payload: outcome.payload };
                 if let Some(client) = self.connection(client) {
-                    client.queue(&Message::Final(answer), NOTHING);
+                    client.queue(&Message::FinalAnswer(answer), NOTHING);
                 }
             }
             _ => {}
