--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -15,14 +15,14 @@
     version,
     about = "A storage gateway: schedules a host's reads and writes over storage nodes"
 )]
-pub struct Arguments {
+pub(crate) struct Arguments {
     #[command(subcommand)]
     pub command: Command,
 }
 
 /// One subcommand with its arguments.
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Run a host; with a block `standin` in the file, its emulated services run with it
     Serve(ServeArguments),
     /// Check a settings file; all its errors are reported at once
@@ -49,13 +49,13 @@
 
 /// The argument of subcommands that take a settings file and nothing else.
 #[derive(clap::Args)]
-pub struct SettingsFile {
+pub(crate) struct SettingsFile {
     pub file: PathBuf,
 }
 
 /// The form in which a report is printed.
 #[derive(Clone, Copy, ValueEnum)]
-pub enum ReportFormat {
+pub(crate) enum ReportFormat {
     Text,
     Json,
 }
--- a/crates/cli/src/commands/bench.rs
+++ b/crates/cli/src/commands/bench.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 #[derive(clap::Args)]
-pub struct BenchArguments {
+pub(crate) struct BenchArguments {
     /// Numbers of nodes
     #[arg(long, value_delimiter = ',', default_values_t = [1, 8, 60])]
     nodes: Vec<usize>,
@@ -18,7 +18,7 @@
 }
 
 /// Measures and prints one line per figure.
-pub fn run(arguments: &BenchArguments) -> Result<ExitStatus, Error> {
+pub(crate) fn run(arguments: &BenchArguments) -> Result<ExitStatus, Error> {
     let program = std::env::current_exe()?;
     if arguments.reads {
         print_reads(&program, &arguments.nodes)?;
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 /// Reads the file; errors in it end the subcommand with their list.
-pub fn run(file: &Path) -> Result<ExitStatus, Error> {
+pub(super) fn run(file: &Path) -> Result<ExitStatus, Error> {
     let host = settings::read(file)?.host;
     println!(
         "{}: good; {} bands, {} plans, {} volumes",
--- a/crates/cli/src/commands/extents/map_service.rs
+++ b/crates/cli/src/commands/extents/map_service.rs
@@ -10,21 +10,21 @@
 const READ_BYTES: usize = 1 << 16;
 
 /// How far the migration of an extent has come, as the service reports it.
-pub struct MigrationState {
+pub(super) struct MigrationState {
     pub from: u32,
     pub to: u32,
     pub stage: MigrationStage,
 }
 
 /// A connection to the service.
-pub struct MapService {
+pub(super) struct MapService {
     stream: TcpStream,
     received: Vec<u8>,
 }
 
 impl MapService {
     /// Connects as a client.
-    pub fn connect(address: SocketAddr) -> io::Result<MapService> {
+    pub(super) fn connect(address: SocketAddr) -> io::Result<MapService> {
         let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         stream.set_read_timeout(Some(READ_TIMEOUT))?;
         let mut service = MapService { stream, received: Vec::new() };
@@ -33,17 +33,17 @@
     }
 
     /// How long a read waits at most.
-    pub fn set_read_timeout(&self, timeout: Duration) -> io::Result<()> {
+    pub(super) fn set_read_timeout(&self, timeout: Duration) -> io::Result<()> {
         self.stream.set_read_timeout(Some(timeout))
     }
 
     /// Asks for the map and for each change of it from now on.
-    pub fn watch(&mut self) -> io::Result<()> {
+    pub(super) fn watch(&mut self) -> io::Result<()> {
         self.send(&Message::WatchMap)
     }
 
     /// Asks for a migration, or for its end with `abandon`, and returns the state that follows.
-    pub fn migrate(
+    pub(super) fn migrate(
         &mut self,
         volume: u64,
         start: u64,
@@ -60,7 +60,7 @@
     }
 
     /// Passes messages to `wanted` until it returns a value.
-    pub fn receive<T>(&mut self, mut wanted: impl FnMut(&Message) -> Option<T>) -> io::Result<T> {
+    pub(super) fn receive<T>(&mut self, mut wanted: impl FnMut(&Message<'_>) -> Option<T>) -> io::Result<T> {
         loop {
             let decoded = decode(&self.received).map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?;
             match decoded {
@@ -77,7 +77,7 @@
         }
     }
 
-    fn send(&mut self, message: &Message) -> io::Result<()> {
+    fn send(&mut self, message: &Message<'_>) -> io::Result<()> {
         let mut bytes = Vec::new();
         encode(message, &mut bytes);
         self.stream.write_all(&bytes)
--- a/crates/cli/src/commands/extents/mod.rs
+++ b/crates/cli/src/commands/extents/mod.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 #[derive(clap::Args)]
-pub struct ExtentsArguments {
+pub(crate) struct ExtentsArguments {
     /// The list and map service
     #[arg(long)]
     service: SocketAddr,
@@ -58,7 +58,7 @@
 const MIGRATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Does what was asked; a service that did not do it shows in the exit status.
-pub fn run(arguments: &ExtentsArguments) -> Result<ExitStatus, Error> {
+pub(crate) fn run(arguments: &ExtentsArguments) -> Result<ExitStatus, Error> {
     let mut service = MapService::connect(arguments.service)?;
     let done = match arguments.action {
         ExtentsAction::Show { volume } => show(&mut service, volume)?,
--- a/crates/cli/src/commands/list.rs
+++ b/crates/cli/src/commands/list.rs
@@ -6,6 +6,6 @@
 use std::path::Path;
 
 /// Runs the services until a termination signal.
-pub fn run(file: &Path) -> Result<ExitStatus, Error> {
+pub(super) fn run(file: &Path) -> Result<ExitStatus, Error> {
     emulated_services::run(settings::read(file)?, file, Announced::EndpointList)
 }
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 
 #[derive(clap::Args)]
-pub struct LoadArguments {
+pub(crate) struct LoadArguments {
     file: PathBuf,
     /// The host; the file's `listen` otherwise
     #[arg(long)]
@@ -24,7 +24,7 @@
 }
 
 /// Offers the traffic and prints what came of it.
-pub fn run(arguments: &LoadArguments) -> Result<ExitStatus, Error> {
+pub(crate) fn run(arguments: &LoadArguments) -> Result<ExitStatus, Error> {
     let mut settings = settings::read(&arguments.file)?;
     let Some(scenario) = &mut settings.scenario else {
         return Err(Error::block_missing(&arguments.file, "traffic"));
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,21 +1,21 @@
 //! The subcommands, one module each.
 
-pub mod bench;
+pub(crate) mod bench;
 mod check;
-pub mod extents;
+pub(crate) mod extents;
 mod list;
-pub mod load;
-pub mod node;
+pub(crate) mod load;
+pub(crate) mod node;
 mod platform;
 mod relay;
-pub mod scenario;
-pub mod serve;
+pub(crate) mod scenario;
+pub(crate) mod serve;
 
 use crate::arguments::Command;
 use crate::error::{Error, ExitStatus};
 
 /// Runs a subcommand to its end.
-pub fn run(command: Command) -> Result<ExitStatus, Error> {
+pub(crate) fn run(command: Command) -> Result<ExitStatus, Error> {
     match command {
         Command::Serve(arguments) => serve::run(&arguments),
         Command::Check(arguments) => check::run(&arguments.file),
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 #[derive(clap::Args)]
-pub struct NodeArguments {
+pub(crate) struct NodeArguments {
     file: PathBuf,
     /// The node's number
     #[arg(long)]
@@ -14,7 +14,7 @@
 }
 
 /// Runs the node until a termination signal.
-pub fn run(arguments: &NodeArguments) -> Result<ExitStatus, Error> {
+pub(crate) fn run(arguments: &NodeArguments) -> Result<ExitStatus, Error> {
     let NodeArguments { file, number } = arguments;
     let mut settings = settings::read(file)?;
     let Some(emulator) = &mut settings.emulator else { return Err(Error::block_missing(file, "standin")) };
--- a/crates/cli/src/commands/platform.rs
+++ b/crates/cli/src/commands/platform.rs
@@ -5,7 +5,7 @@
 use magpiewick_gateway::config::LogConfig;
 
 /// Runs the host until it has shut down.
-pub fn run() -> Result<ExitStatus, Error> {
+pub(super) fn run() -> Result<ExitStatus, Error> {
     logging::start(&LogConfig::default());
     match magpiewick_platform::run() {
         Ok(()) => Ok(ExitStatus::Success),
--- a/crates/cli/src/commands/relay.rs
+++ b/crates/cli/src/commands/relay.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 /// Relays until the process is stopped.
-pub fn run(nodes: &[SocketAddr]) -> Result<ExitStatus, Error> {
+pub(super) fn run(nodes: &[SocketAddr]) -> Result<ExitStatus, Error> {
     magpiewick_scenario::relay(nodes)?;
     Ok(ExitStatus::Success)
 }
--- a/crates/cli/src/commands/scenario/mod.rs
+++ b/crates/cli/src/commands/scenario/mod.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 
 #[derive(clap::Args)]
-pub struct ScenarioArguments {
+pub(crate) struct ScenarioArguments {
     file: PathBuf,
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -28,7 +28,7 @@
 }
 
 /// Runs the scenario and prints its report; a broken rule shows in the exit status.
-pub fn run(arguments: &ScenarioArguments) -> Result<ExitStatus, Error> {
+pub(crate) fn run(arguments: &ScenarioArguments) -> Result<ExitStatus, Error> {
     let file = &arguments.file;
     let settings = settings::read(file)?;
     let host = &settings.host;
--- a/crates/cli/src/commands/scenario/report.rs
+++ b/crates/cli/src/commands/scenario/report.rs
@@ -8,7 +8,7 @@
 const FINDINGS_SHOWN: usize = 5;
 
 /// Prints the report on standard output.
-pub fn print(report: &ScenarioReport, format: ReportFormat) -> io::Result<()> {
+pub(super) fn print(report: &ScenarioReport, format: ReportFormat) -> io::Result<()> {
     match format {
         ReportFormat::Json => println!("{}", serde_json::to_string_pretty(report)?),
         ReportFormat::Text => print_text(report),
--- a/crates/cli/src/commands/scenario/request_records.rs
+++ b/crates/cli/src/commands/scenario/request_records.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 /// Writes all records of a run in the order in which clients made them.
-pub fn write(path: &Path, report: &ScenarioReport) -> io::Result<()> {
+pub(super) fn write(path: &Path, report: &ScenarioReport) -> io::Result<()> {
     let mut file = BufWriter::new(File::create(path)?);
     for (at_ms, event) in &report.client_events {
         writeln!(file, "{}", record(*at_ms, event))?;
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 
 #[derive(clap::Args)]
-pub struct ServeArguments {
+pub(crate) struct ServeArguments {
     file: PathBuf,
     /// The host's number, in place of the file's
     #[arg(long)]
@@ -39,7 +39,7 @@
 }
 
 /// Serves until a termination signal.
-pub fn run(arguments: &ServeArguments) -> Result<ExitStatus, Error> {
+pub(crate) fn run(arguments: &ServeArguments) -> Result<ExitStatus, Error> {
     let mut settings = settings::read(&arguments.file)?;
     override_settings(&mut settings, arguments);
     logging::start(&settings.host.log);
--- a/crates/cli/src/emulated_services.rs
+++ b/crates/cli/src/emulated_services.rs
@@ -11,13 +11,13 @@
 
 /// The service whose address is printed once all are ready.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Announced {
+pub(crate) enum Announced {
     EndpointList,
     FirstNode,
 }
 
 /// Runs the services with the file's faults. Its nodes keep no record of their attempts: nobody will audit them.
-pub fn run(settings: Config, file: &Path, announced: Announced) -> Result<ExitStatus, Error> {
+pub(crate) fn run(settings: Config, file: &Path, announced: Announced) -> Result<ExitStatus, Error> {
     let Some(emulator) = settings.emulator else { return Err(Error::block_missing(file, "standin")) };
     logging::start(&settings.host.log);
     let mut signals = termination_signals()?;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -30,7 +30,7 @@
 
 /// Why a subcommand could not do its work.
 #[derive(Debug, Error)]
-pub enum Error {
+pub(crate) enum Error {
     #[error(transparent)]
     Settings(#[from] SettingsErrors),
     #[error("{}: the block {block} is missing; this command needs it", file.display())]
@@ -50,12 +50,12 @@
 
 impl Error {
     /// The error for a block that a subcommand needs and the file lacks.
-    pub fn block_missing(file: &Path, block: &'static str) -> Error {
+    pub(crate) fn block_missing(file: &Path, block: &'static str) -> Error {
         Error::BlockMissing { file: file.to_path_buf(), block }
     }
 
     /// The exit code that goes with the error.
-    pub fn exit_status(&self) -> ExitStatus {
+    pub(crate) fn exit_status(&self) -> ExitStatus {
         match self {
             Error::Settings(_)
             | Error::BlockMissing { .. }
@@ -66,7 +66,7 @@
     }
 
     /// Prints the error on standard error; what begins with a file's name needs no program name before it.
-    pub fn print(&self) {
+    pub(crate) fn print(&self) {
         match self {
             Error::Settings(_) | Error::BlockMissing { .. } | Error::NodeUnknown { .. } => {
                 eprintln!("{self}")
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -5,7 +5,7 @@
 use tracing_subscriber::EnvFilter;
 
 /// Installs the global subscriber; `MAGPIEWICK_LOG` overrides the level of the file, in the syntax of `EnvFilter`.
-pub fn start(config: &LogConfig) {
+pub(crate) fn start(config: &LogConfig) {
     let requests = if config.requests { "info" } else { "off" };
     let filter = EnvFilter::try_from_env("MAGPIEWICK_LOG")
         .unwrap_or_else(|_| EnvFilter::new(format!("{},request={requests}", config.level)));
--- a/crates/cli/src/signals.rs
+++ b/crates/cli/src/signals.rs
@@ -6,7 +6,7 @@
 use std::os::unix::net::UnixStream;
 
 /// A stream on which each SIGTERM and SIGINT shows as a byte.
-pub fn termination_signals() -> io::Result<UnixStream> {
+pub(crate) fn termination_signals() -> io::Result<UnixStream> {
     let (read, write) = UnixStream::pair()?;
     pipe::register(SIGTERM, write.try_clone()?)?;
     pipe::register(SIGINT, write)?;
--- a/crates/cli/tests/soak/audit.rs
+++ b/crates/cli/tests/soak/audit.rs
@@ -22,7 +22,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug)]
-pub enum Finding {
+pub(crate) enum Finding {
     ForeignResponse { id: String, status: u16, begins: String },
     NoResponse { id: String, host: usize, after: Duration, why: &'static str },
     LateResponse { id: String, by: Duration },
@@ -34,7 +34,7 @@
 }
 
 impl fmt::Display for Finding {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Finding::ForeignResponse { id, status, begins } => {
                 write!(f, "{id} got the response to another request: {status} {begins:?}")
@@ -60,7 +60,7 @@
 
 /// What an audit found, and what it counted.
 #[derive(Debug, Default)]
-pub struct Report {
+pub(crate) struct Report {
     pub findings: Vec<Finding>,
     counts: BTreeMap<&'static str, usize>,
 }
@@ -70,14 +70,14 @@
         *self.counts.entry(what).or_default() += 1;
     }
 
-    pub fn summary(&self) -> String {
+    pub(crate) fn summary(&self) -> String {
         let counts = self.counts.iter().map(|(what, count)| format!("{what} {count}"));
         counts.chain([format!("findings {}", self.findings.len())]).collect::<Vec<_>>().join(", ")
     }
 }
 
 /// Checks all requests, attempts and exits of a run.
-pub fn audit(evidence: &Evidence) -> Report {
+pub(crate) fn audit(evidence: &Evidence) -> Report {
     let Evidence { requests, unsolicited_count, test_delays, attempts, exits } = evidence;
     let mut report = Report::default();
     let mut by_id: HashMap<&str, Vec<&Attempt>> = HashMap::new();
--- a/crates/cli/tests/soak/client.rs
+++ b/crates/cli/tests/soak/client.rs
@@ -10,7 +10,7 @@
 
 /// What a client expects of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RequestKind {
+pub(crate) enum RequestKind {
     /// A request to a node, with the node's response to it.
     Forwarded,
     /// A readiness check, which the host answers by itself.
@@ -21,7 +21,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Debug)]
-pub enum RequestEnd {
+pub(crate) enum RequestEnd {
     Answered {
         status: u16,
         body: Vec<u8>,
@@ -39,7 +39,7 @@
 
 /// A request as its client saw it.
 #[derive(Clone, Debug)]
-pub struct Request {
+pub(crate) struct Request {
     pub id: String,
     pub kind: RequestKind,
     pub host: usize,
@@ -54,14 +54,14 @@
 }
 
 /// What a client saw.
-pub struct ClientRecord {
+pub(crate) struct ClientRecord {
     pub requests: Vec<Request>,
     /// How often more arrived than the responses to the requests.
     pub unsolicited_count: u64,
 }
 
 /// A client of one host.
-pub struct Client<'a> {
+pub(crate) struct Client<'a> {
     pub config: &'a RunConfig,
     pub name: String,
     pub host: usize,
@@ -85,7 +85,7 @@
 
 impl Client<'_> {
     /// Sends requests until the run is over.
-    pub fn run(mut self) -> ClientRecord {
+    pub(crate) fn run(mut self) -> ClientRecord {
         while !self.over.load(Ordering::SeqCst) {
             match TcpStream::connect(self.address) {
                 Ok(stream) => self.use_connection(&stream),
--- a/crates/cli/tests/soak/defect_relay.rs
+++ b/crates/cli/tests/soak/defect_relay.rs
@@ -14,7 +14,7 @@
 const LOST_REQUEST_HOLD: Duration = Duration::from_secs(1);
 
 /// A relay in front of one host.
-pub struct DefectRelay {
+pub(crate) struct DefectRelay {
     pub address: SocketAddr,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl DefectRelay {
-    pub fn start(host: SocketAddr, defect: Defect) -> DefectRelay {
+    pub(crate) fn start(host: SocketAddr, defect: Defect) -> DefectRelay {
         let (listener, address) = listen();
         let counters = Arc::new(Counters::default());
         accept(listener, move |client| _ = carry(&client, host, defect, &counters));
--- a/crates/cli/tests/soak/node.rs
+++ b/crates/cli/tests/soak/node.rs
@@ -16,7 +16,7 @@
 
 /// An attempt as its node saw it.
 #[derive(Clone, Debug)]
-pub struct Attempt {
+pub(crate) struct Attempt {
     pub id: String,
     pub class: String,
     /// When its last byte was read.
@@ -29,7 +29,7 @@
 
 /// The body of the response to a request, the same at each node: it begins with the request's id, and holds arbitrary
 /// bytes.
-pub fn expected_body(id: &str) -> Vec<u8> {
+pub(crate) fn expected_body(id: &str) -> Vec<u8> {
     let hash = id.bytes().fold(7u64, |sum, byte| sum.wrapping_mul(31).wrapping_add(u64::from(byte)));
     let mut random = SeededRandom::new(hash);
     let length = if random.below(50) == 0 { 30_000 } else { 16 + random.below(900) as usize };
@@ -84,13 +84,13 @@
 }
 
 /// A node that serves one shard.
-pub struct Node {
+pub(crate) struct Node {
     pub address: SocketAddr,
     attempts: Arc<Mutex<Vec<Attempt>>>,
 }
 
 impl Node {
-    pub fn start(config: &RunConfig, number: u64) -> Node {
+    pub(crate) fn start(config: &RunConfig, number: u64) -> Node {
         let (listener, address) = listen();
         let attempts = Arc::new(Mutex::new(Vec::new()));
         let (recorded, config, connections) = (attempts.clone(), config.clone(), Arc::new(AtomicU64::new(0)));
@@ -103,7 +103,7 @@
         Node { address, attempts }
     }
 
-    pub fn attempts(&self) -> Vec<Attempt> {
+    pub(crate) fn attempts(&self) -> Vec<Attempt> {
         self.attempts.lock().unwrap().clone()
     }
 }
--- a/crates/cli/tests/soak/run.rs
+++ b/crates/cli/tests/soak/run.rs
@@ -28,7 +28,7 @@
 
 /// How a process of a host ended.
 #[derive(Clone, Debug)]
-pub struct Exit {
+pub(crate) struct Exit {
     pub host: usize,
     /// When it got SIGTERM; none where it got none.
     pub signalled: Option<Instant>,
@@ -93,7 +93,7 @@
 }
 
 /// What a run leaves for the audit.
-pub struct Evidence {
+pub(crate) struct Evidence {
     /// Requests as their clients saw them.
     pub requests: Vec<Request>,
     /// How often clients got more than the responses to their requests.
@@ -105,7 +105,7 @@
 }
 
 /// Runs hosts under load and faults to their end.
-pub fn run(config: &RunConfig) -> Evidence {
+pub(crate) fn run(config: &RunConfig) -> Evidence {
     let nodes: Vec<Node> = (0..config.shards).map(|shard| Node::start(config, shard as u64)).collect();
     let list =
         |(shard, node): (usize, &Node)| instance(&format!("s-{shard}"), node.address, shard, "SERVING");
--- a/crates/cli/tests/soak/run_config.rs
+++ b/crates/cli/tests/soak/run_config.rs
@@ -5,7 +5,7 @@
 
 /// A defect seeded into the traffic, which the audit must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Defect {
+pub(crate) enum Defect {
     /// A client gets the response to another request.
     SwappedResponse,
     /// A request reaches no host, and its connection ends without a response.
@@ -14,7 +14,7 @@
 
 /// The configuration of a run.
 #[derive(Clone, Debug)]
-pub struct RunConfig {
+pub(crate) struct RunConfig {
     pub seed: u64,
     pub hosts: usize,
     pub shards: usize,
@@ -40,7 +40,7 @@
 }
 
 impl RunConfig {
-    pub fn from_seed(seed: u64, defect: Option<Defect>) -> RunConfig {
+    pub(crate) fn from_seed(seed: u64, defect: Option<Defect>) -> RunConfig {
         let mut random = SeededRandom::new(seed);
         let hosts = match seed % 5 {
             0 => 12 + random.below(19) as usize,
--- a/crates/cli/tests/soak/test_delays.rs
+++ b/crates/cli/tests/soak/test_delays.rs
@@ -15,11 +15,11 @@
 
 /// When the test was delayed, and for how long.
 #[derive(Debug, Default)]
-pub struct TestDelays(Vec<(Instant, Duration)>);
+pub(crate) struct TestDelays(Vec<(Instant, Duration)>);
 
 impl TestDelays {
     /// Measures until the run is over.
-    pub fn measure(over: &AtomicBool) -> TestDelays {
+    pub(crate) fn measure(over: &AtomicBool) -> TestDelays {
         let (listener, echo) = listen();
         accept(listener, |mut stream| {
             let mut byte = [0];
@@ -39,14 +39,14 @@
     }
 
     /// The extra time that an event then is allowed: twice the test's delay, as two of its threads take part.
-    pub fn allowance(&self, at: Instant) -> Duration {
+    pub(crate) fn allowance(&self, at: Instant) -> Duration {
         let near = |recorded: &Instant| recorded.max(&at).duration_since(*recorded.min(&at)) <= NEAR;
         let delays = self.0.iter().filter(|(recorded, _)| near(recorded)).map(|(_, delay)| *delay);
         2 * delays.max().unwrap_or_default()
     }
 
     /// The longest delay of all.
-    pub fn longest(&self) -> Duration {
+    pub(crate) fn longest(&self) -> Duration {
         self.0.iter().map(|(_, delay)| *delay).max().unwrap_or_default()
     }
 }
--- a/crates/cli/tests/support/discovery.rs
+++ b/crates/cli/tests/support/discovery.rs
@@ -11,7 +11,7 @@
 
 /// What is wrong with the responses of discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum FaultMode {
+pub(crate) enum FaultMode {
     #[default]
     Healthy,
     /// Reads calls and does not respond.
@@ -31,14 +31,14 @@
 
 /// An emulated discovery with its list of instances.
 #[derive(Default)]
-pub struct Discovery {
+pub(crate) struct Discovery {
     state: Mutex<State>,
     changed: Condvar,
 }
 
 impl Discovery {
     /// A discovery that serves on loopback as long as the process runs.
-    pub fn start(instances: Vec<Value>) -> (Arc<Discovery>, SocketAddr) {
+    pub(crate) fn start(instances: Vec<Value>) -> (Arc<Discovery>, SocketAddr) {
         let discovery = Arc::new(Discovery::default());
         discovery.publish(instances);
         let (listener, address) = listen();
@@ -48,7 +48,7 @@
     }
 
     /// Waits until the calls so far meet a condition.
-    pub fn wait_for_calls(&self, what: &str, met: impl Fn(&[String]) -> bool) {
+    pub(crate) fn wait_for_calls(&self, what: &str, met: impl Fn(&[String]) -> bool) {
         let until = Instant::now() + WAIT_TIMEOUT;
         while !met(&self.calls()) {
             assert!(Instant::now() < until, "{what}: not by now: {:?}", self.calls());
@@ -57,7 +57,7 @@
     }
 
     /// Replaces the list, as its next generation.
-    pub fn publish(&self, instances: Vec<Value>) {
+    pub(crate) fn publish(&self, instances: Vec<Value>) {
         let mut state = self.state.lock().unwrap();
         state.generation += 1;
         state.instances = instances;
@@ -65,18 +65,18 @@
     }
 
     /// How it responds from now on.
-    pub fn set_fault_mode(&self, fault_mode: FaultMode) {
+    pub(crate) fn set_fault_mode(&self, fault_mode: FaultMode) {
         self.state.lock().unwrap().fault_mode = fault_mode;
         self.changed.notify_all();
     }
 
     /// The targets of all calls that came.
-    pub fn calls(&self) -> Vec<String> {
+    pub(crate) fn calls(&self) -> Vec<String> {
         self.state.lock().unwrap().calls.clone()
     }
 
     /// The list in the form in which a host's settings hold a cached one.
-    pub fn snapshot(&self) -> Value {
+    pub(crate) fn snapshot(&self) -> Value {
         let state = self.state.lock().unwrap();
         json!({"generation": state.generation, "reset": true, "instances": state.instances})
     }
@@ -119,7 +119,7 @@
 }
 
 /// An instance as discovery lists it.
-pub fn instance(id: &str, address: SocketAddr, shard: usize, lifecycle: &str) -> Value {
+pub(crate) fn instance(id: &str, address: SocketAddr, shard: usize, lifecycle: &str) -> Value {
     json!({"instanceId": id, "hostPort": address.to_string(), "zone": "a", "machineType": "m", "cell": shard,
         "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
--- a/crates/cli/tests/support/host_process.rs
+++ b/crates/cli/tests/support/host_process.rs
@@ -14,7 +14,7 @@
 const DEFAULT_DESCRIPTORS: usize = 1024;
 
 /// A running host with its settings file; both end with it.
-pub struct HostProcess {
+pub(crate) struct HostProcess {
     config: Value,
     file: PathBuf,
     child: Child,
@@ -22,7 +22,7 @@
 
 impl HostProcess {
     /// Starts a host. `syscall_faults` names socket calls that fail, in the form of `syscall_faults.c`.
-    pub fn start(config: Value, descriptors: usize, syscall_faults: Option<&str>) -> HostProcess {
+    pub(crate) fn start(config: Value, descriptors: usize, syscall_faults: Option<&str>) -> HostProcess {
         let file =
             std::env::temp_dir().join(format!("magpiewick-{}-{}.json", std::process::id(), next_number()));
         std::fs::write(&file, config.to_string()).unwrap();
@@ -31,31 +31,31 @@
     }
 
     /// Starts the process again after its end, with a cached endpoint list.
-    pub fn restart_with_list(&mut self, cached: Value) {
+    pub(crate) fn restart_with_list(&mut self, cached: Value) {
         self.config["known"] = cached;
         self.write_config();
         self.restart();
     }
 
     /// Starts the process again after its end.
-    pub fn restart(&mut self) {
+    pub(crate) fn restart(&mut self) {
         self.child = spawn(&self.file, DEFAULT_DESCRIPTORS, None);
     }
 
     /// Names another discovery in the settings file, without a signal.
-    pub fn write_discovery(&mut self, discovery: SocketAddr) {
+    pub(crate) fn write_discovery(&mut self, discovery: SocketAddr) {
         self.config["discovery"] = json!(discovery.to_string());
         self.write_config();
     }
 
     /// Names another discovery in the settings file and has the host reload it.
-    pub fn reload_with_discovery(&mut self, discovery: SocketAddr) {
+    pub(crate) fn reload_with_discovery(&mut self, discovery: SocketAddr) {
         self.write_discovery(discovery);
         self.signal("HUP");
     }
 
     /// Has the host reload a file that is cut off.
-    pub fn reload_truncated_file(&self) {
+    pub(crate) fn reload_truncated_file(&self) {
         std::fs::write(&self.file, "{").unwrap();
         self.signal("HUP");
     }
@@ -65,29 +65,29 @@
     }
 
     /// Sends a signal by name, as `TERM`.
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
         assert!(sent.unwrap().success());
     }
 
     /// Ends the process by force.
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
     }
 
     /// How the process ended; none while it runs.
-    pub fn exit_status(&mut self) -> Option<ExitStatus> {
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
     /// Whether the process runs.
-    pub fn is_running(&mut self) -> bool {
+    pub(crate) fn is_running(&mut self) -> bool {
         self.exit_status().is_none()
     }
 
     /// Waits until the process ends by itself.
-    pub fn wait_for_exit(&mut self) -> ExitStatus {
+    pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
         let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = self.exit_status() {
@@ -99,17 +99,17 @@
     }
 
     /// How many descriptors are open.
-    pub fn open_descriptors(&self) -> usize {
+    pub(crate) fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
     /// The most resident memory so far, in kilobytes.
-    pub fn peak_memory_kb(&self) -> usize {
+    pub(crate) fn peak_memory_kb(&self) -> usize {
         self.status_kb("VmHWM:")
     }
 
     /// The resident memory in kilobytes.
-    pub fn memory_kb(&self) -> usize {
+    pub(crate) fn memory_kb(&self) -> usize {
         self.status_kb("VmRSS:")
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Processor time used, in hundredths of a second; none once the process has ended.
-    pub fn cpu_ticks(&self) -> Option<u64> {
+    pub(crate) fn cpu_ticks(&self) -> Option<u64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()?;
         let mut fields = stat.rsplit_once(") ")?.1.split(' ').skip(11);
         let user: u64 = fields.next()?.parse().ok()?;
@@ -144,7 +144,7 @@
 
 /// An address that no other host of this or another run has: a port that was free a moment ago on the common loopback
 /// address may be taken by the next listener there.
-pub fn unique_host_address() -> SocketAddr {
+pub(crate) fn unique_host_address() -> SocketAddr {
     static HOSTS: AtomicU64 = AtomicU64::new(0);
     let host = HOSTS.fetch_add(1, Ordering::SeqCst);
     let run = u64::from(std::process::id()) % 250;
--- a/crates/cli/tests/support/host_settings.rs
+++ b/crates/cli/tests/support/host_settings.rs
@@ -4,7 +4,7 @@
 
 /// The limits under which a host runs.
 #[derive(Clone, Copy)]
-pub struct Limits {
+pub(crate) struct Limits {
     pub sockets: usize,
     pub memory_mb: usize,
     /// The descriptors that the system allows, whatever the settings say.
@@ -18,7 +18,7 @@
 }
 
 /// The settings of a host, with a class of each idempotency.
-pub fn default_settings() -> Value {
+pub(crate) fn default_settings() -> Value {
     json!({
         "balancers": 1, "zones": ["a"], "registry_mode": "ask", "round_ns": 2_000_000,
         "profiles": [
--- a/crates/cli/tests/support/http_message.rs
+++ b/crates/cli/tests/support/http_message.rs
@@ -4,7 +4,7 @@
 
 /// One HTTP message as it came: its start line, its fields and its body.
 #[derive(Clone, Debug)]
-pub struct HttpMessage {
+pub(crate) struct HttpMessage {
     pub start_line: String,
     pub fields: Vec<(String, String)>,
     pub body: Vec<u8>,
@@ -12,7 +12,7 @@
 
 impl HttpMessage {
     /// Reads the next message; none where the peer ended before it was whole.
-    pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
+    pub(crate) fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
         let mut line = String::new();
         let mut next = |from: &mut dyn BufRead| {
             line.clear();
@@ -36,18 +36,18 @@
     }
 
     /// The value of a field, named in lower case.
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub(crate) fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|f| f.0 == name).map(|f| f.1.as_str())
     }
 
     /// The status code of a response.
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
 }
 
 /// A request's bytes: its id, class, shard and client timeout in milliseconds. Reads have no body.
-pub fn request_bytes(id: &str, class: &str, shard: i32, timeout_ms: u32) -> Vec<u8> {
+pub(crate) fn request_bytes(id: &str, class: &str, shard: i32, timeout_ms: u32) -> Vec<u8> {
     let object = id.bytes().fold(17u64, |sum, b| sum.wrapping_mul(31).wrapping_add(u64::from(b)));
     let (method, body) = if class == "read" { ("GET", "") } else { ("PUT", "some bytes") };
     let length = if class == "read" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
@@ -60,12 +60,12 @@
 }
 
 /// The body with which a node answers a request: its id, padded.
-pub fn expected_body(id: &str) -> String {
+pub(crate) fn expected_body(id: &str) -> String {
     format!("{id:-<24}")
 }
 
 /// Checks that a request was served with the response that belongs to it.
-pub fn assert_served(response: Option<HttpMessage>, id: &str) {
+pub(crate) fn assert_served(response: Option<HttpMessage>, id: &str) {
     let response = response.unwrap_or_else(|| panic!("{id} has no answer"));
     let body = String::from_utf8_lossy(&response.body);
     assert_eq!((response.status(), body.as_ref()), (200, &*expected_body(id)));
--- a/crates/cli/tests/support/kernel_connections.rs
+++ b/crates/cli/tests/support/kernel_connections.rs
@@ -3,18 +3,18 @@
 use std::net::SocketAddr;
 
 /// States of `/proc/net/tcp`.
-pub const ESTABLISHED: &str = "01";
-pub const SYN_SENT: &str = "02";
+pub(crate) const ESTABLISHED: &str = "01";
+pub(crate) const SYN_SENT: &str = "02";
 
 /// A connection in the kernel's table.
-pub struct KernelConnection<'a> {
+pub(crate) struct KernelConnection<'a> {
     pub local: SocketAddr,
     pub remote: SocketAddr,
     pub state: &'a str,
 }
 
 /// How many connections match.
-pub fn count_connections(matches: impl Fn(&KernelConnection) -> bool) -> usize {
+pub(crate) fn count_connections(matches: impl Fn(&KernelConnection<'_>) -> bool) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let rows = table.lines().skip(1).map(|line| {
         let mut fields = line.split_whitespace().skip(1);
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -4,22 +4,22 @@
 // Each test program uses a part of this module.
 #![allow(dead_code)]
 
-pub mod discovery;
-pub mod host_process;
-pub mod host_settings;
-pub mod http_client;
-pub mod http_message;
-pub mod kernel_connections;
-pub mod loopback;
-pub mod node;
-pub mod proxy;
-pub mod random;
-pub mod test_cluster;
-pub mod unreachable_node;
+pub(crate) mod discovery;
+pub(crate) mod host_process;
+pub(crate) mod host_settings;
+pub(crate) mod http_client;
+pub(crate) mod http_message;
+pub(crate) mod kernel_connections;
+pub(crate) mod loopback;
+pub(crate) mod node;
+pub(crate) mod proxy;
+pub(crate) mod random;
+pub(crate) mod test_cluster;
+pub(crate) mod unreachable_node;
 
 use std::time::Duration;
 
 /// The bound of all waits: longer than anything here takes.
-pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 /// The interval at which a condition is polled.
-pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
--- a/crates/cli/tests/support/node.rs
+++ b/crates/cli/tests/support/node.rs
@@ -10,13 +10,13 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-pub const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\n{body}";
-pub const OVERLOADED_RESPONSE: &str = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-pub const FAILED_RESPONSE: &str = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
+pub(crate) const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\n{body}";
+pub(crate) const OVERLOADED_RESPONSE: &str = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+pub(crate) const FAILED_RESPONSE: &str = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
 
 /// What a node does with a request.
 #[derive(Clone, Debug)]
-pub enum Behaviour {
+pub(crate) enum Behaviour {
     /// Writes these bytes; `{body}` stands for the body that belongs to the request.
     Write(&'static str),
     /// Writes these bytes and closes the connection.
@@ -41,7 +41,7 @@
 
 /// Bytes that belong to no open exchange.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Unsolicited {
+pub(crate) enum Unsolicited {
     /// The last response on this connection once more.
     Duplicate,
     /// The response before the last.
@@ -72,7 +72,7 @@
 
 /// An emulated node.
 #[derive(Default)]
-pub struct Node {
+pub(crate) struct Node {
     script: Mutex<VecDeque<Behaviour>>,
     /// What it does once the script is over; none responds.
     default_behaviour: Mutex<Option<Behaviour>>,
@@ -83,7 +83,7 @@
 
 impl Node {
     /// A node that serves on loopback as long as the process runs.
-    pub fn start() -> (Arc<Node>, SocketAddr) {
+    pub(crate) fn start() -> (Arc<Node>, SocketAddr) {
         let (listener, address) = listen();
         let node = Arc::new(Node::default());
         let serving = node.clone();
@@ -92,22 +92,22 @@
     }
 
     /// Adds to the script, one behaviour per request.
-    pub fn enqueue(&self, script: &[Behaviour]) {
+    pub(crate) fn enqueue(&self, script: &[Behaviour]) {
         self.script.lock().unwrap().extend(script.iter().cloned());
     }
 
     /// What it does from now on once the script is over.
-    pub fn set_default(&self, behaviour: Behaviour) {
+    pub(crate) fn set_default(&self, behaviour: Behaviour) {
         *self.default_behaviour.lock().unwrap() = Some(behaviour);
     }
 
     /// How many requests it has received.
-    pub fn request_count(&self) -> usize {
+    pub(crate) fn request_count(&self) -> usize {
         self.received.lock().unwrap().len()
     }
 
     /// Waits until it has received so many requests in all.
-    pub fn wait_for_requests(&self, n: usize) {
+    pub(crate) fn wait_for_requests(&self, n: usize) {
         let received = self.received.lock().unwrap();
         let waited = self.request_received.wait_timeout_while(received, WAIT_TIMEOUT, |all| all.len() < n);
         let (received, timeout) = waited.unwrap();
--- a/crates/cli/tests/support/proxy.rs
+++ b/crates/cli/tests/support/proxy.rs
@@ -8,7 +8,7 @@
 
 /// What is wrong with a connection through the proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ConnectionFault {
+pub(crate) enum ConnectionFault {
     None,
     /// The connection is reset as soon as it is established.
     Reset,
@@ -22,7 +22,7 @@
 type FaultPlan = Box<dyn Fn(usize) -> ConnectionFault + Send>;
 
 /// A proxy in front of one server. Connections are counted from 0 in the order in which they came.
-pub struct Proxy {
+pub(crate) struct Proxy {
     pub address: SocketAddr,
     plan: Arc<Mutex<FaultPlan>>,
     connection_times: Arc<Mutex<Vec<Instant>>>,
@@ -30,7 +30,10 @@
 }
 
 impl Proxy {
-    pub fn start(server: SocketAddr, plan: impl Fn(usize) -> ConnectionFault + Send + 'static) -> Proxy {
+    pub(crate) fn start(
+        server: SocketAddr,
+        plan: impl Fn(usize) -> ConnectionFault + Send + 'static,
+    ) -> Proxy {
         let (listener, address) = listen();
         let plan: Arc<Mutex<FaultPlan>> = Arc::new(Mutex::new(Box::new(plan)));
         let connection_times = Arc::new(Mutex::new(Vec::new()));
@@ -54,19 +57,19 @@
     }
 
     /// Connections from now on follow another plan.
-    pub fn set_plan(&self, plan: impl Fn(usize) -> ConnectionFault + Send + 'static) {
+    pub(crate) fn set_plan(&self, plan: impl Fn(usize) -> ConnectionFault + Send + 'static) {
         *self.plan.lock().unwrap() = Box::new(plan);
     }
 
     /// Closes all open connections.
-    pub fn close_all(&self) {
+    pub(crate) fn close_all(&self) {
         for client in self.clients.lock().unwrap().drain(..) {
             _ = client.shutdown(Shutdown::Both);
         }
     }
 
     /// When each connection came.
-    pub fn connection_times(&self) -> Vec<Instant> {
+    pub(crate) fn connection_times(&self) -> Vec<Instant> {
         self.connection_times.lock().unwrap().clone()
     }
 }
--- a/crates/cli/tests/support/test_cluster.rs
+++ b/crates/cli/tests/support/test_cluster.rs
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 /// One host, a node for each shard, and a discovery that lists them.
-pub struct TestCluster {
+pub(crate) struct TestCluster {
     pub nodes: Vec<Arc<Node>>,
     pub node_addresses: Vec<SocketAddr>,
     pub discovery: Arc<Discovery>,
@@ -24,22 +24,22 @@
 
 impl TestCluster {
     /// A ready host with so many nodes.
-    pub fn start(nodes: usize) -> TestCluster {
+    pub(crate) fn start(nodes: usize) -> TestCluster {
         TestCluster::with_limits(nodes, Limits::default())
     }
 
     /// A ready host under other limits.
-    pub fn with_limits(nodes: usize, limits: Limits) -> TestCluster {
+    pub(crate) fn with_limits(nodes: usize, limits: Limits) -> TestCluster {
         TestCluster::build(nodes, limits, |_| {}, None)
     }
 
     /// A ready host some of whose system calls fail, in the form of `syscall_faults.c`.
-    pub fn with_syscall_faults(nodes: usize, faults: &str) -> TestCluster {
+    pub(crate) fn with_syscall_faults(nodes: usize, faults: &str) -> TestCluster {
         TestCluster::build(nodes, Limits::default(), |_| {}, Some(faults))
     }
 
     /// A ready host with changed settings.
-    pub fn with_settings(nodes: usize, change: impl Fn(&mut Value)) -> TestCluster {
+    pub(crate) fn with_settings(nodes: usize, change: impl Fn(&mut Value)) -> TestCluster {
         TestCluster::build(nodes, Limits::default(), change, None)
     }
 
@@ -71,13 +71,13 @@
     }
 
     /// Kills the host, starts it again with the current list as its cached one, and waits until it is ready.
-    pub fn restart_host(&mut self) {
+    pub(crate) fn restart_host(&mut self) {
         self.restart_host_without_wait();
         self.wait_until_ready();
     }
 
     /// Kills the host and starts it again with the current list as its cached one.
-    pub fn restart_host_without_wait(&mut self) {
+    pub(crate) fn restart_host_without_wait(&mut self) {
         self.host.kill();
         self.host.restart_with_list(self.discovery.snapshot());
     }
@@ -87,23 +87,23 @@
     }
 
     /// The status of the host's readiness check; none where it does not respond.
-    pub fn readiness(&self) -> Option<u16> {
+    pub(crate) fn readiness(&self) -> Option<u16> {
         let check = b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n";
         Some(HttpClient::connect(self.host_address).ok()?.request(check)?.status())
     }
 
     /// A client's connection to the host.
-    pub fn client(&self) -> HttpClient {
+    pub(crate) fn client(&self) -> HttpClient {
         HttpClient::connect(self.host_address).unwrap()
     }
 
     /// How many connections of clients the host has, by the kernel's table.
-    pub fn client_connections(&self) -> usize {
+    pub(crate) fn client_connections(&self) -> usize {
         count_connections(|c| c.local == self.host_address && c.state == ESTABLISHED)
     }
 
     /// Waits until a condition is met.
-    pub fn wait_until(&self, what: &str, met: impl Fn(&TestCluster) -> bool) {
+    pub(crate) fn wait_until(&self, what: &str, met: impl Fn(&TestCluster) -> bool) {
         let until = Instant::now() + WAIT_TIMEOUT;
         while !met(self) {
             assert!(Instant::now() < until, "{what}: not by now, {} clients", self.client_connections());
--- a/crates/cli/tests/support/unreachable_node.rs
+++ b/crates/cli/tests/support/unreachable_node.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// A node that nobody can connect to while its accept backlog is full.
-pub struct UnreachableNode {
+pub(crate) struct UnreachableNode {
     listener: Socket,
     pub address: SocketAddr,
     backlog: Vec<Socket>,
@@ -15,7 +15,7 @@
 
 impl UnreachableNode {
     /// A node with a full backlog.
-    pub fn new() -> UnreachableNode {
+    pub(crate) fn new() -> UnreachableNode {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         listener.listen(0).unwrap();
@@ -26,7 +26,7 @@
     }
 
     /// Fills the backlog: whoever connects now gets no answer.
-    pub fn fill_backlog(&mut self) {
+    pub(crate) fn fill_backlog(&mut self) {
         loop {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
             if socket.connect_timeout(&self.address.into(), Duration::from_millis(100)).is_err() {
@@ -37,21 +37,21 @@
     }
 
     /// Empties the backlog: whoever connects from now on, or tries again, comes through.
-    pub fn empty_backlog(&mut self) {
+    pub(crate) fn empty_backlog(&mut self) {
         for _ in self.backlog.drain(..) {
             _ = self.listener.accept().unwrap();
         }
     }
 
     /// The next connection.
-    pub fn accept(&self) -> TcpStream {
+    pub(crate) fn accept(&self) -> TcpStream {
         let stream: TcpStream = self.listener.accept().unwrap().0.into();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
     }
 
     /// How many connections to it are being established.
-    pub fn connecting_count(&self) -> usize {
+    pub(crate) fn connecting_count(&self) -> usize {
         count_connections(|c| c.remote == self.address && c.state == SYN_SENT)
     }
 }
--- a/crates/coalescing/src/lib.rs
+++ b/crates/coalescing/src/lib.rs
@@ -3,8 +3,6 @@
 //! the extent map and reassembled ([`split_range`], [`SplitRead`]). Free of I/O; when a request is dispatched and
 //! where to is the scheduler's decision.
 
-#![warn(missing_docs)]
-
 mod coalescer;
 mod overlap_lock;
 mod split_read;
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -101,7 +101,7 @@
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Reads the block `standin` of a file, where it has one.
-pub fn read_config(root: &SettingsBlock) -> Option<EmulatorConfig> {
+pub fn read_config(root: &SettingsBlock<'_>) -> Option<EmulatorConfig> {
     let p = root.optional_block("standin")?;
     let cores = p.attribute("cores").integer_or(1..=1024, 2);
     let speed = p.attribute("speed").number_or(1.0);
@@ -141,7 +141,7 @@
     })
 }
 
-fn read_slow_start(part: Option<SettingsBlock>) -> SlowStartConfig {
+fn read_slow_start(part: Option<SettingsBlock<'_>>) -> SlowStartConfig {
     let always_warm = SlowStartConfig {
         initial_capacity: 1.0,
         duration: 0.0,
@@ -158,7 +158,7 @@
     })
 }
 
-fn read_node(p: &SettingsBlock, cores: u64, speed: f64) -> NodeConfig {
+fn read_node(p: &SettingsBlock<'_>, cores: u64, speed: f64) -> NodeConfig {
     let number = p.label().parse().unwrap_or_else(|_| {
         p.report_error(format!("the label {:?} of a node is not its number", p.label()));
         0
--- a/crates/emulator/src/connections.rs
+++ b/crates/emulator/src/connections.rs
@@ -31,7 +31,12 @@
 
 impl Connections {
     /// Adds an accepted connection; returns its index.
-    pub fn accept(&mut self, poll: &Poll, stream: TcpStream, node: Option<usize>) -> io::Result<usize> {
+    pub(crate) fn accept(
+        &mut self,
+        poll: &Poll,
+        stream: TcpStream,
+        node: Option<usize>,
+    ) -> io::Result<usize> {
         let entry = self.open.vacant_entry();
         let index = entry.key();
         let connection = Connection::accepted(poll, stream, FIRST_CONNECTION_KEY + index)?;
@@ -49,30 +54,30 @@
     }
 
     /// The indexes of the connections that a condition holds for.
-    pub fn indexes(&self, condition: impl Fn(&Peer) -> bool) -> Vec<usize> {
+    pub(crate) fn indexes(&self, condition: impl Fn(&Peer) -> bool) -> Vec<usize> {
         self.open.iter().filter(|(_, peer)| condition(peer)).map(|(index, _)| index).collect()
     }
 
     /// Identifies the connection at an index, where there is one.
-    pub fn id(&self, index: usize) -> Option<ConnectionId> {
+    pub(crate) fn id(&self, index: usize) -> Option<ConnectionId> {
         self.open.get(index).map(|peer| peer.id)
     }
 
     /// The peer of a connection that is still open.
-    pub fn get(&mut self, id: ConnectionId) -> Option<&mut Peer> {
+    pub(crate) fn get(&mut self, id: ConnectionId) -> Option<&mut Peer> {
         self.open.get_mut(id.index).filter(|peer| peer.id == id)
     }
 
     /// The peer at an index that is known to be open.
-    pub fn at(&mut self, index: usize) -> &mut Peer {
+    pub(crate) fn at(&mut self, index: usize) -> &mut Peer {
         &mut self.open[index]
     }
 
-    pub fn send(&mut self, index: usize, message: &Message) {
+    pub(crate) fn send(&mut self, index: usize, message: &Message<'_>) {
         self.open[index].connection.queue(message, NOTHING);
     }
 
-    pub fn remove(&mut self, index: usize) -> Peer {
+    pub(crate) fn remove(&mut self, index: usize) -> Peer {
         self.open.remove(index)
     }
 }
--- a/crates/emulator/src/data_store.rs
+++ b/crates/emulator/src/data_store.rs
@@ -22,16 +22,22 @@
 }
 
 impl DataStore {
-    pub fn write(&mut self, shard: u32, volume: u64, key: u64, payload: &[u8]) {
+    pub(crate) fn write(&mut self, shard: u32, volume: u64, key: u64, payload: &[u8]) {
         self.volumes.entry((shard, volume)).or_default().insert(key, payload.to_vec());
     }
 
-    pub fn read(&self, shard: u32, volume: u64, key: u64) -> Option<&[u8]> {
+    pub(crate) fn read(&self, shard: u32, volume: u64, key: u64) -> Option<&[u8]> {
         self.volumes.get(&(shard, volume))?.get(&key).map(Vec::as_slice)
     }
 
     /// Copies the selected keys of a range from one shard to another.
-    pub fn copy(&mut self, volume: u64, shards: ShardPair, range: Range<u64>, selects: impl Fn(u64) -> bool) {
+    pub(crate) fn copy(
+        &mut self,
+        volume: u64,
+        shards: ShardPair,
+        range: Range<u64>,
+        selects: impl Fn(u64) -> bool,
+    ) {
         let source = self.volumes.get(&(shards.source, volume));
         let copied: Vec<(u64, Vec<u8>)> = source.map_or(Vec::new(), |keys| {
             let selected = keys.range(range).filter(|(key, _)| selects(**key));
@@ -41,14 +47,14 @@
     }
 
     /// Removes a range of keys from a shard.
-    pub fn remove(&mut self, shard: u32, volume: u64, range: Range<u64>) {
+    pub(crate) fn remove(&mut self, shard: u32, volume: u64, range: Range<u64>) {
         if let Some(keys) = self.volumes.get_mut(&(shard, volume)) {
             keys.retain(|key, _| !range.contains(key));
         }
     }
 
     /// All data: shard, volume, key, payload.
-    pub fn iter(&self) -> impl Iterator<Item = (u32, u64, u64, &[u8])> + '_ {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, u64, u64, &[u8])> + '_ {
         self.volumes.iter().flat_map(|((shard, volume), keys)| {
             keys.iter().map(move |(key, payload)| (*shard, *volume, *key, payload.as_slice()))
         })
--- a/crates/emulator/src/deduplication.rs
+++ b/crates/emulator/src/deduplication.rs
@@ -13,12 +13,12 @@
 }
 
 impl DeduplicationWindow {
-    pub fn new(length: Ms) -> DeduplicationWindow {
+    pub(crate) fn new(length: Ms) -> DeduplicationWindow {
         DeduplicationWindow { length, executed: HashMap::new() }
     }
 
     /// Whether a request was executed within the window; notes it where it was not.
-    pub fn is_repeat(&mut self, now: Ms, scope: u64, mark: u64) -> bool {
+    pub(crate) fn is_repeat(&mut self, now: Ms, scope: u64, mark: u64) -> bool {
         let length = self.length;
         if self.executed.len() > CLEANUP_SIZE {
             self.executed.retain(|_, at| now - *at < length);
--- a/crates/emulator/src/emulator.rs
+++ b/crates/emulator/src/emulator.rs
@@ -59,7 +59,7 @@
 }
 
 impl EventLog {
-    pub fn record(&mut self, event: NodeEvent) {
+    pub(crate) fn record(&mut self, event: NodeEvent) {
         if self.is_recording {
             self.events.push((self.clock.now(), event));
         }
@@ -350,7 +350,7 @@
     }
 
     /// Does what a host or a client sent; false where it may not be sent there.
-    fn on_message(&mut self, index: usize, message: &Message) -> bool {
+    fn on_message(&mut self, index: usize, message: &Message<'_>) -> bool {
         let peer = self.connections.at(index);
         if let Message::Hello(hello) = message {
             peer.host = hello.incarnation;
@@ -363,7 +363,7 @@
         }
     }
 
-    fn on_list_message(&mut self, index: usize, message: &Message) -> bool {
+    fn on_list_message(&mut self, index: usize, message: &Message<'_>) -> bool {
         match *message {
             Message::WatchEndpoints { .. } => self.watch_endpoints(index),
             Message::WatchMap => self.watch_map(index),
@@ -376,7 +376,7 @@
         true
     }
 
-    fn on_node_message(&mut self, index: usize, node: usize, host: u64, message: &Message) -> bool {
+    fn on_node_message(&mut self, index: usize, node: usize, host: u64, message: &Message<'_>) -> bool {
         match message {
             Message::Attempt(attempt) => self.on_attempts(index, node, std::slice::from_ref(attempt)),
             Message::Batch(parts) => self.on_attempts(index, node, parts),
--- a/crates/emulator/src/endpoint_list.rs
+++ b/crates/emulator/src/endpoint_list.rs
@@ -16,11 +16,11 @@
 }
 
 impl EndpointList {
-    pub fn new() -> EndpointList {
+    pub(crate) fn new() -> EndpointList {
         EndpointList { epoch: 1, unpublished: Vec::new(), is_down: false }
     }
 
-    pub fn is_down(&self) -> bool {
+    pub(crate) fn is_down(&self) -> bool {
         self.is_down
     }
 
--- a/crates/emulator/src/execution.rs
+++ b/crates/emulator/src/execution.rs
@@ -17,7 +17,7 @@
 
 impl Emulator {
     /// A host sent the parts of one request of a node.
-    pub(crate) fn on_attempts(&mut self, index: usize, node: usize, parts: &[Attempt]) {
+    pub(crate) fn on_attempts(&mut self, index: usize, node: usize, parts: &[Attempt<'_>]) {
         self.last_batch += 1;
         let mut immediate = Vec::new();
         for part in parts {
@@ -40,7 +40,7 @@
     }
 
     /// A client sent a request to a node directly.
-    pub(crate) fn on_direct_request(&mut self, index: usize, node: usize, request: &ClientRequest) {
+    pub(crate) fn on_direct_request(&mut self, index: usize, node: usize, request: &ClientRequest<'_>) {
         let attempt = Attempt {
             request_id: request.request_id,
             attempt: 0,
@@ -60,7 +60,13 @@
         self.enqueue(node, vec![attempt]);
     }
 
-    fn received(&mut self, index: usize, node: usize, attempt: &Attempt, parts: usize) -> ReceivedAttempt {
+    fn received(
+        &mut self,
+        index: usize,
+        node: usize,
+        attempt: &Attempt<'_>,
+        parts: usize,
+    ) -> ReceivedAttempt {
         let peer = self.connections.at(index);
         ReceivedAttempt {
             host: peer.host,
@@ -278,7 +284,7 @@
     }
 
     /// Sends the first half of a message and closes the connection.
-    fn reset_mid_frame(&mut self, attempt: &ReceivedAttempt, message: &Message) {
+    fn reset_mid_frame(&mut self, attempt: &ReceivedAttempt, message: &Message<'_>) {
         let mut frame = Vec::new();
         wire::encode(message, &mut frame);
         let Some(peer) = self.connections.get(attempt.connection) else { return };
--- a/crates/emulator/src/extent_migration.rs
+++ b/crates/emulator/src/extent_migration.rs
@@ -22,12 +22,12 @@
 
 impl ExtentMigration {
     /// Whether it counts as one that runs: it has copied, or is beyond that.
-    pub fn has_begun(&self) -> bool {
+    pub(crate) fn has_begun(&self) -> bool {
         self.target.copy_of.is_some() || self.record.stage != Stage::Copying
     }
 
     /// Performs a step on the extent's range of keys; the source's incarnation where the step reports it.
-    pub fn perform(
+    pub(crate) fn perform(
         &mut self,
         coordinator: &Migration,
         volume: u64,
--- a/crates/emulator/src/fault_script.rs
+++ b/crates/emulator/src/fault_script.rs
@@ -84,11 +84,11 @@
 }
 
 /// Reads the blocks `trouble` of a file.
-pub fn read_faults(root: &SettingsBlock) -> Vec<Fault> {
+pub fn read_faults(root: &SettingsBlock<'_>) -> Vec<Fault> {
     root.repeated_blocks("trouble").iter().filter_map(read_fault).collect()
 }
 
-fn read_fault(p: &SettingsBlock) -> Option<Fault> {
+fn read_fault(p: &SettingsBlock<'_>) -> Option<Fault> {
     let kind = KINDS.iter().find(|(name, _)| *name == p.label()).map(|(_, kind)| *kind);
     if kind.is_none() {
         let known: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -2,8 +2,6 @@
 //! that store what is written, work at a configured speed, fail on a script, and record all that they see on their
 //! sockets. They enforce no rule by themselves; what hosts do to them is what a scenario audits.
 
-#![warn(missing_docs)]
-
 mod config;
 mod connections;
 mod data_store;
--- a/crates/emulator/src/map_service.rs
+++ b/crates/emulator/src/map_service.rs
@@ -79,7 +79,7 @@
 }
 
 impl MapService {
-    pub fn new(config: &EmulatorConfig) -> MapService {
+    pub(crate) fn new(config: &EmulatorConfig) -> MapService {
         MapService {
             map: initial_map(config),
             store: DataStore::default(),
@@ -91,24 +91,24 @@
         }
     }
 
-    pub fn map(&self) -> &ExtentMap {
+    pub(crate) fn map(&self) -> &ExtentMap {
         &self.map
     }
 
-    pub fn set_coordinators_down(&mut self, down: bool) {
+    pub(crate) fn set_coordinators_down(&mut self, down: bool) {
         self.coordinators_down = down;
     }
 
-    pub fn set_down(&mut self, is_down: bool) {
+    pub(crate) fn set_down(&mut self, is_down: bool) {
         self.is_down = is_down;
     }
 
-    pub fn set_fence_ignored(&mut self, ignored: bool) {
+    pub(crate) fn set_fence_ignored(&mut self, ignored: bool) {
         self.fence_ignored = ignored;
     }
 
     /// Whether a shard serves a key at the moment.
-    pub fn check_owner(&self, shard: u32, volume: u64, key: u64) -> Result<(), WrongShard> {
+    pub(crate) fn check_owner(&self, shard: u32, volume: u64, key: u64) -> Result<(), WrongShard> {
         let Some(extent) = self.map.find(volume, key) else { return Ok(()) };
         let owned_by = |shard: u32| {
             let version = extent.version;
@@ -133,13 +133,13 @@
     }
 
     /// As [`MapService::check_owner`], for the first and the last key of a range.
-    pub fn check_range_owner(&self, shard: u32, range: KeyRange) -> Result<(), WrongShard> {
+    pub(crate) fn check_range_owner(&self, shard: u32, range: KeyRange) -> Result<(), WrongShard> {
         self.check_owner(shard, range.volume, range.key)?;
         self.check_owner(shard, range.volume, range.keys().end - 1)
     }
 
     /// Writes a range, whose blocks are equal parts of the payload.
-    pub fn write(&mut self, shard: u32, range: KeyRange, payload: &[u8]) {
+    pub(crate) fn write(&mut self, shard: u32, range: KeyRange, payload: &[u8]) {
         let block_size = payload.len().div_ceil(range.blocks.max(1) as usize).max(1);
         for (key, block) in range.keys().zip(payload.chunks(block_size)) {
             self.write_key(shard, range.volume, key, block);
@@ -156,7 +156,7 @@
     }
 
     /// Reads a key as it is, or a range in blocks of one size.
-    pub fn read(&self, shard: u32, range: KeyRange, block_size: usize) -> Vec<u8> {
+    pub(crate) fn read(&self, shard: u32, range: KeyRange, block_size: usize) -> Vec<u8> {
         if range.blocks == 0 {
             return self.store.read(shard, range.volume, range.key).unwrap_or_default().to_vec();
         }
@@ -170,7 +170,7 @@
     }
 
     /// What the owner of each key holds, without a map whichever shard holds it.
-    pub fn stored(&self) -> Vec<StoredKey> {
+    pub(crate) fn stored(&self) -> Vec<StoredKey> {
         let owned = self.store.iter().filter(|(shard, volume, key, _)| {
             self.map.find(*volume, *key).is_none_or(|extent| extent.shard == *shard)
         });
@@ -178,12 +178,12 @@
     }
 
     /// An extent by its index in the volume.
-    pub fn extent(&self, volume: u64, index: usize) -> Option<Extent> {
+    pub(crate) fn extent(&self, volume: u64, index: usize) -> Option<Extent> {
         self.map.extents().filter(|(of, _)| *of == volume).nth(index).map(|(_, extent)| extent)
     }
 
     /// Begins a migration; false where the extent lies there or is being migrated already.
-    pub fn begin_migration(&mut self, volume: u64, extent: Extent, target_shard: u32) -> bool {
+    pub(crate) fn begin_migration(&mut self, volume: u64, extent: Extent, target_shard: u32) -> bool {
         let key = ExtentKey { volume, start: extent.start };
         if extent.shard == target_shard || self.migrations.contains_key(&key) {
             return false;
@@ -205,13 +205,13 @@
     }
 
     /// The migration of an extent; `None` where there is none.
-    pub fn status(&self, key: ExtentKey) -> Option<MigrationStatus> {
+    pub(crate) fn status(&self, key: ExtentKey) -> Option<MigrationStatus> {
         let migration = self.migrations.get(&key)?;
         Some(MigrationStatus { shards: migration.shards, stage: migration.record.stage })
     }
 
     /// Abandons a migration, where it still can be.
-    pub fn abandon(&mut self, key: ExtentKey) {
+    pub(crate) fn abandon(&mut self, key: ExtentKey) {
         let Some(migration) = self.migrations.get_mut(&key) else { return };
         if migration.record.abandon(migration.record.id).is_ok() {
             migration.coordinator = Some(Migration::resume(&migration.record));
@@ -219,7 +219,7 @@
     }
 
     /// A shard's process restarted: it has lost what it noted since copies began.
-    pub fn on_shard_restarted(&mut self, shard: u32) {
+    pub(crate) fn on_shard_restarted(&mut self, shard: u32) {
         let sources = self.migrations.values_mut().filter(|migration| migration.shards.source == shard);
         for migration in sources {
             migration.source.restart();
@@ -229,7 +229,11 @@
 
     /// Takes one step of a migration. `queue_length` gives the requests queued at a shard, `None` where no process
     /// of it runs.
-    pub fn step(&mut self, key: ExtentKey, queue_length: impl Fn(u32) -> Option<usize>) -> StepOutcome {
+    pub(crate) fn step(
+        &mut self,
+        key: ExtentKey,
+        queue_length: impl Fn(u32) -> Option<usize>,
+    ) -> StepOutcome {
         let running = self.running_migrations();
         let Some(migration) = self.migrations.get_mut(&key) else {
             return StepOutcome { changes: None, finished: true };
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -35,7 +35,7 @@
 }
 
 impl Node {
-    pub fn new(config: NodeConfig) -> Node {
+    pub(crate) fn new(config: NodeConfig) -> Node {
         Node {
             address: config.listen,
             config,
@@ -55,7 +55,7 @@
 
     /// Starts a new process, which warms up from `started_at` on, or has run for long. What was queued and
     /// executed is lost; what was stored is its shard's.
-    pub fn start(&mut self, incarnation: u64, started_at: Option<Ms>) {
+    pub(crate) fn start(&mut self, incarnation: u64, started_at: Option<Ms>) {
         self.is_up = true;
         self.is_draining = false;
         self.incarnation = incarnation;
@@ -68,18 +68,18 @@
     }
 
     /// Whether it can begin a batch: it has one, a free core, and does not hang.
-    pub fn can_begin(&self) -> bool {
+    pub(crate) fn can_begin(&self) -> bool {
         let has_free_core = self.running < self.config.cores;
         self.is_up && !self.faults.hung && has_free_core && !self.queue.is_empty()
     }
 
     /// The part of its cores that are busy.
-    pub fn busy(&self) -> f32 {
+    pub(crate) fn busy(&self) -> f32 {
         self.running as f32 / self.config.cores as f32
     }
 
     /// How long a batch takes, begun now; a part of a write's work is deferred.
-    pub fn begin(&mut self, now: Ms, batch: &Batch, config: &EmulatorConfig) -> Ms {
+    pub(crate) fn begin(&mut self, now: Ms, batch: &Batch, config: &EmulatorConfig) -> Ms {
         let units: f64 = batch.iter().map(|part| part.units).sum();
         let capacity = self.slow_start.capacity(now, &config.slow_start);
         let mut time = units * config.unit_work * self.faults.slowdown / (self.config.speed * capacity);
@@ -92,14 +92,14 @@
     }
 
     /// Counts units that it was sent; true where they overload it.
-    pub fn is_overloaded_by(&mut self, now: Ms, units: f64, config: &EmulatorConfig) -> bool {
+    pub(crate) fn is_overloaded_by(&mut self, now: Ms, units: f64, config: &EmulatorConfig) -> bool {
         let full_rate = self.config.cores as f64 * self.config.speed / config.unit_work;
         self.slow_start.is_overloaded_by(now, units, full_rate, &config.slow_start)
     }
 
     /// Counts units that a volume was served; returns those served through other hosts since the host's last
     /// report.
-    pub fn record_usage(&mut self, volume: u64, host: u64, units: f64) -> f64 {
+    pub(crate) fn record_usage(&mut self, volume: u64, host: u64, units: f64) -> f64 {
         self.usage.record(volume, host, units);
         if self.faults.usage_withheld {
             return 0.0;
--- a/crates/emulator/src/slow_start.rs
+++ b/crates/emulator/src/slow_start.rs
@@ -14,16 +14,16 @@
 }
 
 impl SlowStart {
-    pub fn new(started_at: Option<Ms>) -> SlowStart {
+    pub(crate) fn new(started_at: Option<Ms>) -> SlowStart {
         SlowStart { started_at, recent_units: VecDeque::new() }
     }
 
-    pub fn started_at(&self) -> Option<Ms> {
+    pub(crate) fn started_at(&self) -> Option<Ms> {
         self.started_at
     }
 
     /// The part of its capacity that the node has now.
-    pub fn capacity(&self, now: Ms, config: &SlowStartConfig) -> f64 {
+    pub(crate) fn capacity(&self, now: Ms, config: &SlowStartConfig) -> f64 {
         let age = self.started_at.map_or(f64::INFINITY, |started_at| now - started_at);
         if age >= config.duration {
             return 1.0;
@@ -33,7 +33,7 @@
 
     /// Counts units that the node was sent; true where they overload it. `full_rate` is its units a millisecond at
     /// full capacity.
-    pub fn is_overloaded_by(
+    pub(crate) fn is_overloaded_by(
         &mut self,
         now: Ms,
         units: f64,
--- a/crates/emulator/src/timer_queue.rs
+++ b/crates/emulator/src/timer_queue.rs
@@ -11,23 +11,23 @@
 }
 
 impl<T> TimerQueue<T> {
-    pub fn new() -> TimerQueue<T> {
+    pub(crate) fn new() -> TimerQueue<T> {
         TimerQueue { timers: Timers::default(), values: HashMap::new(), last_id: 0 }
     }
 
-    pub fn set(&mut self, at: Ms, value: T) {
+    pub(crate) fn set(&mut self, at: Ms, value: T) {
         self.last_id += 1;
         self.values.insert(self.last_id, value);
         self.timers.set(at, self.last_id);
     }
 
     /// When the next timer is due.
-    pub fn next_at(&self) -> Option<Ms> {
+    pub(crate) fn next_at(&self) -> Option<Ms> {
         self.timers.next_at()
     }
 
     /// The next timer that is due.
-    pub fn pop_due(&mut self, now: Ms) -> Option<T> {
+    pub(crate) fn pop_due(&mut self, now: Ms) -> Option<T> {
         let id = self.timers.due(now)?;
         self.values.remove(&id)
     }
--- a/crates/emulator/src/usage_meter.rs
+++ b/crates/emulator/src/usage_meter.rs
@@ -13,13 +13,13 @@
 
 impl UsageMeter {
     /// Counts units that a volume was served through a host.
-    pub fn record(&mut self, volume: u64, host: u64, units: f64) {
+    pub(crate) fn record(&mut self, volume: u64, host: u64, units: f64) {
         *self.by_volume.entry(volume).or_default() += units;
         *self.by_volume_and_host.entry((volume, host)).or_default() += units;
     }
 
     /// The units that a volume was served through other hosts since this host's last report.
-    pub fn report(&mut self, volume: u64, host: u64) -> f64 {
+    pub(crate) fn report(&mut self, volume: u64, host: u64) -> f64 {
         let all = self.by_volume.get(&volume).copied().unwrap_or(0.0);
         let own = self.by_volume_and_host.get(&(volume, host)).copied().unwrap_or(0.0);
         let others = all - own;
--- a/crates/engine/src/environment.rs
+++ b/crates/engine/src/environment.rs
@@ -77,7 +77,7 @@
 }
 
 impl fmt::Display for Reason {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(self.as_str())
     }
 }
--- a/crates/engine/src/id_table.rs
+++ b/crates/engine/src/id_table.rs
@@ -4,11 +4,11 @@
 
 /// Ids of a bounded set, numbered in the order in which they were first seen.
 #[derive(Default)]
-pub struct IdTable(HashMap<u32, usize>);
+pub(crate) struct IdTable(HashMap<u32, usize>);
 
 impl IdTable {
     /// The index of an id; a new id gets the next one.
-    pub fn index_of(&mut self, id: u32) -> usize {
+    pub(crate) fn index_of(&mut self, id: u32) -> usize {
         let next = self.0.len();
         *self.0.entry(id).or_insert(next)
     }
@@ -17,7 +17,7 @@
 /// Indices for ids of an unbounded set, such as keys and volumes. Ids that are not among the recent ones are
 /// evicted and their indices reused, so that state kept by index stays bounded. A caller that uses more than
 /// `capacity` ids at once would see one index stand for two ids.
-pub struct RecentIdTable {
+pub(crate) struct RecentIdTable {
     capacity: usize,
     current: HashMap<u64, usize>,
     previous: HashMap<u64, usize>,
@@ -27,7 +27,7 @@
 
 impl RecentIdTable {
     /// A table that keeps at least the last `capacity` ids, and less than twice as many.
-    pub fn new(capacity: usize) -> RecentIdTable {
+    pub(crate) fn new(capacity: usize) -> RecentIdTable {
         RecentIdTable {
             capacity,
             current: HashMap::new(),
@@ -38,7 +38,7 @@
     }
 
     /// The index of an id, which counts as recent from now on.
-    pub fn index_of(&mut self, id: u64) -> usize {
+    pub(crate) fn index_of(&mut self, id: u64) -> usize {
         if let Some(&index) = self.current.get(&id) {
             return index;
         }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -7,8 +7,6 @@
 //!
 //! Ids of requests, nodes, volumes and keys are the driver's own; a request's id must never be used again.
 
-#![warn(missing_docs)]
-
 mod engine;
 mod environment;
 mod id_table;
--- a/crates/engine/src/node_table.rs
+++ b/crates/engine/src/node_table.rs
@@ -6,7 +6,7 @@
 
 /// Maps node ids to the scheduler's indices and to the tags by which hosts name nodes to each other.
 #[derive(Default)]
-pub struct NodeTable {
+pub(crate) struct NodeTable {
     indices: IdTable,
     ids: Vec<u32>,
     /// The node of a tag; none where several nodes share it.
@@ -15,7 +15,7 @@
 
 impl NodeTable {
     /// The index of a node; a new node gets the next one.
-    pub fn index_of(&mut self, id: u32) -> usize {
+    pub(crate) fn index_of(&mut self, id: u32) -> usize {
         let index = self.indices.index_of(id);
         if index == self.ids.len() {
             self.ids.push(id);
@@ -26,17 +26,17 @@
     }
 
     /// The id of the node with this index.
-    pub fn id(&self, index: usize) -> u32 {
+    pub(crate) fn id(&self, index: usize) -> u32 {
         self.ids[index]
     }
 
     /// A report with the tag of its node, for other hosts.
-    pub fn tagged(&self, report: &GossipReport) -> (u16, GossipReport) {
+    pub(crate) fn tagged(&self, report: &GossipReport) -> (u16, GossipReport) {
         (tag(self.ids[report.node]), *report)
     }
 
     /// A report from another host with the index of its node; none where the tag names no node, or several.
-    pub fn resolve(&self, (tag, report): &(u16, GossipReport)) -> Option<GossipReport> {
+    pub(crate) fn resolve(&self, (tag, report): &(u16, GossipReport)) -> Option<GossipReport> {
         let node = (*self.index_of_tag.get(tag)?)?;
         Some(GossipReport { node, ..*report })
     }
--- a/crates/engine/src/pending_request.rs
+++ b/crates/engine/src/pending_request.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 /// A request until it has its final answer and no attempt in flight.
-pub struct PendingRequest {
+pub(crate) struct PendingRequest {
     id: u64,
     request: Request,
     attempts: u32,
@@ -20,42 +20,42 @@
     }
 
     /// The driver's id.
-    pub fn id(&self) -> u64 {
+    pub(crate) fn id(&self) -> u64 {
         self.id
     }
 
     /// The request as the scheduler knows it.
-    pub fn request(&self) -> &Request {
+    pub(crate) fn request(&self) -> &Request {
         &self.request
     }
 
     /// The request as the scheduler knows it, to change where its data lies or what it travels with.
-    pub fn request_mut(&mut self) -> &mut Request {
+    pub(crate) fn request_mut(&mut self) -> &mut Request {
         &mut self.request
     }
 
     /// Whether it has its final answer, or nobody waits for one.
-    pub fn is_finished(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         self.finished
     }
 
     /// Whether it has neither its final answer nor an attempt in flight.
-    pub fn is_queued(&self) -> bool {
+    pub(crate) fn is_queued(&self) -> bool {
         !self.finished && self.in_flight == 0
     }
 
     /// Whether an attempt of this number was ever begun.
-    pub fn has_begun(&self, attempt: u32) -> bool {
+    pub(crate) fn has_begun(&self, attempt: u32) -> bool {
         attempt < self.attempts
     }
 
     /// Why the host ends it, if it ends it now.
-    pub fn reason(&self) -> Reason {
+    pub(crate) fn reason(&self) -> Reason {
         self.last_outcome.map_or(Reason::NoAttempt, Reason::After)
     }
 
     /// Counts a new attempt.
-    pub fn begin_attempt(&mut self, timeout: Ms, send_by: Ms) -> AttemptRef {
+    pub(crate) fn begin_attempt(&mut self, timeout: Ms, send_by: Ms) -> AttemptRef {
         assert!(!self.finished, "an attempt of request {}, which is finished", self.id);
         self.attempts += 1;
         self.in_flight += 1;
@@ -64,7 +64,7 @@
 
     /// Counts the outcome of an attempt; `finishes` where the request has its final answer by it. Returns whether
     /// the request is finished.
-    pub fn end_attempt(&mut self, outcome: Outcome, finishes: bool) -> bool {
+    pub(crate) fn end_attempt(&mut self, outcome: Outcome, finishes: bool) -> bool {
         assert!(self.in_flight > 0, "an outcome for request {}, which has no attempt in flight", self.id);
         self.in_flight -= 1;
         self.finished |= finishes;
@@ -73,7 +73,7 @@
     }
 
     /// Marks that it has its final answer.
-    pub fn finish(&mut self) {
+    pub(crate) fn finish(&mut self) {
         assert!(!self.finished, "a second final answer for request {}", self.id);
         self.finished = true;
     }
@@ -81,7 +81,7 @@
 
 /// The pending requests by slot; a slot is reused once its request is released.
 #[derive(Default)]
-pub struct RequestTable {
+pub(crate) struct RequestTable {
     slots: Vec<Option<PendingRequest>>,
     free_slots: Vec<usize>,
     slot_of_id: HashMap<u64, usize>,
@@ -89,12 +89,12 @@
 
 impl RequestTable {
     /// Requests that are not released.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.slot_of_id.len()
     }
 
     /// Adds a request and returns its slot.
-    pub fn insert(&mut self, id: u64, request: Request) -> usize {
+    pub(crate) fn insert(&mut self, id: u64, request: Request) -> usize {
         let slot = self.free_slots.pop().unwrap_or(self.slots.len());
         if slot == self.slots.len() {
             self.slots.push(None);
@@ -106,22 +106,22 @@
     }
 
     /// The slot of a request that is not released.
-    pub fn slot_of(&self, id: u64) -> Option<usize> {
+    pub(crate) fn slot_of(&self, id: u64) -> Option<usize> {
         self.slot_of_id.get(&id).copied()
     }
 
     /// The request in a slot.
-    pub fn get(&self, slot: usize) -> Option<&PendingRequest> {
+    pub(crate) fn get(&self, slot: usize) -> Option<&PendingRequest> {
         self.slots[slot].as_ref()
     }
 
     /// The request in a slot, to change it.
-    pub fn get_mut(&mut self, slot: usize) -> Option<&mut PendingRequest> {
+    pub(crate) fn get_mut(&mut self, slot: usize) -> Option<&mut PendingRequest> {
         self.slots[slot].as_mut()
     }
 
     /// Frees the slot where its request is finished and has no attempt in flight.
-    pub fn release(&mut self, slot: usize) {
+    pub(crate) fn release(&mut self, slot: usize) {
         if let Some(pending) = self.slots[slot].take_if(|p| p.finished && p.in_flight == 0) {
             self.slot_of_id.remove(&pending.id);
             self.free_slots.push(slot);
--- a/crates/exchange/src/exchange_history.rs
+++ b/crates/exchange/src/exchange_history.rs
@@ -73,7 +73,7 @@
     /// can arrive. On any other, what is left of an earlier exchange may arrive first: a copy of its response, or a
     /// part of one. Where an endpoint gives the same response to two requests on one connection, the second counts as
     /// a mismatch.
-    pub fn verify(&self, response: &ReceivedResponse, request_id: &str) -> Result<(), ResponseMismatch> {
+    pub fn verify(&self, response: &ReceivedResponse<'_>, request_id: &str) -> Result<(), ResponseMismatch> {
         if response.names.is_some_and(|named| named != request_id) {
             return Err(ResponseMismatch::DifferentRequestId);
         }
@@ -90,7 +90,7 @@
     }
 
     /// An exchange has ended with a response of its own.
-    pub fn record(&mut self, now: Ms, response: &ReceivedResponse) {
+    pub fn record(&mut self, now: Ms, response: &ReceivedResponse<'_>) {
         if self.digests.len() == MAX_REMEMBERED_RESPONSES {
             self.digests.pop_front();
         }
@@ -100,7 +100,7 @@
     }
 }
 
-fn digest(response: &ReceivedResponse) -> u64 {
+fn digest(response: &ReceivedResponse<'_>) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(&response.status.to_le_bytes());
     hasher.update(response.body);
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -5,8 +5,6 @@
 //! request in flight, and when a connection may carry another exchange; [`RequestQueue`] holds what a client has sent
 //! until each request of it has its response.
 
-#![warn(missing_docs)]
-
 mod endpoint_trust;
 mod exchange_history;
 mod request_queue;
--- a/crates/extents/src/lib.rs
+++ b/crates/extents/src/lib.rs
@@ -5,8 +5,6 @@
 //! rises with every change of its owner. The map as a whole has an epoch that counts its changes, so that a
 //! subscriber notices a change it missed. `docs/extents.md` gives the design and its alternatives.
 
-#![warn(missing_docs)]
-
 mod extent_map;
 mod extent_map_view;
 mod migration;
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -21,7 +21,7 @@
 }
 
 /// All clients by poll key.
-pub struct ClientConnections {
+pub(crate) struct ClientConnections {
     clients: Slab<Client>,
     max_clients: usize,
     /// Bytes of answers that may wait for a client before nothing more is read from it.
@@ -29,7 +29,7 @@
 }
 
 impl ClientConnections {
-    pub fn new(bounds: &Bounds) -> ClientConnections {
+    pub(crate) fn new(bounds: &Bounds) -> ClientConnections {
         ClientConnections {
             clients: Slab::new(),
             max_clients: bounds.max_clients,
@@ -46,7 +46,7 @@
     }
 
     /// Takes over an accepted connection; returns its key, none where it is rejected.
-    pub fn accept(&mut self, poll: &Poll, stream: TcpStream) -> Option<usize> {
+    pub(crate) fn accept(&mut self, poll: &Poll, stream: TcpStream) -> Option<usize> {
         if self.clients.len() >= self.max_clients {
             tracing::warn!(reason = "too_many_clients", max_clients = self.max_clients, "client_rejected");
             return None;
@@ -70,28 +70,28 @@
         Some(key)
     }
 
-    pub fn connection_mut(&mut self, key: usize) -> Option<&mut Connection> {
+    pub(crate) fn connection_mut(&mut self, key: usize) -> Option<&mut Connection> {
         self.get_mut(key).map(|client| &mut client.connection)
     }
 
     /// Queues a message; false where the client has gone.
-    pub fn send(&mut self, key: usize, message: &Message) -> bool {
+    pub(crate) fn send(&mut self, key: usize, message: &Message<'_>) -> bool {
         let Some(client) = self.get_mut(key) else { return false };
         client.connection.queue(message, NOTHING);
         true
     }
 
-    pub fn keys(&self) -> Vec<usize> {
+    pub(crate) fn keys(&self) -> Vec<usize> {
         self.clients.iter().map(|(index, _)| poll_key(Source::Client, index)).collect()
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
 
     /// Pauses a client that does not read its answers, until it does: what is kept for it is bounded by what it had
     /// pending.
-    pub fn pause_if_slow(&mut self, now: Ms, key: usize) -> Result<(), Ended> {
+    pub(crate) fn pause_if_slow(&mut self, now: Ms, key: usize) -> Result<(), Ended> {
         let max_pending_bytes = self.max_pending_bytes;
         let Some(client) = self.get_mut(key).filter(|_| source_of(key) == Source::Client) else {
             return Ok(());
@@ -104,7 +104,7 @@
     }
 
     /// Pauses all clients, as the host has as many requests as it may.
-    pub fn pause_all(&mut self, now: Ms) {
+    pub(crate) fn pause_all(&mut self, now: Ms) {
         for (_, client) in self.clients.iter_mut().filter(|(_, client)| client.paused_since.is_none()) {
             client.paused_since = Some(now);
             // A connection that cannot be paused is broken and ends at its next read.
@@ -113,13 +113,13 @@
     }
 
     /// Whether a client is paused and has read enough of its answers to be resumed.
-    pub fn may_resume(&self, key: usize) -> bool {
+    pub(crate) fn may_resume(&self, key: usize) -> bool {
         let paused = self.get(key).filter(|client| client.paused_since.is_some());
         paused.is_some_and(|client| client.connection.pending() <= self.max_pending_bytes / 2)
     }
 
     /// Reads from a client again.
-    pub fn resume(&mut self, key: usize) {
+    pub(crate) fn resume(&mut self, key: usize) {
         if let Some(client) = self.get_mut(key) {
             client.paused_since = None;
             // A connection that cannot be resumed is broken and ends at its next read.
@@ -128,13 +128,13 @@
     }
 
     /// For how long a client has been paused: what it sent may have waited as long.
-    pub fn paused_for(&self, now: Ms, key: usize) -> Ms {
+    pub(crate) fn paused_for(&self, now: Ms, key: usize) -> Ms {
         self.get(key).and_then(|client| client.paused_since).map_or(0.0, |since| now - since)
     }
 
     /// Notes whether a client's bytes end in a partial frame, and whether frames were consumed since the last note.
     /// Returns the serial number of a new partial frame, for its timer.
-    pub fn note_partial_frame(&mut self, key: usize, partial: bool, progress: bool) -> Option<u64> {
+    pub(crate) fn note_partial_frame(&mut self, key: usize, partial: bool, progress: bool) -> Option<u64> {
         let client = self.get_mut(key)?;
         if !partial || progress {
             client.has_partial_frame = false;
@@ -148,7 +148,7 @@
     }
 
     /// Whether a partial frame is still incomplete, and the client is not paused.
-    pub fn is_partial_frame_late(&self, key: usize, serial: u64) -> bool {
+    pub(crate) fn is_partial_frame_late(&self, key: usize, serial: u64) -> bool {
         self.get(key).is_some_and(|client| {
             let same_frame = client.has_partial_frame && client.partial_frame_serial == serial;
             same_frame && client.paused_since.is_none()
@@ -156,7 +156,7 @@
     }
 
     /// Removes a client; returns the ids of its requests without a final answer.
-    pub fn remove(&mut self, key: usize) -> Vec<u64> {
+    pub(crate) fn remove(&mut self, key: usize) -> Vec<u64> {
         let Some(client) = self.clients.try_remove(index_of(key)) else { return Vec::new() };
         let mut request_ids: Vec<u64> = client.requests.into_values().collect();
         request_ids.sort_unstable();
@@ -164,23 +164,23 @@
     }
 
     /// Notes a request under the client's own number; none where the client has gone.
-    pub fn add_request(&mut self, key: usize, number: u64, request_id: u64) -> Option<()> {
+    pub(crate) fn add_request(&mut self, key: usize, number: u64, request_id: u64) -> Option<()> {
         self.get_mut(key)?.requests.insert(number, request_id);
         Some(())
     }
 
     /// Forgets the request of this number; returns its id.
-    pub fn remove_request(&mut self, key: usize, number: u64) -> Option<u64> {
+    pub(crate) fn remove_request(&mut self, key: usize, number: u64) -> Option<u64> {
         self.get_mut(key)?.requests.remove(&number)
     }
 
     /// Whether a request of this number is pending.
-    pub fn has_request(&self, key: usize, number: u64) -> bool {
+    pub(crate) fn has_request(&self, key: usize, number: u64) -> bool {
         self.get(key).is_some_and(|client| client.requests.contains_key(&number))
     }
 
     /// Ends writing to all clients, and reads what they still send.
-    pub fn end_writing(&mut self) {
+    pub(crate) fn end_writing(&mut self) {
         for (_, client) in &mut self.clients {
             client.connection.end_writing();
             // One that cannot be read any more ends at its next read.
@@ -189,7 +189,7 @@
     }
 
     /// Whether all answers have been written.
-    pub fn all_written(&self) -> bool {
+    pub(crate) fn all_written(&self) -> bool {
         self.clients.iter().all(|(_, client)| client.connection.pending() == 0)
     }
 }
--- a/crates/gateway/src/config/reader.rs
+++ b/crates/gateway/src/config/reader.rs
@@ -27,7 +27,7 @@
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// Reads and checks the settings of a host. `seed` is used where the file states none.
-pub fn host(root: &SettingsBlock, seed: u64) -> Option<HostConfig> {
+pub fn host(root: &SettingsBlock<'_>, seed: u64) -> Option<HostConfig> {
     let part = root.required_block("host");
     let list = root.optional_block("list").map(|p| list(&p));
     let round = part.as_ref().map_or(2.0, |p| p.attribute("round").duration_ms_or(2.0));
@@ -109,7 +109,7 @@
     })
 }
 
-fn list(p: &SettingsBlock) -> (ListSource, Option<Ms>) {
+fn list(p: &SettingsBlock<'_>) -> (ListSource, Option<Ms>) {
     let polled = p.attribute("mode").one_of_or(&POLLED_WORDS, false);
     let within = p.attribute("ask_within");
     let max_poll_interval = match (polled, within.is_present()) {
@@ -134,7 +134,7 @@
 }
 
 /// Without the block a batch weighs at most two of the largest requests.
-fn coalescing(part: Option<SettingsBlock>, max_units: f64) -> magpiewick_coalescing::BatchLimits {
+fn coalescing(part: Option<SettingsBlock<'_>>, max_units: f64) -> magpiewick_coalescing::BatchLimits {
     let defaults = magpiewick_coalescing::BatchLimits {
         max_parts: 8,
         max_units: 2.0 * max_units,
@@ -150,7 +150,7 @@
     }
 }
 
-fn split(part: Option<SettingsBlock>) -> Split {
+fn split(part: Option<SettingsBlock<'_>>) -> Split {
     let (max_blocks, max_in_flight) = (64, 4);
     part.map_or(Split { max_blocks, max_in_flight }, |p| Split {
         max_blocks: p.attribute("blocks").integer_or(1..=1 << 30, max_blocks),
@@ -158,12 +158,12 @@
     })
 }
 
-fn classes(root: &SettingsBlock, round: Ms) -> (Vec<RequestClass>, Vec<String>) {
+fn classes(root: &SettingsBlock<'_>, round: Ms) -> (Vec<RequestClass>, Vec<String>) {
     let parts = root.labelled_blocks("band");
     if parts.is_empty() {
         root.report_error("no band; expected at least one block band \"name\"");
     }
-    let read = |p: &SettingsBlock| {
+    let read = |p: &SettingsBlock<'_>| {
         let idempotency =
             p.attribute("repeats").one_of(&IDEMPOTENCY_WORDS).unwrap_or(Idempotency::NonIdempotent);
         let (deduplication_scope, deduplication_window) = (p.attribute("group"), p.attribute("memory"));
@@ -202,12 +202,12 @@
     (parts.iter().map(read).collect(), parts.iter().map(|p| p.label().to_string()).collect())
 }
 
-fn plans(root: &SettingsBlock) -> (Vec<QosPolicy>, Vec<String>) {
+fn plans(root: &SettingsBlock<'_>) -> (Vec<QosPolicy>, Vec<String>) {
     let parts = root.labelled_blocks("plan");
     if parts.is_empty() {
         root.report_error("no plan; expected at least one block plan \"name\"");
     }
-    let read = |p: &SettingsBlock| {
+    let read = |p: &SettingsBlock<'_>| {
         let rate = p.attribute("rate").number();
         let plan = QosPolicy {
             price: p.attribute("price").number_or(1.0),
@@ -235,7 +235,7 @@
     (parts.iter().map(read).collect(), parts.iter().map(|p| p.label().to_string()).collect())
 }
 
-fn volumes(root: &SettingsBlock, plans: &[String], hosts: f64) -> BTreeMap<u64, Volume> {
+fn volumes(root: &SettingsBlock<'_>, plans: &[String], hosts: f64) -> BTreeMap<u64, Volume> {
     let mut volumes = BTreeMap::new();
     for p in root.labelled_blocks("volume") {
         let id = p.attribute("id").integer(0..=u64::MAX);
@@ -262,7 +262,7 @@
 
 /// The gossip addresses of all hosts, so that each can be given the same file. Which host this one is stands in its
 /// number, which may be given at its start.
-fn gossip_addresses(root: &SettingsBlock, hosts: usize) -> BTreeMap<usize, SocketAddr> {
+fn gossip_addresses(root: &SettingsBlock<'_>, hosts: usize) -> BTreeMap<usize, SocketAddr> {
     let mut addresses = BTreeMap::new();
     for p in root.labelled_blocks("peer") {
         let number: Option<usize> = p.label().parse().ok().filter(|number| *number < hosts);
@@ -288,7 +288,7 @@
     addresses
 }
 
-fn slow_start(p: &SettingsBlock, start: &mut SchedulerConfig) {
+fn slow_start(p: &SettingsBlock<'_>, start: &mut SchedulerConfig) {
     start.slow_start_share = p.attribute("share").fraction_or(1.0);
     start.slow_start_duration = p.attribute("time").duration_ms();
     start.slow_start_units = p.attribute("units").number_or(0.0);
@@ -314,7 +314,7 @@
     }
 }
 
-fn retry_budget(p: &SettingsBlock) -> RetryBudget {
+fn retry_budget(p: &SettingsBlock<'_>) -> RetryBudget {
     let window = p.attribute("window").duration_ms();
     if window <= 0.0 && p.attribute("window").is_present() {
         p.report_attribute_error(
@@ -330,7 +330,7 @@
 }
 
 /// Checks the reservations against the capacity of the shards, where that is stated.
-fn capacity(root: &SettingsBlock, start: &SchedulerConfig, volumes: &BTreeMap<u64, Volume>) {
+fn capacity(root: &SettingsBlock<'_>, start: &SchedulerConfig, volumes: &BTreeMap<u64, Volume>) {
     let Some(p) = root.optional_block("capacity") else { return };
     let shard_capacity = p.attribute("units_a_second").number();
     let mut reserved: BTreeMap<usize, f64> = BTreeMap::new();
@@ -347,7 +347,7 @@
     }
 }
 
-fn log(part: Option<SettingsBlock>) -> LogConfig {
+fn log(part: Option<SettingsBlock<'_>>) -> LogConfig {
     part.map_or_else(LogConfig::default, |p| LogConfig {
         level: p.attribute("level").one_of_or(&LEVEL_WORDS, "info").to_string(),
         format: p.attribute("format").one_of_or(&FORMAT_WORDS, LogFormat::Text),
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -24,7 +24,7 @@
 mod requests;
 
 /// The outcome of an attempt that is to be reported to the engine.
-pub struct UnreportedOutcome {
+pub(crate) struct UnreportedOutcome {
     pub request_id: u64,
     pub attempt: u32,
     pub outcome: Outcome,
@@ -49,7 +49,7 @@
 }
 
 /// The environment of a gateway's engine.
-pub struct Connections {
+pub(crate) struct Connections {
     clock: Clock,
     poll: Poll,
     timers: Timers<Timer>,
@@ -78,7 +78,7 @@
 }
 
 impl Connections {
-    pub fn new(
+    pub(crate) fn new(
         config: &HostConfig,
         poll: Poll,
         clock: Clock,
@@ -111,63 +111,63 @@
     }
 
     /// What counts for the loop's present turn.
-    pub fn now(&self) -> Ms {
+    pub(crate) fn now(&self) -> Ms {
         self.now
     }
 
     /// The clock as it stands, which may be later than the present turn.
-    pub fn clock_now(&self) -> Ms {
+    pub(crate) fn clock_now(&self) -> Ms {
         self.clock.now()
     }
 
     /// Lets the present time count from now on.
-    pub fn update_now(&mut self) {
+    pub(crate) fn update_now(&mut self) {
         self.now = self.clock.now();
     }
 
     /// When something is due next.
-    pub fn next_due_at(&self) -> Ms {
+    pub(crate) fn next_due_at(&self) -> Ms {
         self.timers.next_at().unwrap_or(f64::INFINITY).min(self.engine_wakes_at)
     }
 
     /// Takes the next timer that is due.
-    pub fn next_due_timer(&mut self) -> Option<Timer> {
+    pub(crate) fn next_due_timer(&mut self) -> Option<Timer> {
         self.timers.due(self.now)
     }
 
     /// Whether something happened that is to be handled.
-    pub fn has_events(&self) -> bool {
+    pub(crate) fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
     /// Takes the note that the endpoint list could not be polled.
-    pub fn take_poll_failed(&mut self) -> bool {
+    pub(crate) fn take_poll_failed(&mut self) -> bool {
         std::mem::take(&mut self.events.poll_failed)
     }
 
-    pub fn next_outcome(&mut self) -> Option<UnreportedOutcome> {
+    pub(crate) fn next_outcome(&mut self) -> Option<UnreportedOutcome> {
         self.events.outcomes.pop_front()
     }
 
-    pub fn next_finished_part(&mut self) -> Option<FinishedPart> {
+    pub(crate) fn next_finished_part(&mut self) -> Option<FinishedPart> {
         self.events.finished_parts.pop_front()
     }
 
-    pub fn next_unblocked_write(&mut self) -> Option<u64> {
+    pub(crate) fn next_unblocked_write(&mut self) -> Option<u64> {
         self.events.unblocked.pop_front()
     }
 
     /// Notes that a connection has something to write.
-    pub fn note_to_write(&mut self, key: usize) {
+    pub(crate) fn note_to_write(&mut self, key: usize) {
         self.to_write.push(key);
     }
 
-    pub fn has_to_write(&self) -> bool {
+    pub(crate) fn has_to_write(&self) -> bool {
         !self.to_write.is_empty()
     }
 
     /// Takes the keys of the connections with something to write, each once.
-    pub fn take_to_write(&mut self) -> Vec<usize> {
+    pub(crate) fn take_to_write(&mut self) -> Vec<usize> {
         let mut keys = std::mem::take(&mut self.to_write);
         keys.sort_unstable();
         keys.dedup();
@@ -184,33 +184,33 @@
     }
 
     /// Reads what is there on a connection; the bytes, and why the connection is over where it is.
-    pub fn read(&mut self, key: usize) -> Option<(Vec<u8>, Option<Ended>)> {
+    pub(crate) fn read(&mut self, key: usize) -> Option<(Vec<u8>, Option<Ended>)> {
         let connection = self.connection_mut(key)?;
         let ended = connection.fill().err();
         Some((connection.take_input(), ended))
     }
 
     /// Takes the bytes that were read before and not consumed.
-    pub fn take_unconsumed(&mut self, key: usize) -> Option<Vec<u8>> {
+    pub(crate) fn take_unconsumed(&mut self, key: usize) -> Option<Vec<u8>> {
         self.connection_mut(key).map(Connection::take_input)
     }
 
     /// Returns what was read; its first `consumed` bytes are dropped.
-    pub fn give_back(&mut self, key: usize, input: Vec<u8>, consumed: usize) {
+    pub(crate) fn give_back(&mut self, key: usize, input: Vec<u8>, consumed: usize) {
         if let Some(connection) = self.connection_mut(key) {
             connection.give_back(input, consumed);
         }
     }
 
     /// Writes what the kernel takes, and pauses a client that does not read its answers.
-    pub fn flush(&mut self, key: usize) -> Result<(), Ended> {
+    pub(crate) fn flush(&mut self, key: usize) -> Result<(), Ended> {
         let Some(connection) = self.connection_mut(key) else { return Ok(()) };
         connection.flush()?;
         self.clients.pause_if_slow(self.now, key)
     }
 
     /// The next message from another host; `datagrams` counts those read in this turn.
-    pub fn receive_gossip(&mut self, datagrams: &mut usize) -> Option<(usize, Reports)> {
+    pub(crate) fn receive_gossip(&mut self, datagrams: &mut usize) -> Option<(usize, Reports)> {
         self.gossip.as_mut()?.receive(datagrams)
     }
 }
--- a/crates/gateway/src/connections/clients.rs
+++ b/crates/gateway/src/connections/clients.rs
@@ -9,34 +9,34 @@
 use std::net::TcpStream;
 
 impl Connections {
-    pub fn clients(&self) -> &ClientConnections {
+    pub(crate) fn clients(&self) -> &ClientConnections {
         &self.clients
     }
 
-    pub fn clients_mut(&mut self) -> &mut ClientConnections {
+    pub(crate) fn clients_mut(&mut self) -> &mut ClientConnections {
         &mut self.clients
     }
 
     /// Takes over an accepted connection and greets its client.
-    pub fn accept_client(&mut self, stream: TcpStream) {
+    pub(crate) fn accept_client(&mut self, stream: TcpStream) {
         if let Some(key) = self.clients.accept(&self.poll, stream) {
             self.send_to_client(key, &Message::Hello(self.hello));
         }
     }
 
     /// Queues a message to a client.
-    pub fn send_to_client(&mut self, key: usize, message: &Message) {
+    pub(crate) fn send_to_client(&mut self, key: usize, message: &Message<'_>) {
         if self.clients.send(key, message) {
             self.note_to_write(key);
         }
     }
 
-    pub fn pause_all_clients(&mut self) {
+    pub(crate) fn pause_all_clients(&mut self) {
         self.clients.pause_all(self.now);
     }
 
     /// Notes whether a client's bytes end in a partial frame, and limits the time for the rest of it.
-    pub fn note_partial_frame(&mut self, key: usize, partial: bool, progress: bool) {
+    pub(crate) fn note_partial_frame(&mut self, key: usize, partial: bool, progress: bool) {
         if let Some(serial) = self.clients.note_partial_frame(key, partial, progress) {
             self.timers.set(self.now + self.frame_timeout, Timer::PartialFrame { client: key, serial });
         }
@@ -44,7 +44,7 @@
 
     /// Forgets a client; returns its requests that had no final answer.
     #[must_use]
-    pub fn remove_client(&mut self, key: usize) -> Vec<u64> {
+    pub(crate) fn remove_client(&mut self, key: usize) -> Vec<u64> {
         let request_ids = self.clients.remove(key);
         request_ids.iter().for_each(|request_id| self.cancel_request(*request_id, "client-gone"));
         request_ids
@@ -52,14 +52,14 @@
 
     /// The client cancels the request of this number; returns its id, where it is pending.
     #[must_use]
-    pub fn cancel_client_request(&mut self, key: usize, number: u64) -> Option<u64> {
+    pub(crate) fn cancel_client_request(&mut self, key: usize, number: u64) -> Option<u64> {
         let request_id = self.clients.remove_request(key, number)?;
         self.cancel_request(request_id, "given-up");
         Some(request_id)
     }
 
     /// Nobody waits for a request any more.
-    pub fn cancel_request(&mut self, request_id: u64, reason: &str) {
+    pub(crate) fn cancel_request(&mut self, request_id: u64, reason: &str) {
         if self.requests.get_mut(request_id).is_some_and(|request| request.cancel(reason)) {
             self.coalescer.remove(request_id);
         }
--- a/crates/gateway/src/connections/list_service.rs
+++ b/crates/gateway/src/connections/list_service.rs
@@ -9,34 +9,34 @@
 use magpiewick_node_protocol::Message;
 
 impl Connections {
-    pub fn endpoint_list(&self) -> &EndpointList {
+    pub(crate) fn endpoint_list(&self) -> &EndpointList {
         &self.endpoint_list
     }
 
-    pub fn endpoint_list_mut(&mut self) -> &mut EndpointList {
+    pub(crate) fn endpoint_list_mut(&mut self) -> &mut EndpointList {
         &mut self.endpoint_list
     }
 
-    pub fn extent_map(&self) -> &magpiewick_extents::ExtentMapView {
+    pub(crate) fn extent_map(&self) -> &magpiewick_extents::ExtentMapView {
         &self.extent_map
     }
 
-    pub fn extent_map_mut(&mut self) -> &mut magpiewick_extents::ExtentMapView {
+    pub(crate) fn extent_map_mut(&mut self) -> &mut magpiewick_extents::ExtentMapView {
         &mut self.extent_map
     }
 
     /// Extents that are being migrated are looked up again then.
-    pub fn reroute_at(&mut self, at: Ms) {
+    pub(crate) fn reroute_at(&mut self, at: Ms) {
         self.timers.set(at, Timer::Reroute);
     }
 
     /// The poll key of the connection to the list service.
-    pub fn list_key(&self) -> Option<usize> {
+    pub(crate) fn list_key(&self) -> Option<usize> {
         self.list_connection.key()
     }
 
     /// Watches the endpoint list from the epoch that this host has.
-    pub fn watch_endpoints(&mut self) {
+    pub(crate) fn watch_endpoints(&mut self) {
         let hello = Message::Hello(self.hello);
         let watched = self.list_connection.watch(&self.poll, &hello, self.endpoint_list.epoch());
         match watched {
@@ -46,26 +46,26 @@
     }
 
     /// Requests the whole endpoint list on the open connection.
-    pub fn request_endpoint_snapshot(&mut self) {
+    pub(crate) fn request_endpoint_snapshot(&mut self) {
         if self.list_connection.watch_endpoints(0) {
             self.note_to_write(poll_key(Source::ListService, 0));
         }
     }
 
     /// Requests the extent map, where the service serves it.
-    pub fn request_extent_map(&mut self) {
+    pub(crate) fn request_extent_map(&mut self) {
         if self.list_connection.watch_map() {
             self.note_to_write(poll_key(Source::ListService, 0));
         }
     }
 
     /// The list service answered.
-    pub fn on_list_answer(&mut self) {
+    pub(crate) fn on_list_answer(&mut self) {
         self.list_connection.on_answer();
     }
 
     /// The connection to the list service was lost, or could not be opened.
-    pub fn on_list_connection_lost(&mut self, reason: &dyn std::error::Error) {
+    pub(crate) fn on_list_connection_lost(&mut self, reason: &dyn std::error::Error) {
         tracing::warn!(%reason, "endpoint_list_connection_lost");
         match self.list_connection.on_lost(self.now) {
             AfterLoss::ReportPollFailed => self.events.poll_failed = true,
--- a/crates/gateway/src/connections/nodes.rs
+++ b/crates/gateway/src/connections/nodes.rs
@@ -26,14 +26,14 @@
     }
 
     /// The time for a greeting is over.
-    pub fn on_connect_timeout(&mut self, upstream: usize, connect_attempt: u64) {
+    pub(crate) fn on_connect_timeout(&mut self, upstream: usize, connect_attempt: u64) {
         if self.upstreams.is_greeting_late(upstream, connect_attempt) {
             self.close_upstream(upstream, &CloseReason::GreetingTimeout);
         }
     }
 
     /// Closes the connection to a node; the attempts that were in flight or waited there are to be reported.
-    pub fn close_upstream(&mut self, upstream: usize, reason: &CloseReason) {
+    pub(crate) fn close_upstream(&mut self, upstream: usize, reason: &CloseReason) {
         for (request_id, outcome) in self.upstreams.close(upstream, reason) {
             self.detach(request_id, outcome, upstream);
         }
@@ -48,12 +48,12 @@
     }
 
     /// A node sent a message; false where it has not greeted.
-    pub fn on_node_message(&mut self, key: usize) -> bool {
+    pub(crate) fn on_node_message(&mut self, key: usize) -> bool {
         self.upstreams.on_message(index_of(key), self.now)
     }
 
     /// A node sent its greeting: what waited for it is sent, or reported as not sent.
-    pub fn on_node_greeting(&mut self, key: usize, hello: &Hello) -> GreetingCheck {
+    pub(crate) fn on_node_greeting(&mut self, key: usize, hello: &Hello) -> GreetingCheck {
         let upstream = index_of(key);
         let greeting = Process {
             node: hello.number,
@@ -89,7 +89,7 @@
 
     /// Brings the connections in line with the endpoint list: to a node that drains or was removed nothing more is
     /// sent, and a connection to a process that is no longer the listed one is closed.
-    pub fn on_endpoint_list_changed(&mut self) {
+    pub(crate) fn on_endpoint_list_changed(&mut self) {
         for listed in self.endpoint_list.nodes() {
             self.upstreams.index_of(listed.entry.node, Some(listed));
         }
--- a/crates/gateway/src/connections/requests.rs
+++ b/crates/gateway/src/connections/requests.rs
@@ -11,7 +11,7 @@
 
 impl Connections {
     /// Keeps a request as its client sent it and gives it an id; none where its client has gone.
-    pub fn admit(&mut self, admitted: Admitted) -> Option<u64> {
+    pub(crate) fn admit(&mut self, admitted: Admitted<'_>) -> Option<u64> {
         let id = self.requests.next_request_id();
         if let Requester::Client(client) = admitted.requester {
             self.clients.add_request(client.key, client.request_id, id)?;
@@ -22,7 +22,7 @@
     }
 
     /// Offers a write that is not in flight to be coalesced with others.
-    pub fn offer_for_coalescing(&mut self, request_id: u64) {
+    pub(crate) fn offer_for_coalescing(&mut self, request_id: u64) {
         if let Some(write) = self.requests.get(request_id).and_then(|request| request.as_coalescible()) {
             self.coalescer.insert(request_id, write);
         }
@@ -31,7 +31,7 @@
     /// Asks whether a request may go on to the engine; where an earlier write overlaps it, keeps it until then or for
     /// as long as it may wait. `queue` names the queue in which the scheduler orders it.
     #[must_use]
-    pub fn acquire_overlap_lock(
+    pub(crate) fn acquire_overlap_lock(
         &mut self,
         incoming: IncomingRequest,
         queue: Option<u64>,
@@ -54,7 +54,7 @@
 
     /// What the engine gets of a write that waited for others.
     #[must_use]
-    pub fn unblock(&mut self, request_id: u64) -> Option<IncomingRequest> {
+    pub(crate) fn unblock(&mut self, request_id: u64) -> Option<IncomingRequest> {
         let incoming = self.requests.get_mut(request_id)?.unblock(self.now)?;
         self.offer_for_coalescing(request_id);
         Some(incoming)
@@ -62,7 +62,7 @@
 
     /// A write has waited for as long as it may; returns what the engine gets of it, where it still waits.
     #[must_use]
-    pub fn unblock_late(&mut self, request_id: u64) -> Option<IncomingRequest> {
+    pub(crate) fn unblock_late(&mut self, request_id: u64) -> Option<IncomingRequest> {
         if !self.overlap_lock.is_blocked(request_id) {
             return None;
         }
@@ -71,17 +71,17 @@
     }
 
     /// Writes that wait for others.
-    pub fn blocked_writes(&self) -> usize {
+    pub(crate) fn blocked_writes(&self) -> usize {
         self.overlap_lock.blocked_count()
     }
 
     /// A write cannot take effect any more: those that waited for it may go on.
-    pub fn release_overlap_lock(&mut self, request_id: u64) {
+    pub(crate) fn release_overlap_lock(&mut self, request_id: u64) {
         self.events.unblocked.extend(self.overlap_lock.release(request_id));
     }
 
     /// Passes the first succeeded answer on to the client.
-    pub fn succeed(&mut self, request_id: u64, payload: &[u8]) {
+    pub(crate) fn succeed(&mut self, request_id: u64, payload: &[u8]) {
         let reason = Reason::After(Outcome::Succeeded).as_str();
         self.finish(request_id, FinalCode::Succeeded, 0.0, payload, reason);
     }
@@ -110,7 +110,7 @@
     }
 
     /// Forgets a request that is answered and has no attempt in flight.
-    pub fn release(&mut self, request_id: u64) {
+    pub(crate) fn release(&mut self, request_id: u64) {
         let Some(removed) = self.requests.remove_if_done(request_id) else { return };
         if removed.may_take_effect_late {
             self.timers.set(self.now + self.late_effect_duration, Timer::OverlapRelease { request_id });
@@ -119,12 +119,12 @@
         }
     }
 
-    pub fn requests(&self) -> &RequestRegistry {
+    pub(crate) fn requests(&self) -> &RequestRegistry {
         &self.requests
     }
 
     /// A request's data lies elsewhere.
-    pub fn relocate(&mut self, request_id: u64, location: Location) {
+    pub(crate) fn relocate(&mut self, request_id: u64, location: Location) {
         if let Some(request) = self.requests.get_mut(request_id) {
             request.relocate(location);
             self.offer_for_coalescing(request_id);
@@ -132,37 +132,37 @@
     }
 
     /// Keeps a read that was split; none where its client has gone.
-    pub fn admit_split_read(&mut self, new: NewSplitRead) -> Option<u64> {
+    pub(crate) fn admit_split_read(&mut self, new: NewSplitRead<'_>) -> Option<u64> {
         let id = self.requests.next_split_read_id();
         self.clients.add_request(new.client.key, new.client.request_id, id)?;
         self.split_reads.insert(id, new);
         Some(id)
     }
 
-    pub fn split_reads_mut(&mut self) -> &mut SplitReads {
+    pub(crate) fn split_reads_mut(&mut self) -> &mut SplitReads {
         &mut self.split_reads
     }
 
     /// Gives a split read its final answer; its parts in flight are left to the engine.
-    pub fn finish_split_read(&mut self, id: u64, code: FinalCode, retry_after: Ms, payload: &[u8]) {
+    pub(crate) fn finish_split_read(&mut self, id: u64, code: FinalCode, retry_after: Ms, payload: &[u8]) {
         if let Some(client) = self.split_reads.finish(id, code) {
             self.answer_client(client, code, retry_after, payload);
         }
     }
 
-    pub fn is_in_flight(&self, request_id: u64, attempt: u32) -> bool {
+    pub(crate) fn is_in_flight(&self, request_id: u64, attempt: u32) -> bool {
         self.requests.get(request_id).is_some_and(|request| request.has_in_flight(attempt))
     }
 
     /// Whether an attempt is in flight at the node of this key.
-    pub fn is_in_flight_at(&self, request_id: u64, attempt: u32, key: usize) -> bool {
+    pub(crate) fn is_in_flight_at(&self, request_id: u64, attempt: u32, key: usize) -> bool {
         let request = self.requests.get(request_id);
         request.and_then(|request| request.upstream_of(attempt)) == Some(index_of(key))
     }
 
     /// Removes an attempt; returns when it was sent, where it had not ended before.
     #[must_use]
-    pub fn end_attempt(&mut self, request_id: u64, attempt: u32, outcome: Outcome) -> Option<Ms> {
+    pub(crate) fn end_attempt(&mut self, request_id: u64, attempt: u32, outcome: Outcome) -> Option<Ms> {
         let ended = self.requests.get_mut(request_id)?.end_attempt(attempt, outcome)?;
         if let Some(upstream) = ended.upstream {
             let is_unanswered = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
@@ -173,7 +173,7 @@
     }
 
     /// Tells a node that an attempt is not waited for any more, so that it need not begin it.
-    pub fn send_cancel(&mut self, request_id: u64, attempt: u32) {
+    pub(crate) fn send_cancel(&mut self, request_id: u64, attempt: u32) {
         let request = self.requests.get(request_id);
         let Some(upstream) = request.and_then(|request| request.upstream_of(attempt)) else { return };
         if self.upstreams.send_cancel(upstream, (request_id, attempt)) {
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -9,7 +9,7 @@
 
 /// A listed node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListedNode {
+pub(crate) struct ListedNode {
     pub entry: EndpointEntry,
     /// When its process started. It is fixed when this incarnation is first seen: two ages of one process, received at
     /// different times, must not make two starts.
@@ -17,7 +17,7 @@
 }
 
 impl ListedNode {
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         SocketAddr::new(Ipv4Addr::from(self.entry.address).into(), self.entry.port)
     }
 
@@ -39,14 +39,14 @@
 
 /// The list.
 #[derive(Default)]
-pub struct EndpointList {
+pub(crate) struct EndpointList {
     epoch: u64,
     nodes: BTreeMap<u32, ListedNode>,
 }
 
 /// What an update changed.
 #[derive(Debug)]
-pub enum ListChange {
+pub(crate) enum ListChange {
     /// For the scheduler: the kind of update and the endpoints.
     Updated(EndpointUpdate, Vec<(u32, Endpoint)>),
     /// An update before this one is missing: the whole list must be requested.
@@ -56,26 +56,26 @@
 }
 
 /// When a process of this age started; none where it no longer matters.
-pub fn started_at(now: Ms, age_us: u64) -> Option<Ms> {
+pub(crate) fn started_at(now: Ms, age_us: u64) -> Option<Ms> {
     (age_us != LONG_AGO).then(|| now - age_us as f64 / 1000.0)
 }
 
 impl EndpointList {
     /// The epoch of the last update; 0 before any.
-    pub fn epoch(&self) -> u64 {
+    pub(crate) fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    pub fn nodes(&self) -> impl Iterator<Item = &ListedNode> {
+    pub(crate) fn nodes(&self) -> impl Iterator<Item = &ListedNode> {
         self.nodes.values()
     }
 
-    pub fn node(&self, node: u32) -> Option<&ListedNode> {
+    pub(crate) fn node(&self, node: u32) -> Option<&ListedNode> {
         self.nodes.get(&node)
     }
 
     /// The process of a node, as the list names it.
-    pub fn process(&self, node: u32) -> Option<Process> {
+    pub(crate) fn process(&self, node: u32) -> Option<Process> {
         self.nodes.get(&node).map(|listed| Process {
             node,
             incarnation: listed.entry.incarnation,
@@ -85,7 +85,7 @@
 
     /// Applies an update.
     #[must_use]
-    pub fn apply(&mut self, now: Ms, update: &EndpointListUpdate) -> ListChange {
+    pub(crate) fn apply(&mut self, now: Ms, update: &EndpointListUpdate) -> ListChange {
         // A restarted service counts its epochs anew; only a snapshot can tell.
         if !update.snapshot {
             if update.epoch <= self.epoch {
@@ -122,7 +122,7 @@
     }
 
     /// A greeting showed that a node's process is a later one than the listed one; returns the node's new endpoint.
-    pub fn on_restart(
+    pub(crate) fn on_restart(
         &mut self,
         node: u32,
         incarnation: u64,
@@ -135,7 +135,7 @@
     }
 
     /// The list to cache over a restart of this host, with the ages as of now.
-    pub fn snapshot(&self, now: Ms) -> EndpointListUpdate {
+    pub(crate) fn snapshot(&self, now: Ms) -> EndpointListUpdate {
         let age_us = |started_at: Option<Ms>| {
             started_at.map_or(LONG_AGO, |started_at| ((now - started_at).max(0.0) * 1000.0) as u64)
         };
@@ -146,7 +146,7 @@
 
     /// Takes over what this host cached when it last ran. How long it was down is not known, so nodes count as
     /// younger than they are: the safe side. The epoch is not taken over, so that the whole list is requested.
-    pub fn restore(&mut self, now: Ms, cached: &EndpointListUpdate) -> Vec<(u32, Endpoint)> {
+    pub(crate) fn restore(&mut self, now: Ms, cached: &EndpointListUpdate) -> Vec<(u32, Endpoint)> {
         self.insert_all(now, cached)
     }
 }
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -221,7 +221,7 @@
     }
 
     /// Ends an attempt; what comes for one that has ended before is ignored.
-    fn on_outcome(&mut self, request_id: u64, attempt: u32, outcome: Outcome, details: OutcomeDetails) {
+    fn on_outcome(&mut self, request_id: u64, attempt: u32, outcome: Outcome, details: OutcomeDetails<'_>) {
         let Some(sent_at) = self.connections.end_attempt(request_id, attempt, outcome) else { return };
         let OutcomeDetails { used, remote_units, payload } = details;
         let request_over = outcome == Outcome::Succeeded;
--- a/crates/gateway/src/event_loop/admission.rs
+++ b/crates/gateway/src/event_loop/admission.rs
@@ -42,7 +42,7 @@
 
 impl Gateway {
     /// A client's request.
-    pub(super) fn on_client_request(&mut self, key: usize, request: &ClientRequest) {
+    pub(super) fn on_client_request(&mut self, key: usize, request: &ClientRequest<'_>) {
         if let Err(rejection) = self.check_and_admit(key, request) {
             let answer = FinalAnswer {
                 request_id: request.request_id,
@@ -54,7 +54,7 @@
         }
     }
 
-    fn check_and_admit(&mut self, key: usize, request: &ClientRequest) -> Result<(), Rejection> {
+    fn check_and_admit(&mut self, key: usize, request: &ClientRequest<'_>) -> Result<(), Rejection> {
         let volume = self.config.volumes.get(&request.volume).ok_or(Rejection::UnknownVolume)?;
         let class = usize::from(request.class);
         if class >= self.config.start.classes.len() {
@@ -93,7 +93,7 @@
     }
 
     /// The parts in which a request must travel, none where it travels whole.
-    fn split(&self, request: &ClientRequest) -> Result<Option<Vec<(u64, u64)>>, Rejection> {
+    fn split(&self, request: &ClientRequest<'_>) -> Result<Option<Vec<(u64, u64)>>, Rejection> {
         let start = request.key;
         let end = start.saturating_add(u64::from(request.blocks.max(1)));
         if end - start == 1 {
@@ -123,7 +123,7 @@
     pub(super) fn admit(
         &mut self,
         requester: Requester,
-        request: &ClientRequest,
+        request: &ClientRequest<'_>,
         client_timeout: Ms,
         log: RequestLog,
     ) -> Option<u64> {
--- a/crates/gateway/src/event_loop/client_events.rs
+++ b/crates/gateway/src/event_loop/client_events.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    fn on_client_message(&mut self, key: usize, message: Message) -> Result<(), ClientStop> {
+    fn on_client_message(&mut self, key: usize, message: Message<'_>) -> Result<(), ClientStop> {
         match message {
             Message::Request(_) if self.pending() >= self.config.bounds.max_pending_requests => {
                 return Err(ClientStop::AtCapacity);
--- a/crates/gateway/src/event_loop/list_events.rs
+++ b/crates/gateway/src/event_loop/list_events.rs
@@ -19,7 +19,7 @@
         }
     }
 
-    fn on_list_message(&mut self, message: Message) -> Result<(), ProtocolError> {
+    fn on_list_message(&mut self, message: Message<'_>) -> Result<(), ProtocolError> {
         match message {
             Message::EndpointList(update) => self.on_endpoint_list(&update),
             Message::ExtentMap(update) => self.on_extent_map(&update),
--- a/crates/gateway/src/event_loop/node_events.rs
+++ b/crates/gateway/src/event_loop/node_events.rs
@@ -34,7 +34,7 @@
         self.handle_events();
     }
 
-    fn on_node_message(&mut self, key: usize, message: Message) -> Result<(), ProtocolError> {
+    fn on_node_message(&mut self, key: usize, message: Message<'_>) -> Result<(), ProtocolError> {
         if let Message::Hello(hello) = message {
             return self.on_node_hello(key, &hello);
         }
@@ -48,7 +48,7 @@
         }
     }
 
-    fn on_outcome_report(&mut self, key: usize, report: &wire::Outcome) -> Result<(), ProtocolError> {
+    fn on_outcome_report(&mut self, key: usize, report: &wire::Outcome<'_>) -> Result<(), ProtocolError> {
         let outcome = reported_outcome(report.code)?;
         let (request_id, attempt) = (report.request_id, u32::from(report.attempt));
         // Only the node that an attempt was sent to can end it.
--- a/crates/gateway/src/event_loop/split_read_events.rs
+++ b/crates/gateway/src/event_loop/split_read_events.rs
@@ -7,7 +7,7 @@
 use magpiewick_node_protocol::FinalCode;
 
 impl Gateway {
-    pub(super) fn admit_split_read(&mut self, new: NewSplitRead) {
+    pub(super) fn admit_split_read(&mut self, new: NewSplitRead<'_>) {
         if let Some(id) = self.connections.admit_split_read(new) {
             self.request_parts(id);
         }
--- a/crates/gateway/src/extent_map.rs
+++ b/crates/gateway/src/extent_map.rs
@@ -4,10 +4,10 @@
 use magpiewick_node_protocol::{self as wire, MapEntryKind, MapUpdate};
 
 /// Stands for a shard that no node holds: requests whose data is being migrated wait there, outside all queues.
-pub const NO_SHARD: usize = usize::MAX;
+pub(crate) const NO_SHARD: usize = usize::MAX;
 
 /// Applies an update; true where the places of requests may have changed by it.
-pub fn apply(view: &mut ExtentMapView, update: &MapUpdate) -> Result<bool, MapError> {
+pub(crate) fn apply(view: &mut ExtentMapView, update: &MapUpdate) -> Result<bool, MapError> {
     if update.snapshot {
         let extent = |e: &wire::MapEntry| MapEntry {
             volume: e.volume,
--- a/crates/gateway/src/gossip_socket.rs
+++ b/crates/gateway/src/gossip_socket.rs
@@ -12,10 +12,10 @@
 const MAX_DATAGRAMS_PER_TURN: usize = 256;
 
 /// The reports of one message, with the tags of their nodes.
-pub type Reports = Vec<(u16, GossipReport)>;
+pub(crate) type Reports = Vec<(u16, GossipReport)>;
 
 /// The socket, and the hosts that it talks to.
-pub struct GossipSocket {
+pub(crate) struct GossipSocket {
     socket: Registered<UdpSocket>,
     /// By number; this host is not among them.
     hosts: BTreeMap<usize, SocketAddr>,
@@ -24,7 +24,7 @@
 
 impl GossipSocket {
     /// Binds the address that the settings state for this host.
-    pub fn bind(
+    pub(crate) fn bind(
         own_number: usize,
         mut hosts: BTreeMap<usize, SocketAddr>,
         poll: &Poll,
@@ -38,7 +38,7 @@
     }
 
     /// Sends reports to hosts, named by their numbers; what the socket does not take is lost.
-    pub fn send(&self, hosts: &[usize], reports: &[(u16, GossipReport)]) {
+    pub(crate) fn send(&self, hosts: &[usize], reports: &[(u16, GossipReport)]) {
         for message in magpiewick_gossip::encode(reports) {
             for address in hosts.iter().filter_map(|number| self.hosts.get(number)) {
                 if let Err(error) = self.socket.send_to(&message, address) {
@@ -49,7 +49,7 @@
     }
 
     /// The next valid message and its sender's number; `datagrams` counts those read in this turn.
-    pub fn receive(&mut self, datagrams: &mut usize) -> Option<(usize, Reports)> {
+    pub(crate) fn receive(&mut self, datagrams: &mut usize) -> Option<(usize, Reports)> {
         // One byte more than a message may have, so that a longer one is recognized.
         let mut bytes = [0; magpiewick_gossip::MAX_MESSAGE_LENGTH + 1];
         while *datagrams < MAX_DATAGRAMS_PER_TURN {
--- a/crates/gateway/src/graceful_shutdown.rs
+++ b/crates/gateway/src/graceful_shutdown.rs
@@ -11,7 +11,7 @@
 const LINGER: Ms = 300.0;
 
 /// The state of the shutdown.
-pub struct GracefulShutdown {
+pub(crate) struct GracefulShutdown {
     signal: Registered<UnixStream>,
     requests: usize,
     /// When answers must be written: a client that does not read them cannot keep the host from ending.
@@ -22,14 +22,14 @@
 
 impl GracefulShutdown {
     /// Each byte on `signal` requests the shutdown once.
-    pub fn new(signal: UnixStream, poll: &Poll) -> io::Result<GracefulShutdown> {
+    pub(crate) fn new(signal: UnixStream, poll: &Poll) -> io::Result<GracefulShutdown> {
         signal.set_nonblocking(true)?;
         let signal = poll.register(signal, poll_key(Source::ShutdownSignal, 0))?;
         Ok(GracefulShutdown { signal, requests: 0, write_by: None, lingers_until: None })
     }
 
     /// The signal is readable.
-    pub fn on_signal(&mut self) {
+    pub(crate) fn on_signal(&mut self) {
         let mut bytes = [0; 16];
         match self.signal.read(&mut bytes) {
             Ok(count) => self.requests += count.max(1),
@@ -39,24 +39,24 @@
     }
 
     /// Whether the host is to end.
-    pub fn is_requested(&self) -> bool {
+    pub(crate) fn is_requested(&self) -> bool {
         self.requests > 0
     }
 
     /// Whether the host is to end at once.
-    pub fn is_forced(&self) -> bool {
+    pub(crate) fn is_forced(&self) -> bool {
         self.requests > 1
     }
 
     /// Whether what clients send is ignored.
-    pub fn is_lingering(&self) -> bool {
+    pub(crate) fn is_lingering(&self) -> bool {
         self.lingers_until.is_some()
     }
 
     /// Closes the clients' connections once all answers are written; whether all clients have gone, or had their time.
     /// What they still send is read and ignored: closing a connection with unread bytes would reset it, and answers
     /// that its client has not read yet would be lost.
-    pub fn has_closed_clients(&mut self, connections: &mut Connections, write_timeout: Ms) -> bool {
+    pub(crate) fn has_closed_clients(&mut self, connections: &mut Connections, write_timeout: Ms) -> bool {
         let now = connections.now();
         if let Some(until) = self.lingers_until {
             return connections.clients().is_empty() || now >= until;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,8 +5,6 @@
 //! stands in state machines free of I/O. A request's way: `listener`, `client_connections`, `request_registry`, the
 //! engine, `upstream_pool`, `node_connection`, and back the same way.
 
-#![warn(missing_docs)]
-
 mod client_connections;
 pub mod config;
 mod connections;
--- a/crates/gateway/src/list_connection.rs
+++ b/crates/gateway/src/list_connection.rs
@@ -11,7 +11,7 @@
 
 /// What to do after the connection was lost.
 #[must_use]
-pub enum AfterLoss {
+pub(crate) enum AfterLoss {
     /// The scheduler decides when to poll again.
     ReportPollFailed,
     /// Connect again then.
@@ -19,7 +19,7 @@
 }
 
 /// The connection, and whether the service owes an answer on it.
-pub struct ListConnection {
+pub(crate) struct ListConnection {
     address: SocketAddr,
     /// The service is polled; else it pushes.
     is_polled: bool,
@@ -32,7 +32,7 @@
 }
 
 impl ListConnection {
-    pub fn new(source: &ListSource, seed: u64) -> ListConnection {
+    pub(crate) fn new(source: &ListSource, seed: u64) -> ListConnection {
         ListConnection {
             address: source.address,
             is_polled: source.polled,
@@ -44,17 +44,17 @@
     }
 
     /// The poll key of the open connection.
-    pub fn key(&self) -> Option<usize> {
+    pub(crate) fn key(&self) -> Option<usize> {
         self.connection.as_ref().map(Connection::key)
     }
 
-    pub fn connection_mut(&mut self) -> Option<&mut Connection> {
+    pub(crate) fn connection_mut(&mut self) -> Option<&mut Connection> {
         self.connection.as_mut()
     }
 
     /// Watches the list from an epoch on, over a new connection where there is none or where the last watch was not
     /// answered: a service that stalled would be asked for ever.
-    pub fn watch(&mut self, poll: &Poll, hello: &Message, epoch: u64) -> io::Result<()> {
+    pub(crate) fn watch(&mut self, poll: &Poll, hello: &Message<'_>, epoch: u64) -> io::Result<()> {
         if self.unanswered && self.connection.take().is_some() {
             tracing::warn!("endpoint_list_watch_unanswered");
         }
@@ -72,7 +72,7 @@
     }
 
     /// Requests the list from an epoch on; false where there is no connection.
-    pub fn watch_endpoints(&mut self, epoch: u64) -> bool {
+    pub(crate) fn watch_endpoints(&mut self, epoch: u64) -> bool {
         let Some(connection) = &mut self.connection else { return false };
         connection.queue(&Message::WatchEndpoints { epoch }, NOTHING);
         self.unanswered = true;
@@ -80,7 +80,7 @@
     }
 
     /// Requests the extent map; false where there is no connection, or the service serves none.
-    pub fn watch_map(&mut self) -> bool {
+    pub(crate) fn watch_map(&mut self) -> bool {
         let serves_map = self.serves_map;
         let Some(connection) = self.connection.as_mut().filter(|_| serves_map) else { return false };
         connection.queue(&Message::WatchMap, NOTHING);
@@ -88,13 +88,13 @@
     }
 
     /// The service answered.
-    pub fn on_answer(&mut self) {
+    pub(crate) fn on_answer(&mut self) {
         self.unanswered = false;
         self.backoff.on_success();
     }
 
     /// The connection was lost, or could not be opened.
-    pub fn on_lost(&mut self, now: Ms) -> AfterLoss {
+    pub(crate) fn on_lost(&mut self, now: Ms) -> AfterLoss {
         self.connection = None;
         self.unanswered = false;
         if self.is_polled {
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -7,14 +7,14 @@
 use std::net::{SocketAddr, TcpListener};
 
 /// The listener, until it is closed.
-pub struct Listener {
+pub(crate) struct Listener {
     socket: Option<Registered<TcpListener>>,
     address: SocketAddr,
 }
 
 impl Listener {
     /// Listens on an address.
-    pub fn bind(address: SocketAddr, poll: &Poll) -> io::Result<Listener> {
+    pub(crate) fn bind(address: SocketAddr, poll: &Poll) -> io::Result<Listener> {
         let socket = magpiewick_transport::listen(address)?;
         let address = socket.local_addr()?;
         let socket = Some(poll.register(socket, poll_key(Source::Listener, 0))?);
@@ -22,12 +22,12 @@
     }
 
     /// Where clients reach it.
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Accepts all connections that wait.
-    pub fn accept_all(&self, connections: &mut Connections) {
+    pub(crate) fn accept_all(&self, connections: &mut Connections) {
         while let Some(socket) = &self.socket {
             match socket.accept() {
                 Ok((stream, _)) => connections.accept_client(stream),
@@ -40,7 +40,7 @@
 
     /// Closes the listener; false where it was closed before. Connections that the kernel has completed are accepted
     /// first.
-    pub fn close(&mut self, connections: &mut Connections) -> bool {
+    pub(crate) fn close(&mut self, connections: &mut Connections) -> bool {
         self.accept_all(connections);
         self.socket.take().is_some()
     }
--- a/crates/gateway/src/node_connection.rs
+++ b/crates/gateway/src/node_connection.rs
@@ -16,7 +16,7 @@
 
 /// What to do for an attempt that is to be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendPlan {
+pub(crate) enum SendPlan {
     /// Send it on the connection.
     Send,
     /// Wait for the greeting.
@@ -29,7 +29,7 @@
 
 /// What a greeting shows.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum GreetingCheck {
+pub(crate) enum GreetingCheck {
     /// The process that the list names.
     Expected,
     /// A process that started later than the one that the list names: the node restarted, and the list is late.
@@ -41,7 +41,7 @@
 
 /// A process as the list or a greeting names it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Process {
+pub(crate) struct Process {
     pub node: u32,
     pub incarnation: u64,
     /// On this host's clock; none: long ago.
@@ -60,7 +60,7 @@
 
 /// The connection to one node.
 #[derive(Clone, Debug)]
-pub struct NodeConnection {
+pub(crate) struct NodeConnection {
     stage: Stage,
     in_flight: u32,
     last_message_at: Ms,
@@ -80,19 +80,19 @@
 
 impl NodeConnection {
     /// Whether the node has sent the expected greeting.
-    pub fn is_established(&self) -> bool {
+    pub(crate) fn is_established(&self) -> bool {
         self.stage == Stage::Established
     }
 
     /// Whether the greeting is still to come.
-    pub fn is_connecting(&self) -> bool {
+    pub(crate) fn is_connecting(&self) -> bool {
         self.stage == Stage::Connecting
     }
 
     /// What to do for an attempt. A connection whose other end vanished silently is replaced where the last attempt
     /// got no answer and no other is in flight. A node that merely stalls is greeted again for each attempt, which
     /// costs one small exchange.
-    pub fn plan_send(&self) -> SendPlan {
+    pub(crate) fn plan_send(&self) -> SendPlan {
         match self.stage {
             Stage::Closed => SendPlan::Connect,
             Stage::Connecting => SendPlan::Wait,
@@ -102,12 +102,12 @@
     }
 
     /// A connect was started.
-    pub fn on_connect_started(&mut self) {
+    pub(crate) fn on_connect_started(&mut self) {
         *self = NodeConnection { stage: Stage::Connecting, ..NodeConnection::default() };
     }
 
     /// A greeting came.
-    pub fn on_greeting(&mut self, now: Ms, listed: Process, greeting: Process) -> GreetingCheck {
+    pub(crate) fn on_greeting(&mut self, now: Ms, listed: Process, greeting: Process) -> GreetingCheck {
         let same_incarnation = listed.incarnation == greeting.incarnation;
         if listed.node != greeting.node || (!same_incarnation && !greeting.started_after(&listed)) {
             return GreetingCheck::Mismatch;
@@ -121,18 +121,18 @@
     }
 
     /// An attempt was sent.
-    pub fn on_sent(&mut self) {
+    pub(crate) fn on_sent(&mut self) {
         self.in_flight += 1;
     }
 
     /// A message came.
-    pub fn on_message(&mut self, now: Ms) {
+    pub(crate) fn on_message(&mut self, now: Ms) {
         self.last_message_at = now;
         self.unresponsive = false;
     }
 
     /// An attempt ended; `unanswered` tells when it was sent, where no answer came for it.
-    pub fn on_attempt_ended(&mut self, unanswered: Option<Ms>) {
+    pub(crate) fn on_attempt_ended(&mut self, unanswered: Option<Ms>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.unresponsive |= unanswered.is_some_and(|sent_at| self.last_message_at <= sent_at);
     }
--- a/crates/gateway/src/poll_key.rs
+++ b/crates/gateway/src/poll_key.rs
@@ -2,7 +2,7 @@
 
 /// What a registered source is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub(crate) enum Source {
     Listener,
     ShutdownSignal,
     Client,
@@ -24,16 +24,16 @@
 const INDEX_BITS: u32 = 32;
 
 /// The key of a source.
-pub fn poll_key(source: Source, index: usize) -> usize {
+pub(crate) fn poll_key(source: Source, index: usize) -> usize {
     (source as usize) << INDEX_BITS | index
 }
 
 /// What the source of a key is.
-pub fn source_of(key: usize) -> Source {
+pub(crate) fn source_of(key: usize) -> Source {
     SOURCES[(key >> INDEX_BITS) % SOURCES.len()]
 }
 
 /// The index of a key's source among its kind.
-pub fn index_of(key: usize) -> usize {
+pub(crate) fn index_of(key: usize) -> usize {
     key & ((1 << INDEX_BITS) - 1)
 }
--- a/crates/gateway/src/protocol_error.rs
+++ b/crates/gateway/src/protocol_error.rs
@@ -4,7 +4,7 @@
 
 /// Why a peer's connection cannot be read on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ProtocolError {
+pub(crate) enum ProtocolError {
     /// Bytes that are not a frame.
     #[error(transparent)]
     Decode(#[from] DecodeError),
@@ -30,9 +30,9 @@
 
 /// Calls `handle` for each whole frame until it fails; returns the bytes consumed, and the error. The frame that
 /// `handle` fails at is not consumed.
-pub fn for_each_frame<E: From<DecodeError>>(
+pub(crate) fn for_each_frame<E: From<DecodeError>>(
     bytes: &[u8],
-    mut handle: impl FnMut(Message) -> Result<(), E>,
+    mut handle: impl FnMut(Message<'_>) -> Result<(), E>,
 ) -> (usize, Option<E>) {
     let mut frames = Frames::new(bytes);
     loop {
--- a/crates/gateway/src/request_log.rs
+++ b/crates/gateway/src/request_log.rs
@@ -5,25 +5,25 @@
 use tracing::Span;
 
 /// The log of one request.
-pub struct RequestLog {
+pub(crate) struct RequestLog {
     span: Span,
 }
 
 impl RequestLog {
     /// Opens the span of a request.
-    pub fn open(host: u32, request_id: u64, volume: &str, class: &str) -> RequestLog {
+    pub(crate) fn open(host: u32, request_id: u64, volume: &str, class: &str) -> RequestLog {
         RequestLog {
             span: tracing::info_span!(target: "request", "request", host, request_id, volume, class),
         }
     }
 
     /// The log of a part of the same request.
-    pub fn for_part(&self) -> RequestLog {
+    pub(crate) fn for_part(&self) -> RequestLog {
         RequestLog { span: self.span.clone() }
     }
 
     /// The request got its final answer.
-    pub fn finished(
+    pub(crate) fn finished(
         &self,
         code: FinalCode,
         reason: &str,
@@ -38,14 +38,14 @@
     }
 
     /// Nobody waits for the request any more.
-    pub fn cancelled(&self, reason: &str, attempts: u32, endpoint: Option<u32>) {
+    pub(crate) fn cancelled(&self, reason: &str, attempts: u32, endpoint: Option<u32>) {
         self.span.in_scope(|| {
             tracing::info!(target: "request", reason, attempts, endpoint, "request_cancelled");
         });
     }
 
     /// A read that was split got its final answer.
-    pub fn split_read_finished(&self, code: FinalCode) {
+    pub(crate) fn split_read_finished(&self, code: FinalCode) {
         let answer = answer_word(code);
         self.span.in_scope(|| tracing::info!(target: "request", answer, "split_read_finished"));
     }
--- a/crates/gateway/src/request_registry.rs
+++ b/crates/gateway/src/request_registry.rs
@@ -14,7 +14,7 @@
 const SPLIT_READ_FLAG: u64 = 1 << 63;
 
 /// Whether an id is that of a split read.
-pub fn is_split_read(id: u64) -> bool {
+pub(crate) fn is_split_read(id: u64) -> bool {
     id & SPLIT_READ_FLAG != 0
 }
 
@@ -24,7 +24,7 @@
 
 /// A request as its client names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClientRef {
+pub(crate) struct ClientRef {
     /// The client's poll key.
     pub key: usize,
     /// The client's own number for the request.
@@ -33,7 +33,7 @@
 
 /// A part of a split read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PartRef {
+pub(crate) struct PartRef {
     /// The id of the split read.
     pub read: u64,
     /// Which part.
@@ -42,14 +42,14 @@
 
 /// Who waits for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Requester {
+pub(crate) enum Requester {
     Client(ClientRef),
     SplitRead(PartRef),
 }
 
 /// Where a request's data lies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Location {
+pub(crate) struct Location {
     /// The shard; none for any.
     pub shard: Option<usize>,
     /// The version of the extent; 0 where no map is followed.
@@ -58,13 +58,13 @@
 
 impl Location {
     /// The shard as it stands on the wire: all bits set for any.
-    pub fn wire_shard(&self) -> u32 {
+    pub(crate) fn wire_shard(&self) -> u32 {
         self.shard.map_or(u32::MAX, |shard| shard as u32)
     }
 }
 
 /// A request as it is admitted.
-pub struct Admitted<'a> {
+pub(crate) struct Admitted<'a> {
     pub requester: Requester,
     pub request: &'a ClientRequest<'a>,
     pub location: Location,
@@ -83,20 +83,20 @@
 }
 
 /// An attempt that ended.
-pub struct EndedAttempt {
+pub(crate) struct EndedAttempt {
     /// The upstream that it was sent to; none where its connection was closed before.
     pub upstream: Option<usize>,
     pub sent_at: Ms,
 }
 
 /// What becomes of a request that has got its final answer.
-pub struct FinishedRequest {
+pub(crate) struct FinishedRequest {
     /// Who waits for the answer; none where the client has gone.
     pub requester: Option<Requester>,
 }
 
 /// One request.
-pub struct OpenRequest {
+pub(crate) struct OpenRequest {
     id: u64,
     requester: Option<Requester>,
     answered: bool,
@@ -123,7 +123,7 @@
 }
 
 /// A request without its final answer, and where it is placed.
-pub struct PlacedRequest {
+pub(crate) struct PlacedRequest {
     pub request_id: u64,
     pub volume: u64,
     pub key: u64,
@@ -139,14 +139,14 @@
 
     /// The write as the overlap lock knows it; none for a read, and where it has no key. `queue` names the queue in
     /// which the scheduler orders it.
-    pub fn as_write(&self, queue: Option<u64>) -> Option<WriteRange> {
+    pub(crate) fn as_write(&self, queue: Option<u64>) -> Option<WriteRange> {
         let (start, end) = self.range();
         let is_write = self.write && self.key != 0;
         is_write.then_some(WriteRange { volume: self.volume, start, end, ordering_key: queue })
     }
 
     /// The write as the coalescer knows it; none where it may not be coalesced now.
-    pub fn as_coalescible(&self) -> Option<PendingWrite> {
+    pub(crate) fn as_coalescible(&self) -> Option<PendingWrite> {
         let is_write = self.write && self.key != 0;
         let is_pending = !self.answered && self.in_flight.is_empty() && self.blocked.is_none();
         let (start, end) = self.range();
@@ -162,7 +162,7 @@
     }
 
     /// The request as one attempt on the wire.
-    pub fn as_attempt(&self, attempt: u32, now: Ms) -> Attempt<'_> {
+    pub(crate) fn as_attempt(&self, attempt: u32, now: Ms) -> Attempt<'_> {
         Attempt {
             request_id: self.id,
             attempt: attempt as u16,
@@ -181,12 +181,12 @@
     }
 
     /// Holds it back from the engine.
-    pub fn block(&mut self, incoming: IncomingRequest) {
+    pub(crate) fn block(&mut self, incoming: IncomingRequest) {
         self.blocked = Some(incoming);
     }
 
     /// What the engine gets now that nothing holds it back, with the time that its client still waits.
-    pub fn unblock(&mut self, now: Ms) -> Option<IncomingRequest> {
+    pub(crate) fn unblock(&mut self, now: Ms) -> Option<IncomingRequest> {
         if self.answered {
             return None;
         }
@@ -196,7 +196,7 @@
     }
 
     /// An attempt is sent to a node.
-    pub fn begin_attempt(&mut self, attempt: u32, endpoint: u32, upstream: usize, now: Ms) {
+    pub(crate) fn begin_attempt(&mut self, attempt: u32, endpoint: u32, upstream: usize, now: Ms) {
         self.attempts = attempt + 1;
         self.last_endpoint = Some(endpoint);
         let version = self.version;
@@ -204,7 +204,7 @@
     }
 
     /// Removes an attempt; none where it has ended before.
-    pub fn end_attempt(&mut self, attempt: u32, outcome: Outcome) -> Option<EndedAttempt> {
+    pub(crate) fn end_attempt(&mut self, attempt: u32, outcome: Outcome) -> Option<EndedAttempt> {
         let position = self.in_flight.iter().position(|a| a.attempt == attempt)?;
         let ended = self.in_flight.remove(position);
         self.may_take_effect_late |=
@@ -213,7 +213,7 @@
     }
 
     /// The upstream's connection is closed: returns the attempt that was in flight there, which remains to be ended.
-    pub fn detach(&mut self, upstream: usize) -> Option<u32> {
+    pub(crate) fn detach(&mut self, upstream: usize) -> Option<u32> {
         let attempt = self.in_flight.iter_mut().find(|a| a.upstream == Some(upstream))?;
         attempt.upstream = None;
         Some(attempt.attempt)
@@ -224,33 +224,33 @@
     }
 
     /// Whether an attempt is in flight.
-    pub fn has_in_flight(&self, attempt: u32) -> bool {
+    pub(crate) fn has_in_flight(&self, attempt: u32) -> bool {
         self.attempt_in_flight(attempt).is_some()
     }
 
     /// The upstream where an attempt is in flight.
-    pub fn upstream_of(&self, attempt: u32) -> Option<usize> {
+    pub(crate) fn upstream_of(&self, attempt: u32) -> Option<usize> {
         self.attempt_in_flight(attempt)?.upstream
     }
 
     /// The version of the extent that an attempt in flight was sent under.
-    pub fn version_sent(&self, attempt: u32) -> Option<u32> {
+    pub(crate) fn version_sent(&self, attempt: u32) -> Option<u32> {
         self.attempt_in_flight(attempt).map(|a| a.version)
     }
 
     /// Its volume and key; none once it has its final answer.
-    pub fn unanswered_piece(&self) -> Option<(u64, u64)> {
+    pub(crate) fn unanswered_piece(&self) -> Option<(u64, u64)> {
         (!self.answered).then_some((self.volume, self.key))
     }
 
     /// Its data lies elsewhere.
-    pub fn relocate(&mut self, location: Location) {
+    pub(crate) fn relocate(&mut self, location: Location) {
         self.wire_shard = location.wire_shard();
         self.version = location.version;
     }
 
     /// Marks that it has its final answer; none where it had one before.
-    pub fn finish(&mut self, now: Ms, code: FinalCode, reason: &str) -> Option<FinishedRequest> {
+    pub(crate) fn finish(&mut self, now: Ms, code: FinalCode, reason: &str) -> Option<FinishedRequest> {
         if self.answered {
             return None;
         }
@@ -261,7 +261,7 @@
     }
 
     /// Marks that nobody waits for it any more; false where it had its final answer before.
-    pub fn cancel(&mut self, reason: &str) -> bool {
+    pub(crate) fn cancel(&mut self, reason: &str) -> bool {
         if self.answered {
             return false;
         }
@@ -277,33 +277,33 @@
 }
 
 /// A request that was removed.
-pub struct Removed {
+pub(crate) struct Removed {
     /// What may have run of it may still take effect.
     pub may_take_effect_late: bool,
 }
 
 /// All requests by id.
 #[derive(Default)]
-pub struct RequestRegistry {
+pub(crate) struct RequestRegistry {
     requests: Slab<OpenRequest>,
     serial: u64,
 }
 
 impl RequestRegistry {
     /// The id that the next request gets; never used before.
-    pub fn next_request_id(&mut self) -> u64 {
+    pub(crate) fn next_request_id(&mut self) -> u64 {
         self.serial += 1;
         self.serial << SLOT_BITS | self.requests.vacant_key() as u64
     }
 
     /// The id of the next split read.
-    pub fn next_split_read_id(&mut self) -> u64 {
+    pub(crate) fn next_split_read_id(&mut self) -> u64 {
         self.serial += 1;
         SPLIT_READ_FLAG | self.serial
     }
 
     /// Adds a request under the id from [`RequestRegistry::next_request_id`].
-    pub fn insert(&mut self, id: u64, now: Ms, admitted: Admitted) {
+    pub(crate) fn insert(&mut self, id: u64, now: Ms, admitted: Admitted<'_>) {
         let Admitted { requester, request, location, client_timeout, log } = admitted;
         let slot = self.requests.insert(OpenRequest {
             id,
@@ -331,23 +331,23 @@
         debug_assert_eq!(slot, slot_of(id), "a request was added between its id and itself");
     }
 
-    pub fn get(&self, request_id: u64) -> Option<&OpenRequest> {
+    pub(crate) fn get(&self, request_id: u64) -> Option<&OpenRequest> {
         self.requests.get(slot_of(request_id)).filter(|request| request.id == request_id)
     }
 
-    pub fn get_mut(&mut self, request_id: u64) -> Option<&mut OpenRequest> {
+    pub(crate) fn get_mut(&mut self, request_id: u64) -> Option<&mut OpenRequest> {
         self.requests.get_mut(slot_of(request_id)).filter(|request| request.id == request_id)
     }
 
     /// Removes a request that has its final answer and no attempt in flight.
-    pub fn remove_if_done(&mut self, request_id: u64) -> Option<Removed> {
+    pub(crate) fn remove_if_done(&mut self, request_id: u64) -> Option<Removed> {
         self.get(request_id).filter(|request| request.is_done())?;
         let request = self.requests.remove(slot_of(request_id));
         Some(Removed { may_take_effect_late: request.may_take_effect_late })
     }
 
     /// Requests without their final answer, in the order of their admission.
-    pub fn placed(&self) -> Vec<PlacedRequest> {
+    pub(crate) fn placed(&self) -> Vec<PlacedRequest> {
         let unanswered = self.requests.iter().map(|(_, request)| request).filter(|r| !r.answered);
         let mut placed: Vec<PlacedRequest> = unanswered
             .map(|r| PlacedRequest {
--- a/crates/gateway/src/split_reads.rs
+++ b/crates/gateway/src/split_reads.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 /// A split read as it is admitted.
-pub struct NewSplitRead<'a> {
+pub(crate) struct NewSplitRead<'a> {
     pub client: ClientRef,
     pub request: &'a ClientRequest<'a>,
     /// Where each part starts and ends, in blocks.
@@ -35,7 +35,7 @@
 }
 
 /// A part that is to be requested now.
-pub struct NextPart {
+pub(crate) struct NextPart {
     pub index: usize,
     pub request: ClientRequest<'static>,
     pub deadline: Ms,
@@ -43,7 +43,7 @@
 }
 
 /// A part that has its final answer.
-pub struct FinishedPart {
+pub(crate) struct FinishedPart {
     pub read: u64,
     pub index: usize,
     pub code: FinalCode,
@@ -53,12 +53,12 @@
 
 /// All split reads by id.
 #[derive(Default)]
-pub struct SplitReads {
+pub(crate) struct SplitReads {
     reads: HashMap<u64, OpenSplitRead>,
 }
 
 impl SplitReads {
-    pub fn insert(&mut self, id: u64, new: NewSplitRead) {
+    pub(crate) fn insert(&mut self, id: u64, new: NewSplitRead<'_>) {
         let NewSplitRead { client, request, parts, max_in_flight, deadline, log } = new;
         let blocks = parts.iter().map(|(start, end)| end - start).sum::<u64>().max(1);
         self.reads.insert(
@@ -80,7 +80,7 @@
 
     /// The next part, where another one may be in flight.
     #[must_use]
-    pub fn next_part(&mut self, id: u64) -> Option<NextPart> {
+    pub(crate) fn next_part(&mut self, id: u64) -> Option<NextPart> {
         let split = self.reads.get_mut(&id)?;
         let index = split.read.start_next()?;
         let (start, end) = split.parts[index];
@@ -100,38 +100,38 @@
     }
 
     /// Notes the request of a part.
-    pub fn set_request(&mut self, id: u64, index: usize, request_id: Option<u64>) {
+    pub(crate) fn set_request(&mut self, id: u64, index: usize, request_id: Option<u64>) {
         if let Some(split) = self.reads.get_mut(&id) {
             split.request_ids[index] = request_id;
         }
     }
 
     /// A part succeeded; returns how far the read is, none where it is over.
-    pub fn on_part_read(&mut self, id: u64, index: usize, payload: Vec<u8>) -> Option<Progress> {
+    pub(crate) fn on_part_read(&mut self, id: u64, index: usize, payload: Vec<u8>) -> Option<Progress> {
         Some(self.reads.get_mut(&id)?.read.on_received(index, payload))
     }
 
-    pub fn contains(&self, id: u64) -> bool {
+    pub(crate) fn contains(&self, id: u64) -> bool {
         self.reads.contains_key(&id)
     }
 
     /// Ends a read early; returns the requests of its parts in flight, which nobody waits for any more.
     #[must_use]
-    pub fn cancel_parts(&mut self, id: u64) -> Vec<u64> {
+    pub(crate) fn cancel_parts(&mut self, id: u64) -> Vec<u64> {
         let Some(split) = self.reads.get_mut(&id) else { return Vec::new() };
         let in_flight = split.read.cancel();
         in_flight.into_iter().filter_map(|index| split.request_ids[index]).collect()
     }
 
     /// Forgets a read that has its final answer; returns its client.
-    pub fn finish(&mut self, id: u64, code: FinalCode) -> Option<ClientRef> {
+    pub(crate) fn finish(&mut self, id: u64, code: FinalCode) -> Option<ClientRef> {
         let split = self.reads.remove(&id)?;
         split.log.split_read_finished(code);
         Some(split.client)
     }
 
     /// Forgets a read that nobody waits for.
-    pub fn remove(&mut self, id: u64) {
+    pub(crate) fn remove(&mut self, id: u64) {
         self.reads.remove(&id);
     }
 }
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -2,7 +2,7 @@
 
 /// What is due. A timer that is no longer wanted is recognized by its numbers and ignored.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Timer {
+pub(crate) enum Timer {
     /// An attempt's time is over.
     AttemptTimeout { request_id: u64, attempt: u32 },
     /// A node should have sent its greeting.
--- a/crates/gateway/src/upstream_pool.rs
+++ b/crates/gateway/src/upstream_pool.rs
@@ -13,7 +13,7 @@
 
 /// Why the connection to a node is closed.
 #[derive(Debug, thiserror::Error)]
-pub enum CloseReason {
+pub(crate) enum CloseReason {
     #[error(transparent)]
     Transport(#[from] Ended),
     #[error(transparent)]
@@ -33,7 +33,7 @@
 }
 
 /// An attempt by its request and number.
-pub type AttemptId = (u64, u32);
+pub(crate) type AttemptId = (u64, u32);
 
 /// A node and the connection to it.
 struct Upstream {
@@ -52,14 +52,14 @@
 
 /// All nodes that were ever addressed, by index.
 #[derive(Default)]
-pub struct UpstreamPool {
+pub(crate) struct UpstreamPool {
     upstreams: Vec<Upstream>,
     index_of_node: HashMap<u32, usize>,
 }
 
 impl UpstreamPool {
     /// The index of a node, with its address where the list names it.
-    pub fn index_of(&mut self, node: u32, listed: Option<&ListedNode>) -> usize {
+    pub(crate) fn index_of(&mut self, node: u32, listed: Option<&ListedNode>) -> usize {
         let address = listed.map(ListedNode::address);
         let next = self.upstreams.len();
         let index = *self.index_of_node.entry(node).or_insert(next);
@@ -80,29 +80,29 @@
         index
     }
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.upstreams.len()
     }
 
-    pub fn node(&self, index: usize) -> u32 {
+    pub(crate) fn node(&self, index: usize) -> u32 {
         self.upstreams[index].node
     }
 
-    pub fn incarnation(&self, index: usize) -> Option<u64> {
+    pub(crate) fn incarnation(&self, index: usize) -> Option<u64> {
         self.upstreams[index].incarnation
     }
 
-    pub fn connection_mut(&mut self, index: usize) -> Option<&mut Connection> {
+    pub(crate) fn connection_mut(&mut self, index: usize) -> Option<&mut Connection> {
         self.upstreams.get_mut(index)?.connection.as_mut()
     }
 
     /// What to do for an attempt that is to be sent now.
-    pub fn plan_send(&self, index: usize) -> SendPlan {
+    pub(crate) fn plan_send(&self, index: usize) -> SendPlan {
         self.upstreams[index].state.plan_send()
     }
 
     /// Starts to connect; returns the number of this connect, for its timer.
-    pub fn connect(&mut self, index: usize, poll: &Poll, hello: &Message) -> io::Result<u64> {
+    pub(crate) fn connect(&mut self, index: usize, poll: &Poll, hello: &Message<'_>) -> io::Result<u64> {
         let upstream = &mut self.upstreams[index];
         upstream.connect_attempts += 1;
         upstream.state.on_connect_started();
@@ -113,29 +113,29 @@
     }
 
     /// Whether this connect is the latest one and its greeting has not come.
-    pub fn is_greeting_late(&self, index: usize, connect_attempt: u64) -> bool {
+    pub(crate) fn is_greeting_late(&self, index: usize, connect_attempt: u64) -> bool {
         let upstream = &self.upstreams[index];
         upstream.connect_attempts == connect_attempt && upstream.state.is_connecting()
     }
 
     /// Attempts wait for the greeting.
-    pub fn wait_for_greeting(&mut self, index: usize, attempts: impl Iterator<Item = AttemptId>) {
+    pub(crate) fn wait_for_greeting(&mut self, index: usize, attempts: impl Iterator<Item = AttemptId>) {
         self.upstreams[index].waiting.extend(attempts);
     }
 
     /// Takes the attempts that wait for the greeting.
     #[must_use]
-    pub fn take_waiting(&mut self, index: usize) -> Vec<AttemptId> {
+    pub(crate) fn take_waiting(&mut self, index: usize) -> Vec<AttemptId> {
         std::mem::take(&mut self.upstreams[index].waiting)
     }
 
     /// Whether an attempt waits for a greeting, at whatever node.
-    pub fn is_waiting(&self, attempt: AttemptId) -> bool {
+    pub(crate) fn is_waiting(&self, attempt: AttemptId) -> bool {
         self.upstreams.iter().any(|upstream| upstream.waiting.contains(&attempt))
     }
 
     /// A greeting came; `listed` is the process that the list names.
-    pub fn on_greeting(
+    pub(crate) fn on_greeting(
         &mut self,
         index: usize,
         now: Ms,
@@ -151,14 +151,14 @@
     }
 
     /// A message came; false where the node has not sent the expected greeting.
-    pub fn on_message(&mut self, index: usize, now: Ms) -> bool {
+    pub(crate) fn on_message(&mut self, index: usize, now: Ms) -> bool {
         let state = &mut self.upstreams[index].state;
         state.on_message(now);
         state.is_established()
     }
 
     /// Sends attempts as one frame; false where nothing was queued.
-    pub fn send<'a>(&mut self, index: usize, mut attempts: impl Iterator<Item = Attempt<'a>>) -> bool {
+    pub(crate) fn send<'a>(&mut self, index: usize, mut attempts: impl Iterator<Item = Attempt<'a>>) -> bool {
         let Upstream { connection, state, in_flight, .. } = &mut self.upstreams[index];
         let Some(connection) = connection else { return false };
         let Some(first) = attempts.next() else { return false };
@@ -171,7 +171,7 @@
         match attempts.next() {
             None => connection.queue(&Message::Attempt(first), first_id),
             Some(second) => {
-                let batch: Vec<Attempt> = [first, second].into_iter().chain(attempts).collect();
+                let batch: Vec<Attempt<'_>> = [first, second].into_iter().chain(attempts).collect();
                 let other_ids: Vec<u64> = batch[1..].iter().map(|attempt| attempt.request_id).collect();
                 other_ids.iter().for_each(|request_id| count(*request_id));
                 connection.queue_for(&Message::Batch(batch), first_id, other_ids);
@@ -181,7 +181,7 @@
     }
 
     /// Tells a node that nobody waits for an attempt any more; false where nothing was queued.
-    pub fn send_cancel(&mut self, index: usize, (request_id, attempt): AttemptId) -> bool {
+    pub(crate) fn send_cancel(&mut self, index: usize, (request_id, attempt): AttemptId) -> bool {
         let upstream = &mut self.upstreams[index];
         let was_sent = upstream.in_flight.contains(&request_id);
         let Some(connection) = upstream.connection.as_mut().filter(|_| was_sent) else { return false };
@@ -190,7 +190,7 @@
     }
 
     /// Checks a node's health on an established connection; false where there is none.
-    pub fn send_health_check(&mut self, index: usize) -> bool {
+    pub(crate) fn send_health_check(&mut self, index: usize) -> bool {
         let upstream = &mut self.upstreams[index];
         let is_established = upstream.state.is_established();
         let Some(connection) = upstream.connection.as_mut().filter(|_| is_established) else { return false };
@@ -199,7 +199,7 @@
     }
 
     /// An attempt ended; `unanswered` tells when it was sent, where no answer came for it.
-    pub fn on_attempt_ended(&mut self, index: usize, ended: AttemptId, unanswered: Option<Ms>) {
+    pub(crate) fn on_attempt_ended(&mut self, index: usize, ended: AttemptId, unanswered: Option<Ms>) {
         let upstream = &mut self.upstreams[index];
         let waiting_before = upstream.waiting.len();
         upstream.waiting.retain(|attempt| *attempt != ended);
@@ -212,7 +212,7 @@
     /// Closes the connection; returns the requests whose attempts were in flight, each with its outcome. What was not
     /// written whole never ran: a frame that is not whole fails its checksum. What was written may have run.
     #[must_use]
-    pub fn close(&mut self, index: usize, reason: &CloseReason) -> Vec<(u64, Outcome)> {
+    pub(crate) fn close(&mut self, index: usize, reason: &CloseReason) -> Vec<(u64, Outcome)> {
         let upstream = &mut self.upstreams[index];
         let unwritten = upstream.connection.take().map_or(Vec::new(), |connection| connection.unwritten());
         let (endpoint, in_flight) = (upstream.node, upstream.in_flight.len());
@@ -228,7 +228,7 @@
 
     /// Withdraws the attempts of which no byte was written; none where there is no connection.
     #[must_use]
-    pub fn withdraw(&mut self, index: usize) -> Option<Withdrawn> {
+    pub(crate) fn withdraw(&mut self, index: usize) -> Option<Withdrawn> {
         let upstream = &mut self.upstreams[index];
         let withdrawn = upstream.connection.as_mut()?.withdraw_unwritten();
         upstream.in_flight.retain(|request_id| !withdrawn.tokens.contains(request_id));
@@ -237,7 +237,7 @@
     }
 
     /// Whether no attempt is in flight on the connection.
-    pub fn is_idle(&self, index: usize) -> bool {
+    pub(crate) fn is_idle(&self, index: usize) -> bool {
         self.upstreams[index].in_flight.is_empty()
     }
 }
--- a/crates/gateway/tests/sockets/coalescing.rs
+++ b/crates/gateway/tests/sockets/coalescing.rs
@@ -139,7 +139,7 @@
     client.send_range_request(2, 0, 18, 4, &[]);
     let pieces = [node.receive_range_attempt().unwrap(), node.receive_range_attempt().unwrap()];
     client.send(&Message::CancelRequest { request_id: 2 });
-    let cancel = |m: &Message| match m {
+    let cancel = |m: &Message<'_>| match m {
         Message::CancelAttempt { request_id, .. } => Some(*request_id),
         _ => None,
     };
--- a/crates/gateway/tests/sockets/harness.rs
+++ b/crates/gateway/tests/sockets/harness.rs
@@ -13,7 +13,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-pub const SETTINGS: &str = r#"
+pub(crate) const SETTINGS: &str = r#"
 host {
   most_units = 4
   round = "5ms"
@@ -43,25 +43,25 @@
 "#;
 
 /// The test's end of a connection.
-pub struct Peer {
+pub(crate) struct Peer {
     pub stream: TcpStream,
     pub bytes: Vec<u8>,
 }
 
 impl Peer {
-    pub fn new(stream: TcpStream) -> Peer {
+    pub(crate) fn new(stream: TcpStream) -> Peer {
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         Peer { stream, bytes: Vec::new() }
     }
 
-    pub fn send(&mut self, message: &Message) {
+    pub(crate) fn send(&mut self, message: &Message<'_>) {
         let mut bytes = Vec::new();
         encode(message, &mut bytes);
         self.stream.write_all(&bytes).unwrap();
     }
 
     /// The next message that `pick` accepts; others are skipped; none at the connection's end.
-    pub fn receive<T>(&mut self, pick: impl Fn(&Message) -> Option<T>) -> Option<T> {
+    pub(crate) fn receive<T>(&mut self, pick: impl Fn(&Message<'_>) -> Option<T>) -> Option<T> {
         loop {
             let (mut found, mut used) = (None, 0);
             while let Ok(Decoded::Frame(message, n)) = decode(&self.bytes[used..]) {
@@ -84,7 +84,7 @@
         }
     }
 
-    pub fn receive_answer(&mut self) -> Option<(u64, FinalCode, String)> {
+    pub(crate) fn receive_answer(&mut self) -> Option<(u64, FinalCode, String)> {
         self.receive(|m| match m {
             Message::FinalAnswer(f) => {
                 let why = f.payload.get(..f.payload.len().min(40)).unwrap_or_default();
@@ -94,14 +94,14 @@
         })
     }
 
-    pub fn receive_attempt(&mut self) -> Option<(u64, u16)> {
+    pub(crate) fn receive_attempt(&mut self) -> Option<(u64, u16)> {
         self.receive(|m| match m {
             Message::Attempt(h) => Some((h.request_id, h.attempt)),
             _ => None,
         })
     }
 
-    pub fn send_request(&mut self, request_id: u64, class: u16, payload: &[u8]) {
+    pub(crate) fn send_request(&mut self, request_id: u64, class: u16, payload: &[u8]) {
         let (volume, key, idempotency_key, units, client_timeout_us, blocks) =
             (1, 7 + request_id, request_id, 1.0, 4_000_000, 1);
         let write = !payload.is_empty();
@@ -120,16 +120,16 @@
         self.send(&Message::Request(request));
     }
 
-    pub fn send_hello(&mut self, incarnation: u64, age_us: u64) {
+    pub(crate) fn send_hello(&mut self, incarnation: u64, age_us: u64) {
         self.send(&Message::Hello(Hello::new(Role::Node, 3, incarnation, age_us)));
     }
 
-    pub fn succeed(&mut self, (request_id, attempt): (u64, u16), payload: &[u8]) {
+    pub(crate) fn succeed(&mut self, (request_id, attempt): (u64, u16), payload: &[u8]) {
         self.send(&outcome(request_id, attempt, OutcomeCode::Succeeded, payload));
     }
 }
 
-pub fn outcome(request_id: u64, attempt: u16, code: OutcomeCode, payload: &[u8]) -> Message<'_> {
+pub(crate) fn outcome(request_id: u64, attempt: u16, code: OutcomeCode, payload: &[u8]) -> Message<'_> {
     let (used, others, queue, busy, owner, version) = (None, 0.0, 0, 0.0, None, 0);
     Message::Outcome(Outcome {
         request_id,
@@ -145,7 +145,7 @@
     })
 }
 
-pub struct TestHost {
+pub(crate) struct TestHost {
     pub address: SocketAddr,
     pub list_service: Peer,
     pub node: TcpListener,
@@ -155,14 +155,14 @@
 
 impl TestHost {
     /// A host whose endpoint list names one node, of incarnation 1 and this age.
-    pub fn start(age_us: u64) -> TestHost {
+    pub(crate) fn start(age_us: u64) -> TestHost {
         let mut host = TestHost::without_endpoints(TcpListener::bind("127.0.0.1:0").unwrap(), |_| ());
         host.send_endpoint(true, 1, EntryState::Ready, 1, age_us);
         host
     }
 
     /// A host without an endpoint list, with changed settings.
-    pub fn without_endpoints(node: TcpListener, change: impl FnOnce(&mut HostConfig)) -> TestHost {
+    pub(crate) fn without_endpoints(node: TcpListener, change: impl FnOnce(&mut HostConfig)) -> TestHost {
         let list = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut config: HostConfig = read_text("test", SETTINGS, |r| host(r, 1)).unwrap().unwrap();
         change(&mut config);
@@ -176,7 +176,7 @@
         TestHost { address, list_service: list, node, shutdown_signal: stop, thread }
     }
 
-    pub fn send_endpoint(
+    pub(crate) fn send_endpoint(
         &mut self,
         snapshot: bool,
         epoch: u64,
@@ -190,7 +190,14 @@
         self.list_service.send(&Message::EndpointList(EndpointListUpdate { snapshot, epoch, entries }));
     }
 
-    pub fn send_map(&mut self, snapshot: bool, epoch: u64, kind: MapEntryKind, position: u64, version: u32) {
+    pub(crate) fn send_map(
+        &mut self,
+        snapshot: bool,
+        epoch: u64,
+        kind: MapEntryKind,
+        position: u64,
+        version: u32,
+    ) {
         let entries = vec![MapEntry { kind, volume: 1, start: 0, position, shard: 0, version }];
         self.list_service.send(&Message::ExtentMap(MapUpdate {
             snapshot,
@@ -201,35 +208,35 @@
         }));
     }
 
-    pub fn client(&self) -> Peer {
+    pub(crate) fn client(&self) -> Peer {
         Peer::new(TcpStream::connect(self.address).unwrap())
     }
 
-    pub fn accept(&self) -> Peer {
+    pub(crate) fn accept(&self) -> Peer {
         Peer::new(self.node.accept().unwrap().0)
     }
 
     /// The node's end of the host's connection, after the greeting of the listed process.
-    pub fn accept_node(&self) -> Peer {
+    pub(crate) fn accept_node(&self) -> Peer {
         let mut node = self.accept();
         node.send_hello(1, LONG_AGO);
         node
     }
 
     /// Ends the host at once, with requests pending.
-    pub fn abort(mut self) {
+    pub(crate) fn abort(mut self) {
         self.shutdown_signal.write_all(&[1, 1]).unwrap();
         self.thread.join().unwrap();
     }
 
-    pub fn shut_down(mut self) -> HostEnd {
+    pub(crate) fn shut_down(mut self) -> HostEnd {
         self.shutdown_signal.write_all(&[1]).unwrap();
         self.thread.join().unwrap()
     }
 }
 
 impl Peer {
-    pub fn receive_batch(&mut self) -> Option<Vec<(u64, u16)>> {
+    pub(crate) fn receive_batch(&mut self) -> Option<Vec<(u64, u16)>> {
         self.receive(|m| match m {
             Message::Batch(parts) => Some(parts.iter().map(|h| (h.request_id, h.attempt)).collect()),
             _ => None,
@@ -237,7 +244,14 @@
     }
 
     /// Requests a range of blocks, to read or to write.
-    pub fn send_range_request(&mut self, request_id: u64, class: u16, key: u64, blocks: u32, payload: &[u8]) {
+    pub(crate) fn send_range_request(
+        &mut self,
+        request_id: u64,
+        class: u16,
+        key: u64,
+        blocks: u32,
+        payload: &[u8],
+    ) {
         let (volume, idempotency_key, units, client_timeout_us, write) =
             (1, request_id, 1.0, 4_000_000, !payload.is_empty());
         let request = ClientRequest {
@@ -255,7 +269,7 @@
         self.send(&Message::Request(request));
     }
 
-    pub fn receive_range_attempt(&mut self) -> Option<(u64, u16, u64, u32)> {
+    pub(crate) fn receive_range_attempt(&mut self) -> Option<(u64, u16, u64, u32)> {
         self.receive(|m| match m {
             Message::Attempt(h) => Some((h.request_id, h.attempt, h.key, h.blocks)),
             _ => None,
@@ -264,4 +278,4 @@
 }
 
 /// A request's id and attempt.
-pub type AttemptId = (u64, u16);
+pub(crate) type AttemptId = (u64, u16);
--- a/crates/gateway/tests/sockets/list_service.rs
+++ b/crates/gateway/tests/sockets/list_service.rs
@@ -17,7 +17,7 @@
     // Non-idempotent: sent again only as the node's answer proves that nothing ran.
     client.send_request(1, 1, b"paid");
     let mut node = host.accept_node();
-    let sent = |m: &Message| match m {
+    let sent = |m: &Message<'_>| match m {
         Message::Attempt(h) => Some((h.request_id, h.attempt, h.version)),
         _ => None,
     };
@@ -40,7 +40,7 @@
     let (mut stop, other) = UnixStream::pair().unwrap();
     let gateway = Gateway::bind(config, other, 99).unwrap();
     let host = std::thread::spawn(move || gateway.run().unwrap());
-    let watch = |m: &Message| matches!(m, Message::WatchEndpoints { .. }).then_some(());
+    let watch = |m: &Message<'_>| matches!(m, Message::WatchEndpoints { .. }).then_some(());
     // It is asked and does not answer: the next watch comes over another connection.
     let mut unresponsive = Peer::new(list.accept().unwrap().0);
     unresponsive.receive(watch).expect("a watch");
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -6,8 +6,6 @@
 //! doubling over a tenth of a millisecond. All of a message counts or none of it. One of another version is not
 //! decoded: a host of another build is to this one as a host that sends nothing.
 
-#![warn(missing_docs)]
-
 use magpiewick::{GossipReport, Ms};
 
 /// The most bytes of a message.
--- a/crates/hcl-settings/src/errors.rs
+++ b/crates/hcl-settings/src/errors.rs
@@ -87,7 +87,7 @@
 pub struct Scope(pub(crate) String);
 
 impl fmt::Display for Scope {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.is_empty() {
             Ok(())
         } else {
@@ -124,7 +124,7 @@
 }
 
 impl fmt::Display for SettingsErrors {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, SettingsError { line, column, kind }) in self.errors.iter().enumerate() {
             let separator = if i > 0 { "\n" } else { "" };
             match line {
--- a/crates/hcl-settings/src/lib.rs
+++ b/crates/hcl-settings/src/lib.rs
@@ -4,8 +4,6 @@
 //! A reader names the attributes and blocks that it knows by asking for them. What is left when a [`SettingsBlock`] is
 //! dropped is unknown, and is reported with the nearest known name.
 
-#![warn(missing_docs)]
-
 mod attribute;
 mod block;
 mod errors;
@@ -18,7 +16,7 @@
 use std::path::Path;
 
 /// Reads the file at `path` through `reader`, whose value counts only where the file has no error.
-pub fn read_file<T>(path: &Path, reader: impl FnOnce(&SettingsBlock) -> T) -> Result<T, SettingsErrors> {
+pub fn read_file<T>(path: &Path, reader: impl FnOnce(&SettingsBlock<'_>) -> T) -> Result<T, SettingsErrors> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
         Ok(text) => read_text(&file, &text, reader),
@@ -33,7 +31,7 @@
 pub fn read_text<T>(
     file: &str,
     text: &str,
-    reader: impl FnOnce(&SettingsBlock) -> T,
+    reader: impl FnOnce(&SettingsBlock<'_>) -> T,
 ) -> Result<T, SettingsErrors> {
     let body = hcl_edit::parser::parse_body(text).map_err(|error| {
         let position = error.location();
--- a/crates/hcl-settings/tests/errors.rs
+++ b/crates/hcl-settings/tests/errors.rs
@@ -3,7 +3,7 @@
 use magpiewick_hcl_settings::{read_text, SettingsBlock};
 use quickcheck::quickcheck;
 
-fn read_class(root: &SettingsBlock) -> (f64, f64, u64) {
+fn read_class(root: &SettingsBlock<'_>) -> (f64, f64, u64) {
     let class = root.labelled_blocks("band").into_iter().next();
     let number = root.required_block("host").map_or(0, |h| h.attribute("number").integer(0..=9));
     class.map_or((0.0, 0.0, number), |b| {
--- a/crates/http1/src/chunked_body.rs
+++ b/crates/http1/src/chunked_body.rs
@@ -17,7 +17,7 @@
 
 impl ChunkedBodyReader {
     /// How many bytes of the input were used, and whether the body is complete. It has `limit` bytes at most.
-    pub fn read(&mut self, input: &[u8], limit: usize) -> Result<(usize, bool), MalformedResponse> {
+    pub(crate) fn read(&mut self, input: &[u8], limit: usize) -> Result<(usize, bool), MalformedResponse> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -4,8 +4,6 @@
 //! what a message merely announces. Messages that two readers could frame differently are rejected, so that nothing in
 //! a body is ever read as a message of its own (request smuggling).
 
-#![warn(missing_docs)]
-
 mod chunked_body;
 mod head;
 mod request;
--- a/crates/http1/src/write.rs
+++ b/crates/http1/src/write.rs
@@ -48,7 +48,7 @@
 }
 
 /// Writes a response.
-pub fn write_response(out: &mut Vec<u8>, response: &OutgoingResponse) {
+pub fn write_response(out: &mut Vec<u8>, response: &OutgoingResponse<'_>) {
     let OutgoingResponse { status, headers, body, close } = *response;
     append(
         out,
--- a/crates/instance-settings/src/lib.rs
+++ b/crates/instance-settings/src/lib.rs
@@ -1,8 +1,6 @@
 //! The settings of an instance: their names and meaning, read for the simulator's wire and for the platform alike.
 //! Unknown keys are ignored.
 
-#![warn(missing_docs)]
-
 use magpiewick::{
     DeduplicationScope, Idempotency, Ms, QosPolicy, RequestClass, RetryBudget, SchedulerConfig,
 };
--- a/crates/node-protocol/src/fields.rs
+++ b/crates/node-protocol/src/fields.rs
@@ -3,11 +3,11 @@
 use crate::DecodeError;
 
 /// A cursor over the fields of one frame.
-pub struct FieldReader<'a>(&'a [u8]);
+pub(crate) struct FieldReader<'a>(&'a [u8]);
 
 impl<'a> FieldReader<'a> {
     /// A cursor at the first field.
-    pub fn new(bytes: &'a [u8]) -> FieldReader<'a> {
+    pub(crate) fn new(bytes: &'a [u8]) -> FieldReader<'a> {
         FieldReader(bytes)
     }
 
@@ -18,46 +18,46 @@
     }
 
     /// The next byte.
-    pub fn u8(&mut self, field: &'static str) -> Result<u8, DecodeError> {
+    pub(crate) fn u8(&mut self, field: &'static str) -> Result<u8, DecodeError> {
         Ok(self.array::<1>(field)?[0])
     }
 
     /// The next two bytes.
-    pub fn u16(&mut self, field: &'static str) -> Result<u16, DecodeError> {
+    pub(crate) fn u16(&mut self, field: &'static str) -> Result<u16, DecodeError> {
         Ok(u16::from_le_bytes(self.array(field)?))
     }
 
     /// The next four bytes.
-    pub fn u32(&mut self, field: &'static str) -> Result<u32, DecodeError> {
+    pub(crate) fn u32(&mut self, field: &'static str) -> Result<u32, DecodeError> {
         Ok(u32::from_le_bytes(self.array(field)?))
     }
 
     /// The next eight bytes.
-    pub fn u64(&mut self, field: &'static str) -> Result<u64, DecodeError> {
+    pub(crate) fn u64(&mut self, field: &'static str) -> Result<u64, DecodeError> {
         Ok(u64::from_le_bytes(self.array(field)?))
     }
 
     /// The next `length` bytes.
-    pub fn bytes(&mut self, length: usize, field: &'static str) -> Result<&'a [u8], DecodeError> {
+    pub(crate) fn bytes(&mut self, length: usize, field: &'static str) -> Result<&'a [u8], DecodeError> {
         let (first, rest) = self.0.split_at_checked(length).ok_or(DecodeError::Truncated(field))?;
         self.0 = rest;
         Ok(first)
     }
 
     /// Whether all was read.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
     /// A number that must be finite and not below 0.
-    pub fn amount(&mut self, field: &'static str) -> Result<f32, DecodeError> {
+    pub(crate) fn amount(&mut self, field: &'static str) -> Result<f32, DecodeError> {
         let value = f32::from_le_bytes(self.array(field)?);
         let is_amount = value.is_finite() && value >= 0.0;
         is_amount.then_some(value).ok_or(DecodeError::InvalidField(field))
     }
 
     /// A byte that must be 0 or 1.
-    pub fn flag(&mut self, field: &'static str) -> Result<bool, DecodeError> {
+    pub(crate) fn flag(&mut self, field: &'static str) -> Result<bool, DecodeError> {
         match self.u8(field)? {
             0 => Ok(false),
             1 => Ok(true),
@@ -66,55 +66,55 @@
     }
 
     /// A byte that is a position in a table of values.
-    pub fn one_of<T: Copy>(&mut self, values: &[T], field: &'static str) -> Result<T, DecodeError> {
+    pub(crate) fn one_of<T: Copy>(&mut self, values: &[T], field: &'static str) -> Result<T, DecodeError> {
         let position = usize::from(self.u8(field)?);
         values.get(position).copied().ok_or(DecodeError::InvalidField(field))
     }
 }
 
 /// Appends fields to the output.
-pub struct FieldWriter<'a>(pub &'a mut Vec<u8>);
+pub(crate) struct FieldWriter<'a>(pub &'a mut Vec<u8>);
 
 impl FieldWriter<'_> {
     /// Appends bytes as they are.
-    pub fn bytes(&mut self, bytes: &[u8]) -> &mut Self {
+    pub(crate) fn bytes(&mut self, bytes: &[u8]) -> &mut Self {
         self.0.extend_from_slice(bytes);
         self
     }
 
     /// Appends one byte.
-    pub fn u8(&mut self, value: u8) -> &mut Self {
+    pub(crate) fn u8(&mut self, value: u8) -> &mut Self {
         self.0.push(value);
         self
     }
 
     /// Appends two bytes.
-    pub fn u16(&mut self, value: u16) -> &mut Self {
+    pub(crate) fn u16(&mut self, value: u16) -> &mut Self {
         self.bytes(&value.to_le_bytes())
     }
 
     /// Appends four bytes.
-    pub fn u32(&mut self, value: u32) -> &mut Self {
+    pub(crate) fn u32(&mut self, value: u32) -> &mut Self {
         self.bytes(&value.to_le_bytes())
     }
 
     /// Appends eight bytes.
-    pub fn u64(&mut self, value: u64) -> &mut Self {
+    pub(crate) fn u64(&mut self, value: u64) -> &mut Self {
         self.bytes(&value.to_le_bytes())
     }
 
     /// Appends a number in four bytes.
-    pub fn f32(&mut self, value: f32) -> &mut Self {
+    pub(crate) fn f32(&mut self, value: f32) -> &mut Self {
         self.bytes(&value.to_le_bytes())
     }
 
     /// Appends a byte that is 0 or 1.
-    pub fn flag(&mut self, value: bool) -> &mut Self {
+    pub(crate) fn flag(&mut self, value: bool) -> &mut Self {
         self.u8(u8::from(value))
     }
 
     /// Appends the position of a value in a table; the table must hold it.
-    pub fn one_of<T: PartialEq>(&mut self, values: &[T], value: &T) -> &mut Self {
+    pub(crate) fn one_of<T: PartialEq>(&mut self, values: &[T], value: &T) -> &mut Self {
         let position = values.iter().position(|v| v == value);
         self.u8(position.unwrap_or(0) as u8)
     }
--- a/crates/node-protocol/src/frame.rs
+++ b/crates/node-protocol/src/frame.rs
@@ -58,7 +58,7 @@
 
 /// Appends a message as one frame. The caller keeps the payload within [`MAX_PAYLOAD_LENGTH`] and a list within
 /// [`MAX_LIST_ENTRIES`].
-pub fn encode(message: &Message, out: &mut Vec<u8>) {
+pub fn encode(message: &Message<'_>, out: &mut Vec<u8>) {
     let start = out.len();
     let body_start = start + HEADER_LENGTH;
     out.extend_from_slice(&[0; HEADER_LENGTH]);
--- a/crates/node-protocol/src/lib.rs
+++ b/crates/node-protocol/src/lib.rs
@@ -4,8 +4,6 @@
 //! The decoder never panics, never allocates by a promised length, and rejects a frame by its header alone when that
 //! promises more than [`MAX_BODY_LENGTH`] bytes.
 
-#![warn(missing_docs)]
-
 mod error;
 mod fields;
 mod frame;
--- a/crates/node-protocol/src/message/attempt.rs
+++ b/crates/node-protocol/src/message/attempt.rs
@@ -36,12 +36,15 @@
 }
 
 impl<'a> Attempt<'a> {
-    pub(super) fn decode(fields: &mut FieldReader, payload: &'a [u8]) -> Result<Attempt<'a>, DecodeError> {
+    pub(super) fn decode(
+        fields: &mut FieldReader<'_>,
+        payload: &'a [u8],
+    ) -> Result<Attempt<'a>, DecodeError> {
         let payload = checked_payload(payload)?;
         Ok(Attempt { payload, ..Attempt::decode_fields(fields)? })
     }
 
-    fn decode_fields(fields: &mut FieldReader) -> Result<Attempt<'static>, DecodeError> {
+    fn decode_fields(fields: &mut FieldReader<'_>) -> Result<Attempt<'static>, DecodeError> {
         Ok(Attempt {
             request_id: fields.u64("request id")?,
             attempt: fields.u16("attempt")?,
@@ -59,7 +62,7 @@
         })
     }
 
-    pub(super) fn encode_fields(&self, out: &mut FieldWriter) {
+    pub(super) fn encode_fields(&self, out: &mut FieldWriter<'_>) {
         out.u64(self.request_id)
             .u16(self.attempt)
             .u16(self.class)
@@ -77,7 +80,7 @@
 
 /// Decodes a batch. Nothing is allocated by the promised count.
 pub(super) fn decode_batch<'a>(
-    fields: &mut FieldReader,
+    fields: &mut FieldReader<'_>,
     payload: &'a [u8],
 ) -> Result<Vec<Attempt<'a>>, DecodeError> {
     let count = fields.u16("number of parts")?;
@@ -93,7 +96,7 @@
 }
 
 /// Appends the parts of a batch, each with the length of its payload.
-pub(super) fn encode_batch(attempts: &[Attempt], out: &mut FieldWriter) {
+pub(super) fn encode_batch(attempts: &[Attempt<'_>], out: &mut FieldWriter<'_>) {
     for attempt in attempts {
         attempt.encode_fields(out);
         out.u32(attempt.payload.len() as u32).bytes(attempt.payload);
@@ -169,7 +172,10 @@
 }
 
 impl<'a> Outcome<'a> {
-    pub(super) fn decode(fields: &mut FieldReader, payload: &'a [u8]) -> Result<Outcome<'a>, DecodeError> {
+    pub(super) fn decode(
+        fields: &mut FieldReader<'_>,
+        payload: &'a [u8],
+    ) -> Result<Outcome<'a>, DecodeError> {
         Ok(Outcome {
             request_id: fields.u64("request id")?,
             attempt: fields.u16("attempt")?,
@@ -184,7 +190,7 @@
         })
     }
 
-    pub(super) fn encode_fields(&self, out: &mut FieldWriter) {
+    pub(super) fn encode_fields(&self, out: &mut FieldWriter<'_>) {
         out.u64(self.request_id)
             .u16(self.attempt)
             .one_of(&OutcomeCode::ALL, &self.code)
--- a/crates/node-protocol/src/message/client.rs
+++ b/crates/node-protocol/src/message/client.rs
@@ -31,7 +31,7 @@
 
 impl<'a> ClientRequest<'a> {
     pub(super) fn decode(
-        fields: &mut FieldReader,
+        fields: &mut FieldReader<'_>,
         payload: &'a [u8],
     ) -> Result<ClientRequest<'a>, DecodeError> {
         Ok(ClientRequest {
@@ -48,7 +48,7 @@
         })
     }
 
-    pub(super) fn encode_fields(&self, out: &mut FieldWriter) {
+    pub(super) fn encode_fields(&self, out: &mut FieldWriter<'_>) {
         out.u64(self.request_id)
             .u16(self.class)
             .flag(self.write)
@@ -92,7 +92,7 @@
 
 impl<'a> FinalAnswer<'a> {
     pub(super) fn decode(
-        fields: &mut FieldReader,
+        fields: &mut FieldReader<'_>,
         payload: &'a [u8],
     ) -> Result<FinalAnswer<'a>, DecodeError> {
         Ok(FinalAnswer {
@@ -103,7 +103,7 @@
         })
     }
 
-    pub(super) fn encode_fields(&self, out: &mut FieldWriter) {
+    pub(super) fn encode_fields(&self, out: &mut FieldWriter<'_>) {
         out.u64(self.request_id).one_of(&FinalCode::ALL, &self.code).u32(self.retry_after_us);
     }
 }
--- a/crates/node-protocol/src/message/endpoint_list.rs
+++ b/crates/node-protocol/src/message/endpoint_list.rs
@@ -5,7 +5,7 @@
 use crate::DecodeError;
 
 /// Bytes of an entry.
-pub const ENDPOINT_ENTRY_LENGTH: usize = 38;
+pub(crate) const ENDPOINT_ENTRY_LENGTH: usize = 38;
 
 /// The state of a listed node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
         Ok(EndpointEntry { node, shard, zone, state, incarnation, age_us, address, port })
     }
 
-    fn encode(&self, out: &mut FieldWriter) {
+    fn encode(&self, out: &mut FieldWriter<'_>) {
         out.u32(self.node)
             .u32(self.shard)
             .u16(self.zone)
@@ -86,7 +86,7 @@
 
 impl EndpointListUpdate {
     pub(super) fn decode(
-        fields: &mut FieldReader,
+        fields: &mut FieldReader<'_>,
         payload: &[u8],
     ) -> Result<EndpointListUpdate, DecodeError> {
         Ok(EndpointListUpdate {
@@ -96,11 +96,11 @@
         })
     }
 
-    pub(super) fn encode_fields(&self, out: &mut FieldWriter) {
+    pub(super) fn encode_fields(&self, out: &mut FieldWriter<'_>) {
         out.flag(self.snapshot).u64(self.epoch);
     }
 
-    pub(super) fn encode_entries(&self, out: &mut FieldWriter) {
+    pub(super) fn encode_entries(&self, out: &mut FieldWriter<'_>) {
         self.entries.iter().for_each(|entry| entry.encode(out));
     }
 }
--- a/crates/node-protocol/src/message/extent_map.rs
+++ b/crates/node-protocol/src/message/extent_map.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 /// Bytes of an entry.
-pub const MAP_ENTRY_LENGTH: usize = 33;
+pub(crate) const MAP_ENTRY_LENGTH: usize = 33;
 
 /// What one entry of a map update says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
         })
     }
 
-    fn encode(&self, out: &mut FieldWriter) {
+    fn encode(&self, out: &mut FieldWriter<'_>) {
         out.one_of(&MapEntryKind::ALL, &self.kind)
             .u64(self.volume)
             .u64(self.start)
@@ -92,7 +92,7 @@
 }
 
 impl MapUpdate {
-    pub(super) fn decode(fields: &mut FieldReader, payload: &[u8]) -> Result<MapUpdate, DecodeError> {
+    pub(super) fn decode(fields: &mut FieldReader<'_>, payload: &[u8]) -> Result<MapUpdate, DecodeError> {
         Ok(MapUpdate {
             snapshot: fields.flag("snapshot flag")?,
             epoch: fields.u64("epoch")?,
@@ -102,11 +102,11 @@
         })
     }
 
-    pub(super) fn encode_fields(&self, out: &mut FieldWriter) {
+    pub(super) fn encode_fields(&self, out: &mut FieldWriter<'_>) {
         out.flag(self.snapshot).u64(self.epoch).u32(self.part).flag(self.last);
     }
 
-    pub(super) fn encode_entries(&self, out: &mut FieldWriter) {
+    pub(super) fn encode_entries(&self, out: &mut FieldWriter<'_>) {
         self.entries.iter().for_each(|entry| entry.encode(out));
     }
 }
@@ -146,7 +146,7 @@
 
 /// The words that `magpiewick extents` prints.
 impl fmt::Display for MigrationStage {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             MigrationStage::Idle => "Still",
             MigrationStage::Copying => "Copying",
--- a/crates/node-protocol/src/message/hello.rs
+++ b/crates/node-protocol/src/message/hello.rs
@@ -49,7 +49,7 @@
         Hello { lowest: VERSION, highest: VERSION, role, number, incarnation, age_us }
     }
 
-    pub(super) fn decode(fields: &mut FieldReader) -> Result<Hello, DecodeError> {
+    pub(super) fn decode(fields: &mut FieldReader<'_>) -> Result<Hello, DecodeError> {
         Ok(Hello {
             lowest: fields.u16("lowest version")?,
             highest: fields.u16("highest version")?,
@@ -60,7 +60,7 @@
         })
     }
 
-    pub(super) fn encode(&self, out: &mut FieldWriter) {
+    pub(super) fn encode(&self, out: &mut FieldWriter<'_>) {
         out.u16(self.lowest)
             .u16(self.highest)
             .one_of(&Role::ALL, &self.role)
--- a/crates/node-protocol/src/message/mod.rs
+++ b/crates/node-protocol/src/message/mod.rs
@@ -22,23 +22,23 @@
 
 /// The numbers of the kinds in a frame's header.
 mod kind {
-    pub const HELLO: u8 = 1;
-    pub const ATTEMPT: u8 = 2;
-    pub const OUTCOME: u8 = 3;
-    pub const CANCEL_ATTEMPT: u8 = 4;
-    pub const HEALTH_CHECK: u8 = 5;
-    pub const HEALTH_REPORT: u8 = 6;
-    pub const REQUEST: u8 = 7;
-    pub const FINAL_ANSWER: u8 = 8;
-    pub const CANCEL_REQUEST: u8 = 9;
-    pub const WATCH_ENDPOINTS: u8 = 10;
-    pub const ENDPOINT_LIST: u8 = 11;
-    pub const WATCH_REJECTED: u8 = 12;
-    pub const WATCH_MAP: u8 = 13;
-    pub const EXTENT_MAP: u8 = 14;
-    pub const MIGRATE: u8 = 15;
-    pub const MIGRATION_STATE: u8 = 16;
-    pub const BATCH: u8 = 17;
+    pub(super) const HELLO: u8 = 1;
+    pub(super) const ATTEMPT: u8 = 2;
+    pub(super) const OUTCOME: u8 = 3;
+    pub(super) const CANCEL_ATTEMPT: u8 = 4;
+    pub(super) const HEALTH_CHECK: u8 = 5;
+    pub(super) const HEALTH_REPORT: u8 = 6;
+    pub(super) const REQUEST: u8 = 7;
+    pub(super) const FINAL_ANSWER: u8 = 8;
+    pub(super) const CANCEL_REQUEST: u8 = 9;
+    pub(super) const WATCH_ENDPOINTS: u8 = 10;
+    pub(super) const ENDPOINT_LIST: u8 = 11;
+    pub(super) const WATCH_REJECTED: u8 = 12;
+    pub(super) const WATCH_MAP: u8 = 13;
+    pub(super) const EXTENT_MAP: u8 = 14;
+    pub(super) const MIGRATE: u8 = 15;
+    pub(super) const MIGRATION_STATE: u8 = 16;
+    pub(super) const BATCH: u8 = 17;
 }
 
 /// One message of the protocol.
@@ -149,7 +149,7 @@
     /// Decodes the body of a frame; none for a kind that is not known.
     pub(crate) fn decode(
         kind: u8,
-        fields: &mut FieldReader,
+        fields: &mut FieldReader<'_>,
         payload: &'a [u8],
     ) -> Result<Option<Message<'a>>, DecodeError> {
         Ok(Some(match kind {
@@ -193,7 +193,7 @@
     }
 
     /// Appends the fields.
-    pub(crate) fn encode_fields(&self, out: &mut FieldWriter) {
+    pub(crate) fn encode_fields(&self, out: &mut FieldWriter<'_>) {
         match self {
             Message::Hello(hello) => hello.encode(out),
             Message::Attempt(attempt) => attempt.encode_fields(out),
@@ -219,7 +219,7 @@
     }
 
     /// Appends what follows the fields: a payload, or the entries of a list.
-    pub(crate) fn encode_payload(&self, out: &mut FieldWriter) {
+    pub(crate) fn encode_payload(&self, out: &mut FieldWriter<'_>) {
         match self {
             Message::Attempt(attempt) => _ = out.bytes(attempt.payload),
             Message::Batch(attempts) => attempt::encode_batch(attempts, out),
--- a/crates/node-protocol/tests/codec.rs
+++ b/crates/node-protocol/tests/codec.rs
@@ -155,7 +155,7 @@
     fn messages_decode_from_a_stream_cut_anywhere(all: Vec<AnyMessage>, piece: u8) -> bool {
         let mut bytes = Vec::new();
         all.iter().for_each(|any| encode(&any.message(), &mut bytes));
-        let expected: Vec<Message> = all.iter().map(AnyMessage::message).collect();
+        let expected: Vec<Message<'_>> = all.iter().map(AnyMessage::message).collect();
         messages(&bytes, usize::from(piece) + 1) == Ok(expected)
     }
 
--- a/crates/node-protocol/tests/wire_bytes.rs
+++ b/crates/node-protocol/tests/wire_bytes.rs
@@ -195,7 +195,7 @@
 
 #[test]
 fn the_bytes_of_every_message_stay_as_they_were() {
-    let frame = |message: &Message| {
+    let frame = |message: &Message<'_>| {
         let mut bytes = Vec::new();
         encode(message, &mut bytes);
         (bytes[4], bytes.len(), crc32c::crc32c(&bytes))
--- a/crates/platform/src/attempt_end.rs
+++ b/crates/platform/src/attempt_end.rs
@@ -7,7 +7,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub(crate) enum AttemptEnd {
     /// With a complete response.
     Response {
         /// Its status.
@@ -30,7 +30,7 @@
 impl AttemptEnd {
     /// The outcome of an attempt that ended so. `written`: the system took its last byte. Only what the platform names
     /// as proof counts as never run.
-    pub fn outcome(self, written: bool) -> Outcome {
+    pub(crate) fn outcome(self, written: bool) -> Outcome {
         match self {
             AttemptEnd::Response { status: 200, .. } => Outcome::Succeeded,
             AttemptEnd::Response { status: 503 | 504, not_run: true } => Outcome::Overloaded,
@@ -44,7 +44,7 @@
     }
 
     /// The name under which it is logged and counted.
-    pub fn as_str(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             AttemptEnd::Response { .. } => "response",
             AttemptEnd::MalformedResponse => "malformed_response",
@@ -57,7 +57,7 @@
 }
 
 impl fmt::Display for AttemptEnd {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
 }
