--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -13,11 +13,11 @@
 
 /// The client broke or ended its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Disconnected;
+pub(crate) struct Disconnected;
 
 /// What reading from a client came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InputEvent {
+pub(crate) enum InputEvent {
     /// The client broke or ended its connection.
     Disconnected,
     /// Nothing is read as requests any more, and the input was discarded.
@@ -30,7 +30,7 @@
 
 /// What writing to a client came to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum FlushEvent {
+pub(crate) enum FlushEvent {
     /// The client broke or ended its connection.
     Disconnected,
     /// The system takes no more, and has taken nothing since this time.
@@ -44,7 +44,7 @@
 }
 
 /// The next step of a client's queue.
-pub enum QueueEvent {
+pub(crate) enum QueueEvent {
     /// It is not this connection's turn.
     None,
     /// A complete request; how long ago its last bytes may have arrived.
@@ -63,7 +63,7 @@
 }
 
 /// A client's connection.
-pub struct ClientConnection {
+pub(crate) struct ClientConnection {
     stream: Stream,
     /// Input that has no response yet, apart from the open request.
     queue: RequestQueue,
@@ -86,7 +86,7 @@
 
 impl ClientConnection {
     /// A connection that was just accepted, with its timer armed.
-    pub fn new(stream: Stream, serial: u64, now: Ms) -> ClientConnection {
+    pub(crate) fn new(stream: Stream, serial: u64, now: Ms) -> ClientConnection {
         ClientConnection {
             stream,
             queue: RequestQueue::default(),
@@ -106,79 +106,79 @@
     }
 
     /// The number by which the log names this connection.
-    pub fn serial(&self) -> u64 {
+    pub(crate) fn serial(&self) -> u64 {
         self.serial
     }
 
     /// How many complete requests it has sent.
-    pub fn requests(&self) -> u32 {
+    pub(crate) fn requests(&self) -> u32 {
         self.requests
     }
 
     /// The request that waits for its response.
-    pub fn open_request(&self) -> Option<u64> {
+    pub(crate) fn open_request(&self) -> Option<u64> {
         self.open_request
     }
 
     /// Whether a request is open or a response is not written.
-    pub fn is_busy(&self) -> bool {
+    pub(crate) fn is_busy(&self) -> bool {
         self.open_request.is_some() || self.stream.pending() > 0
     }
 
     /// Whether it ends as soon as its output is written.
-    pub fn is_closing(&self) -> bool {
+    pub(crate) fn is_closing(&self) -> bool {
         self.closing
     }
 
     /// Whether there is input without a response, apart from the open request.
-    pub fn has_pipelined_input(&self) -> bool {
+    pub(crate) fn has_pipelined_input(&self) -> bool {
         !self.queue.is_empty()
     }
 
     /// How much of that input there is.
-    pub fn pipelined_bytes(&self) -> usize {
+    pub(crate) fn pipelined_bytes(&self) -> usize {
         self.queue.buffered()
     }
 
     /// The memory that its buffers take, without the open request.
-    pub fn memory_bytes(&self) -> usize {
+    pub(crate) fn memory_bytes(&self) -> usize {
         self.stream.held() + self.queue.memory_bytes()
     }
 
     /// Whether there is input that was not read yet.
-    pub fn has_unread_input(&self) -> bool {
+    pub(crate) fn has_unread_input(&self) -> bool {
         self.stream.has_unread()
     }
 
     /// Whether the client has ended its connection, whatever was read of it.
-    pub fn has_disconnected(&self) -> bool {
+    pub(crate) fn has_disconnected(&self) -> bool {
         self.stream.peer_ended()
     }
 
     /// Whether input is read.
-    pub fn is_reading(&self) -> bool {
+    pub(crate) fn is_reading(&self) -> bool {
         self.stream.reading()
     }
 
     /// Since when the first byte of the next request may be there.
-    pub fn first_byte_at(&self) -> Ms {
+    pub(crate) fn first_byte_at(&self) -> Ms {
         self.first_byte_at
     }
 
     /// Notes that a timer is set; false where one is set already.
     #[must_use = "the timer has to be set"]
-    pub fn arm_timer(&mut self) -> bool {
+    pub(crate) fn arm_timer(&mut self) -> bool {
         !std::mem::replace(&mut self.timer_armed, true)
     }
 
     /// Its timer is due. Whether input is to be read before anything is decided.
-    pub fn on_timer(&mut self) -> bool {
+    pub(crate) fn on_timer(&mut self) -> bool {
         self.timer_armed = false;
         !self.closing && self.stream.reading() && self.stream.has_unread()
     }
 
     /// What it is doing, as far as its timer is concerned.
-    pub fn activity(&self) -> ClientActivity {
+    pub(crate) fn activity(&self) -> ClientActivity {
         ClientActivity {
             request_open: self.open_request.is_some(),
             response_pending: self.stream.pending() > 0,
@@ -190,7 +190,7 @@
     }
 
     /// What eviction has to know of it.
-    pub fn eviction_candidate(&self, key: ConnectionKey) -> EvictionCandidate {
+    pub(crate) fn eviction_candidate(&self, key: ConnectionKey) -> EvictionCandidate {
         EvictionCandidate {
             key,
             busy: self.is_busy(),
@@ -202,7 +202,7 @@
     }
 
     /// Reads what has arrived. `input_age`: how old it may be at most.
-    pub fn receive(&mut self, now: Ms, input_age: Ms) -> InputEvent {
+    pub(crate) fn receive(&mut self, now: Ms, input_age: Ms) -> InputEvent {
         let was_empty = !self.has_pipelined_input();
         let filled = self.stream.fill();
         // An event on a connection that is not read says only that it has ended.
@@ -228,12 +228,12 @@
     }
 
     /// Keeps at most so many bytes of pipelined requests; those behind them are counted and rejected in their turn.
-    pub fn bound_pipelined(&mut self, limit: usize) {
+    pub(crate) fn bound_pipelined(&mut self, limit: usize) {
         self.queue.bound(limit);
     }
 
     /// Takes the next step of the queue. `host_closed`: only what has already been read is served.
-    pub fn next_request(&mut self, now: Ms, host_closed: bool) -> QueueEvent {
+    pub(crate) fn next_request(&mut self, now: Ms, host_closed: bool) -> QueueEvent {
         // A client that does not read its responses must not make the host keep one for each request that it sent.
         if self.is_busy() || self.closing || !self.has_pipelined_input() {
             return QueueEvent::None;
@@ -255,19 +255,19 @@
     }
 
     /// Counts a request whose head was good. `close`: the client wants the connection closed after its response.
-    pub fn on_request_parsed(&mut self, now: Ms, close: bool) {
+    pub(crate) fn on_request_parsed(&mut self, now: Ms, close: bool) {
         self.requests = self.requests.saturating_add(1);
         self.idle_since = now;
         self.close_requested = close;
     }
 
     /// The request is in the registry from now on.
-    pub fn on_request_opened(&mut self, number: u64) {
+    pub(crate) fn on_request_opened(&mut self, number: u64) {
         self.open_request = Some(number);
     }
 
     /// Tells a client to continue that waits for this before it sends a body.
-    pub fn send_continue(&mut self) -> Result<(), Disconnected> {
+    pub(crate) fn send_continue(&mut self) -> Result<(), Disconnected> {
         if !self.queue.expects_continue() {
             return Ok(());
         }
@@ -279,10 +279,10 @@
     /// it, and the request that was open.
     ///
     /// `host_closed`: it ends with this response, unless the client has already sent more.
-    pub fn queue_response(
+    pub(crate) fn queue_response(
         &mut self,
         now: Ms,
-        response: &http1::OutgoingResponse,
+        response: &http1::OutgoingResponse<'_>,
         host_closed: bool,
     ) -> QueuedResponse {
         let close = response.close || self.close_requested || host_closed && !self.has_pipelined_input();
@@ -293,7 +293,7 @@
     }
 
     /// Writes what is queued.
-    pub fn flush(&mut self, now: Ms) -> FlushEvent {
+    pub(crate) fn flush(&mut self, now: Ms) -> FlushEvent {
         if self.stream.flush().is_err() {
             return FlushEvent::Disconnected;
         }
@@ -319,13 +319,13 @@
     }
 
     /// No more requests are read.
-    pub fn begin_closing(&mut self) {
+    pub(crate) fn begin_closing(&mut self) {
         self.closing = true;
     }
 
     /// Ends this side of the connection. Input is still read and discarded for a while: closing a connection with
     /// unread input would take the response away from a client that has not read it yet.
-    pub fn linger(&mut self, now: Ms) {
+    pub(crate) fn linger(&mut self, now: Ms) {
         self.stream.end_writing();
         self.lingering_since.get_or_insert(now);
         _ = self.stream.set_reading(true);
@@ -333,7 +333,7 @@
 
     /// Reads no more; false where nothing was read before.
     #[must_use = "a client that is not read has to be checked for a disconnect"]
-    pub fn stop_reading(&mut self) -> bool {
+    pub(crate) fn stop_reading(&mut self) -> bool {
         if !self.stream.reading() {
             return false;
         }
@@ -344,7 +344,7 @@
 
 /// What was done to queue a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct QueuedResponse {
+pub(crate) struct QueuedResponse {
     /// The request that was open.
     pub request: Option<u64>,
     /// The connection ends with this response.
--- a/crates/platform/src/client_policy.rs
+++ b/crates/platform/src/client_policy.rs
@@ -6,16 +6,16 @@
 
 /// By when a client must have sent its first request, or the rest of one, or must have read its response. The platform
 /// allows a connection without an open request to be closed after 2 s, and asks for an error or an end within 3 s.
-pub const CLIENT_TIMEOUT_MS: Ms = 2200.0;
+pub(crate) const CLIENT_TIMEOUT_MS: Ms = 2200.0;
 /// How long input is still read and discarded after the last response, so that the client can read that first.
-pub const LINGER_MS: Ms = 300.0;
+pub(crate) const LINGER_MS: Ms = 300.0;
 /// How many bytes may be queued behind an open request while there is memory for them.
-pub const MAX_PIPELINED_BYTES: usize = 1 << 20;
+pub(crate) const MAX_PIPELINED_BYTES: usize = 1 << 20;
 /// How often a client whose input is not read is checked for a disconnect: half of the time within which nothing may
 /// start any more for a client that has disconnected.
-pub const DISCONNECT_CHECK_MS: Ms = 50.0;
+pub(crate) const DISCONNECT_CHECK_MS: Ms = 50.0;
 /// How much input is read and discarded at most.
-pub const MAX_DISCARDED_BYTES: usize = 256 << 10;
+pub(crate) const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
 /// Timers may come this much early.
 const TIMER_SLACK_MS: Ms = 1.0;
@@ -30,7 +30,7 @@
 
 /// How many connections there may be.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ConnectionLimits {
+pub(crate) struct ConnectionLimits {
     /// Connections of clients.
     pub clients: usize,
     /// Connections of clients that have sent a request.
@@ -41,7 +41,7 @@
 
 impl ConnectionLimits {
     /// `descriptors`: all that the process may have; `available`: those of them for clients and endpoints.
-    pub fn new(descriptors: usize, available: usize) -> ConnectionLimits {
+    pub(crate) fn new(descriptors: usize, available: usize) -> ConnectionLimits {
         let clients = (available as f64 * CLIENT_SHARE) as usize;
         let served_clients = (descriptors as f64 * ACTIVE_CLIENT_SHARE * SERVED_CLIENT_SHARE) as usize;
         ConnectionLimits { clients, served_clients, upstreams: available - clients }
@@ -50,7 +50,7 @@
 
 /// A client's connection, as far as eviction is concerned.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EvictionCandidate {
+pub(crate) struct EvictionCandidate {
     /// The connection.
     pub key: ConnectionKey,
     /// A request is open or a response is not written.
@@ -67,7 +67,7 @@
 
 /// What a client's connection is doing when its timer is due.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ClientActivity {
+pub(crate) struct ClientActivity {
     /// A request is open.
     pub request_open: bool,
     /// A response is not written completely.
@@ -84,7 +84,7 @@
 
 /// What is done with a client's connection when its timer is due.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum TimeoutAction {
+pub(crate) enum TimeoutAction {
     /// Nothing, and no other timer is needed for now.
     None,
     /// The timer is set again, counted from this time.
@@ -101,7 +101,7 @@
 
 /// Decides about a connection whose timer is due. A response that was queued in this very moment, and that nobody has
 /// tried to write yet, does not count as one that the client does not read.
-pub fn timeout_action(now: Ms, activity: &ClientActivity) -> TimeoutAction {
+pub(crate) fn timeout_action(now: Ms, activity: &ClientActivity) -> TimeoutAction {
     let is_over = |since: Ms| now - since >= CLIENT_TIMEOUT_MS - TIMER_SLACK_MS;
     if activity.response_pending {
         return match activity.write_blocked_since {
@@ -127,7 +127,7 @@
 /// The connection that is closed for a new one: never one that is owed a response; those that sent a request once or
 /// never before those that sent more, unless they have only just connected; of these the one that has been idle for
 /// longest. One that is sending a request comes last, as that request would be lost.
-pub fn select_for_eviction(
+pub(crate) fn select_for_eviction(
     now: Ms,
     candidates: impl Iterator<Item = EvictionCandidate>,
 ) -> Option<ConnectionKey> {
--- a/crates/platform/src/client_pool.rs
+++ b/crates/platform/src/client_pool.rs
@@ -19,7 +19,7 @@
 
 /// What a check for a disconnect has found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DisconnectCheck {
+pub(crate) enum DisconnectCheck {
     /// The connection is gone, is read again, or is still there and will be checked again.
     Connected,
     /// The client has disconnected.
@@ -27,7 +27,7 @@
 }
 
 /// All clients' connections.
-pub struct ClientPool {
+pub(crate) struct ClientPool {
     connections: ConnectionTable<ClientConnection>,
     max_connections: usize,
     max_served: usize,
@@ -39,7 +39,7 @@
 
 impl ClientPool {
     /// `max_served`: how many clients that have sent a request may stay connected.
-    pub fn new(max_connections: usize, max_served: usize) -> ClientPool {
+    pub(crate) fn new(max_connections: usize, max_served: usize) -> ClientPool {
         let (to_flush, disconnected) = (Vec::new(), Vec::new());
         ClientPool {
             connections: ConnectionTable::default(),
@@ -51,33 +51,33 @@
     }
 
     /// A connection.
-    pub fn get(&self, key: ConnectionKey) -> Option<&ClientConnection> {
+    pub(crate) fn get(&self, key: ConnectionKey) -> Option<&ClientConnection> {
         self.connections.get(key)
     }
 
     /// All connections, in the order of their keys.
-    pub fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &ClientConnection)> + '_ {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &ClientConnection)> + '_ {
         self.connections.iter()
     }
 
     /// How many connections there are.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
     /// Whether another connection may only take the place of one that is open.
-    pub fn is_full(&self) -> bool {
+    pub(crate) fn is_full(&self) -> bool {
         self.connections.len() >= self.max_connections
     }
 
     /// Whether too many clients that have sent a request stay connected.
-    pub fn has_too_many_served(&self) -> bool {
+    pub(crate) fn has_too_many_served(&self) -> bool {
         self.connections.iter().filter(|(_, client)| client.requests() > 0).count() > self.max_served
     }
 
     /// The connection that is closed for a new one, among those that `of` accepts. One with unread input is passed
     /// over: its request would be lost, and closing it would be a reset.
-    pub fn select_for_eviction(
+    pub(crate) fn select_for_eviction(
         &self,
         now: Ms,
         of: impl Fn(&EvictionCandidate) -> bool,
@@ -94,7 +94,7 @@
     }
 
     /// Adds a connection that was just accepted.
-    pub fn insert(&mut self, reactor: &mut Reactor, stream: TcpStream, serial: u64) -> io::Result<()> {
+    pub(crate) fn insert(&mut self, reactor: &mut Reactor, stream: TcpStream, serial: u64) -> io::Result<()> {
         let (key, stream) =
             reactor.register(ConnectionKind::Client, |poll, key| Stream::accepted(poll, stream, key))?;
         self.connections.insert(key, ClientConnection::new(stream, serial, reactor.now()));
@@ -104,29 +104,29 @@
 
     /// Takes a connection out, which closes it as soon as it is dropped.
     #[must_use = "the request that is open on the connection has to be ended"]
-    pub fn remove(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<ClientConnection> {
+    pub(crate) fn remove(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<ClientConnection> {
         let client = self.connections.remove(key)?;
         reactor.release(key);
         Some(client)
     }
 
     /// Connections that are not being closed yet.
-    pub fn not_closing(&self) -> Vec<ConnectionKey> {
+    pub(crate) fn not_closing(&self) -> Vec<ConnectionKey> {
         self.connections.iter().filter(|(_, client)| !client.is_closing()).map(|(key, _)| key).collect()
     }
 
     /// Whether no connection waits for anything but its end.
-    pub fn none_busy(&self) -> bool {
+    pub(crate) fn none_busy(&self) -> bool {
         self.connections.iter().all(|(_, client)| !client.is_busy())
     }
 
     /// Whether there is no connection.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.connections.len() == 0
     }
 
     /// Reads what has arrived.
-    pub fn receive(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> InputEvent {
+    pub(crate) fn receive(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> InputEvent {
         let Some(client) = self.connections.get_mut(key) else { return InputEvent::Discarded };
         let event = client.receive(reactor.now(), reactor.input_age());
         if event == InputEvent::DiscardedTooMuch {
@@ -136,14 +136,14 @@
     }
 
     /// Whether more is pipelined on a connection than is always kept.
-    pub fn has_many_pipelined(&self, key: ConnectionKey) -> bool {
+    pub(crate) fn has_many_pipelined(&self, key: ConnectionKey) -> bool {
         let many = |client: &ClientConnection| client.pipelined_bytes() > MIN_PIPELINED_BYTES;
         self.get(key).is_some_and(|client| client.is_busy() && many(client))
     }
 
     /// Bounds what is pipelined on a connection: one request always, a burst of them while there is memory. All input
     /// is read and no request is forgotten: the client's end would otherwise stay unseen behind it.
-    pub fn bound_pipelined(&mut self, key: ConnectionKey, limit: &MemoryLimit, buffered: usize) {
+    pub(crate) fn bound_pipelined(&mut self, key: ConnectionKey, limit: &MemoryLimit, buffered: usize) {
         let most = if limit.is_half_used(buffered) { MIN_PIPELINED_BYTES } else { MAX_PIPELINED_BYTES };
         if let Some(client) = self.connections.get_mut(key) {
             client.bound_pipelined(most);
@@ -151,7 +151,7 @@
     }
 
     /// Takes the next step of a connection's queue.
-    pub fn next_request(&mut self, now: Ms, key: ConnectionKey, host_closed: bool) -> QueueEvent {
+    pub(crate) fn next_request(&mut self, now: Ms, key: ConnectionKey, host_closed: bool) -> QueueEvent {
         match self.connections.get_mut(key) {
             Some(client) => client.next_request(now, host_closed),
             None => QueueEvent::None,
@@ -159,21 +159,25 @@
     }
 
     /// Counts a request whose head was good.
-    pub fn on_request_parsed(&mut self, now: Ms, key: ConnectionKey, close: bool) {
+    pub(crate) fn on_request_parsed(&mut self, now: Ms, key: ConnectionKey, close: bool) {
         if let Some(client) = self.connections.get_mut(key) {
             client.on_request_parsed(now, close);
         }
     }
 
     /// The request is in the registry from now on.
-    pub fn on_request_opened(&mut self, key: ConnectionKey, number: u64) {
+    pub(crate) fn on_request_opened(&mut self, key: ConnectionKey, number: u64) {
         if let Some(client) = self.connections.get_mut(key) {
             client.on_request_opened(number);
         }
     }
 
     /// Waits for the rest of a request. Whether the client has disconnected.
-    pub fn await_rest_of_request(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> DisconnectCheck {
+    pub(crate) fn await_rest_of_request(
+        &mut self,
+        reactor: &mut Reactor,
+        key: ConnectionKey,
+    ) -> DisconnectCheck {
         let Some(client) = self.connections.get_mut(key) else { return DisconnectCheck::Connected };
         if client.send_continue().is_err() {
             return DisconnectCheck::Disconnected;
@@ -186,11 +190,11 @@
     }
 
     /// Queues a response; none where the connection is closed.
-    pub fn queue_response(
+    pub(crate) fn queue_response(
         &mut self,
         now: Ms,
         key: ConnectionKey,
-        response: &OutgoingResponse,
+        response: &OutgoingResponse<'_>,
         host_closed: bool,
     ) -> Option<QueuedResponse> {
         let queued = self.connections.get_mut(key)?.queue_response(now, response, host_closed);
@@ -199,12 +203,12 @@
     }
 
     /// Clients whose response was just queued.
-    pub fn take_to_flush(&mut self) -> Vec<ConnectionKey> {
+    pub(crate) fn take_to_flush(&mut self) -> Vec<ConnectionKey> {
         std::mem::take(&mut self.to_flush)
     }
 
     /// Writes what is queued.
-    pub fn flush(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<FlushEvent> {
+    pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<FlushEvent> {
         let event = self.connections.get_mut(key)?.flush(reactor.now());
         if let FlushEvent::Blocked(since) = event {
             self.arm_timer(reactor, key, since);
@@ -213,14 +217,14 @@
     }
 
     /// Reads no more requests from a connection; it ends when its output is written.
-    pub fn begin_closing(&mut self, key: ConnectionKey) {
+    pub(crate) fn begin_closing(&mut self, key: ConnectionKey) {
         if let Some(client) = self.connections.get_mut(key) {
             client.begin_closing();
         }
     }
 
     /// Ends a connection on which nothing is owed, and gives the client time to read.
-    pub fn linger(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
+    pub(crate) fn linger(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
         let now = reactor.now();
         let Some(client) = self.connections.get_mut(key) else { return };
         client.linger(now);
@@ -228,7 +232,7 @@
     }
 
     /// Reads no more from a client, and checks from time to time whether it has disconnected.
-    pub fn stop_reading(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
+    pub(crate) fn stop_reading(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
         let Some(client) = self.connections.get_mut(key) else { return };
         if client.stop_reading() {
             reactor.set_timer(reactor.now(), Timer::DisconnectCheck(key, client.serial()));
@@ -236,7 +240,7 @@
     }
 
     /// A client whose input is not read may have disconnected.
-    pub fn check_disconnect(
+    pub(crate) fn check_disconnect(
         &self,
         reactor: &mut Reactor,
         key: ConnectionKey,
@@ -252,7 +256,7 @@
     }
 
     /// Whether a client has ended its connection. If so, it is closed with the next turn of the event loop.
-    pub fn note_disconnect(&mut self, key: ConnectionKey) -> bool {
+    pub(crate) fn note_disconnect(&mut self, key: ConnectionKey) -> bool {
         let disconnected = self.get(key).is_some_and(ClientConnection::has_disconnected);
         if disconnected {
             self.disconnected.push(key);
@@ -261,23 +265,23 @@
     }
 
     /// Clients that were found disconnected since the last call.
-    pub fn take_disconnected(&mut self) -> Vec<ConnectionKey> {
+    pub(crate) fn take_disconnected(&mut self) -> Vec<ConnectionKey> {
         std::mem::take(&mut self.disconnected)
     }
 
     /// Whether there are clients to flush or to close.
-    pub fn has_pending_work(&self) -> bool {
+    pub(crate) fn has_pending_work(&self) -> bool {
         !self.to_flush.is_empty() || !self.disconnected.is_empty()
     }
 
     /// A client's timer is due. Whether its input is to be read before [`ClientPool::timeout_action`] decides.
-    pub fn on_timer(&mut self, key: ConnectionKey, serial: u64) -> bool {
+    pub(crate) fn on_timer(&mut self, key: ConnectionKey, serial: u64) -> bool {
         let same = |client: &&mut ClientConnection| client.serial() == serial;
         self.connections.get_mut(key).filter(same).is_some_and(ClientConnection::on_timer)
     }
 
     /// What is done about a client whose timer was due; its timer is set again where that is all.
-    pub fn timeout_action(
+    pub(crate) fn timeout_action(
         &mut self,
         reactor: &mut Reactor,
         key: ConnectionKey,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -91,7 +91,7 @@
 
 /// A checked configuration.
 #[derive(Debug)]
-pub struct HostConfig {
+pub(crate) struct HostConfig {
     /// The host's name.
     pub name: String,
     /// Where it listens for clients.
@@ -116,7 +116,7 @@
 
 impl HostConfig {
     /// Reads and checks a file.
-    pub fn read(path: &Path) -> Result<HostConfig, ConfigError> {
+    pub(crate) fn read(path: &Path) -> Result<HostConfig, ConfigError> {
         let config = read_text(path).and_then(|text| HostConfig::parse(&text));
         config.map_err(|source| ConfigError::File { path: path.to_path_buf(), source })
     }
@@ -163,12 +163,12 @@
     }
 
     /// Whether the host's own agent has the list, and answers polls with it.
-    pub fn is_list_pushed(&self) -> bool {
+    pub(crate) fn is_list_pushed(&self) -> bool {
         self.max_poll_interval.is_none()
     }
 
     /// The client of discovery, which begins with the list that the host starts with.
-    pub fn endpoint_client(&self, now: Ms) -> EndpointClient {
+    pub(crate) fn endpoint_client(&self, now: Ms) -> EndpointClient {
         let pace = endpoint_list::pace(self.max_poll_interval, self.settings.drain_grace);
         let rules = endpoint_list::freshness_rules(self.settings.drain_grace);
         let known = self.known_list.as_ref().filter(|list| !list.records.is_empty());
@@ -179,7 +179,7 @@
 }
 
 /// The file that the environment names.
-pub fn path() -> Result<PathBuf, ConfigError> {
+pub(crate) fn path() -> Result<PathBuf, ConfigError> {
     match std::env::var_os(CONFIG_VARIABLE) {
         Some(path) if !path.is_empty() => Ok(path.into()),
         _ => Err(ConfigError::VariableNotSet),
@@ -195,7 +195,7 @@
 }
 
 /// The settings in which two files differ, by their dotted names, and how many more there are.
-pub fn changed_settings(before: &Value, after: &Value) -> Vec<String> {
+pub(crate) fn changed_settings(before: &Value, after: &Value) -> Vec<String> {
     let mut names = Vec::new();
     collect_changes(String::new(), before, after, &mut names);
     let more = names.len().saturating_sub(MAX_NAMED_SETTINGS);
--- a/crates/platform/src/connection_table.rs
+++ b/crates/platform/src/connection_table.rs
@@ -3,7 +3,7 @@
 use crate::reactor::ConnectionKey;
 
 /// Connections of one kind. Keys are shared by all kinds, so the table has gaps.
-pub struct ConnectionTable<T> {
+pub(crate) struct ConnectionTable<T> {
     slots: Vec<Option<Box<T>>>,
     count: usize,
 }
@@ -16,12 +16,12 @@
 
 impl<T> ConnectionTable<T> {
     /// How many connections there are.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.count
     }
 
     /// Adds a connection under a key that the reactor has just handed out.
-    pub fn insert(&mut self, key: ConnectionKey, connection: T) {
+    pub(crate) fn insert(&mut self, key: ConnectionKey, connection: T) {
         if self.slots.len() <= key {
             self.slots.resize_with(key + 1, || None);
         }
@@ -31,24 +31,24 @@
     }
 
     /// The connection of a key.
-    pub fn get(&self, key: ConnectionKey) -> Option<&T> {
+    pub(crate) fn get(&self, key: ConnectionKey) -> Option<&T> {
         self.slots.get(key)?.as_deref()
     }
 
     /// The connection of a key, to be changed.
-    pub fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut T> {
+    pub(crate) fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut T> {
         self.slots.get_mut(key)?.as_deref_mut()
     }
 
     /// Takes a connection out.
-    pub fn remove(&mut self, key: ConnectionKey) -> Option<T> {
+    pub(crate) fn remove(&mut self, key: ConnectionKey) -> Option<T> {
         let connection = self.slots.get_mut(key)?.take()?;
         self.count -= 1;
         Some(*connection)
     }
 
     /// All connections, in the order of their keys.
-    pub fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &T)> + '_ {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &T)> + '_ {
         self.slots.iter().enumerate().filter_map(|(key, slot)| Some((key, slot.as_deref()?)))
     }
 }
--- a/crates/platform/src/discovery_log.rs
+++ b/crates/platform/src/discovery_log.rs
@@ -12,7 +12,7 @@
 
 /// Why a poll ended without an endpoint list that could be used.
 #[derive(Debug, Error)]
-pub enum PollError {
+pub(crate) enum PollError {
     /// No connection could be begun.
     #[error("no connection: {0}")]
     Connect(#[source] std::io::Error),
@@ -44,7 +44,7 @@
 
 impl PollError {
     /// The name under which it is counted.
-    pub fn kind(&self) -> &'static str {
+    pub(crate) fn kind(&self) -> &'static str {
         match self {
             PollError::Connect(_) => "connect_failed",
             PollError::ConnectionFailed(_) | PollError::ConnectionClosed => "connection_lost",
@@ -60,7 +60,7 @@
 
 /// What a reload of the configuration file changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReloadResult {
+pub(crate) enum ReloadResult {
     /// Discovery has another address.
     AddressChanged,
     /// Nothing that is taken in without a restart.
@@ -69,7 +69,7 @@
 
 /// Counters of the discovery client since the start.
 #[derive(Clone, Debug, Default)]
-pub struct DiscoveryCounts {
+pub(crate) struct DiscoveryCounts {
     /// Polls.
     pub polls: u64,
     /// Lists from the current address.
@@ -97,7 +97,7 @@
 }
 
 /// Writes the log lines and keeps the counters.
-pub struct DiscoveryLog {
+pub(crate) struct DiscoveryLog {
     limit: LogLimit,
     counts: DiscoveryCounts,
     /// The last poll failed: the next list is logged at the default level.
@@ -123,12 +123,19 @@
 
 impl DiscoveryLog {
     /// The counters.
-    pub fn counts(&self) -> &DiscoveryCounts {
+    pub(crate) fn counts(&self) -> &DiscoveryCounts {
         &self.counts
     }
 
     /// A poll begins, beside `late` others that are late. Routine polls are logged at debug level alone.
-    pub fn poll_started(&mut self, now: Ms, poll: u64, late: usize, address: SocketAddr, target: &str) {
+    pub(crate) fn poll_started(
+        &mut self,
+        now: Ms,
+        poll: u64,
+        late: usize,
+        address: SocketAddr,
+        target: &str,
+    ) {
         self.counts.polls += 1;
         if self.failing || late > 0 {
             limited!(self, now, poll, late, %address, target, "endpoint_list_poll_started");
@@ -138,12 +145,19 @@
     }
 
     /// The connection of a poll is established.
-    pub fn connected(&self, poll: u64, address: SocketAddr, elapsed_ms: Ms) {
+    pub(crate) fn connected(&self, poll: u64, address: SocketAddr, elapsed_ms: Ms) {
         tracing::debug!(poll, %address, elapsed_ms, "discovery_connected");
     }
 
     /// A list from the current address was taken in.
-    pub fn list_received(&mut self, now: Ms, poll: u64, generation: u64, records: usize, elapsed_ms: Ms) {
+    pub(crate) fn list_received(
+        &mut self,
+        now: Ms,
+        poll: u64,
+        generation: u64,
+        records: usize,
+        elapsed_ms: Ms,
+    ) {
         self.counts.lists += 1;
         self.counts.lists_applied += 1;
         if std::mem::take(&mut self.failing) || records > 0 {
@@ -154,7 +168,7 @@
     }
 
     /// A list from an address before the last reload was taken in.
-    pub fn former_list_received(
+    pub(crate) fn former_list_received(
         &mut self,
         now: Ms,
         poll: u64,
@@ -168,18 +182,18 @@
     }
 
     /// A poll at an address before the last reload ended without a list that was taken in.
-    pub fn former_poll_failed(&mut self, now: Ms, poll: u64, error: &PollError) {
+    pub(crate) fn former_poll_failed(&mut self, now: Ms, poll: u64, error: &PollError) {
         limited!(self, now, poll, %error, "former_discovery_poll_failed");
     }
 
     /// A poll was ended as its answer is not wanted any more.
-    pub fn poll_cancelled(&mut self, now: Ms, poll: u64) {
+    pub(crate) fn poll_cancelled(&mut self, now: Ms, poll: u64) {
         self.counts.polls_cancelled += 1;
         limited!(self, now, poll, "endpoint_list_poll_cancelled");
     }
 
     /// A poll failed; the next one is due after `next_in_ms`.
-    pub fn poll_failed(&mut self, now: Ms, poll: u64, error: &PollError, next_in_ms: Ms) {
+    pub(crate) fn poll_failed(&mut self, now: Ms, poll: u64, error: &PollError, next_in_ms: Ms) {
         self.counts.polls_failed += 1;
         *self.counts.failures.entry(error.kind()).or_default() += 1;
         self.failing = true;
@@ -187,7 +201,7 @@
     }
 
     /// The configuration file was read again.
-    pub fn reloaded(&mut self, result: ReloadResult) {
+    pub(crate) fn reloaded(&mut self, result: ReloadResult) {
         match result {
             ReloadResult::AddressChanged => self.counts.reloads_applied += 1,
             ReloadResult::Unchanged => self.counts.reloads_unchanged += 1,
@@ -196,7 +210,7 @@
     }
 
     /// The configuration file could not be used: the current address stays until it can be.
-    pub fn reload_failed(
+    pub(crate) fn reload_failed(
         &mut self,
         now: Ms,
         error: &crate::config::ConfigError,
@@ -210,7 +224,7 @@
     }
 
     /// The validity of the list has changed.
-    pub fn validity_changed(&mut self, before: Validity, after: Validity, age_ms: Ms) {
+    pub(crate) fn validity_changed(&mut self, before: Validity, after: Validity, age_ms: Ms) {
         match after {
             Validity::Valid => tracing::info!(?before, age_ms, "endpoint_list_valid"),
             Validity::ServiceDown => {
--- a/crates/platform/src/endpoint_discovery.rs
+++ b/crates/platform/src/endpoint_discovery.rs
@@ -121,7 +121,7 @@
 }
 
 /// A list that was taken in.
-pub struct ReceivedList {
+pub(crate) struct ReceivedList {
     /// The list.
     pub list: EndpointList,
     /// How the engine is told of it.
@@ -132,13 +132,13 @@
 
 /// A change of what the list may be relied on for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ValidityChange {
+pub(crate) struct ValidityChange {
     /// Whether it has expired.
     pub expired: bool,
 }
 
 /// Polls the endpoint list, and knows until when the list may be relied on.
-pub struct EndpointDiscovery {
+pub(crate) struct EndpointDiscovery {
     client: EndpointClient,
     address: SocketAddr,
     connections: ConnectionTable<DiscoveryConnection>,
@@ -151,7 +151,7 @@
 
 impl EndpointDiscovery {
     /// Begins with the list of the configuration.
-    pub fn new(config: &HostConfig, now: Ms) -> EndpointDiscovery {
+    pub(crate) fn new(config: &HostConfig, now: Ms) -> EndpointDiscovery {
         EndpointDiscovery {
             client: config.endpoint_client(now),
             address: config.discovery,
@@ -163,17 +163,17 @@
     }
 
     /// The next step that is due, until there is none.
-    pub fn next_step(&mut self, now: Ms) -> Option<Step> {
+    pub(crate) fn next_step(&mut self, now: Ms) -> Option<Step> {
         self.client.due(now)
     }
 
     /// When [`EndpointDiscovery::next_step`] is to be called at the latest, and the validity to be checked.
-    pub fn wake_at(&self, now: Ms) -> Ms {
+    pub(crate) fn wake_at(&self, now: Ms) -> Ms {
         self.client.wakes_at(now)
     }
 
     /// Checks whether the list may still be relied on.
-    pub fn check_validity(&mut self, now: Ms) -> Option<ValidityChange> {
+    pub(crate) fn check_validity(&mut self, now: Ms) -> Option<ValidityChange> {
         let validity = self.client.validity(now);
         if validity == self.validity {
             return None;
@@ -184,12 +184,12 @@
     }
 
     /// The memory that its buffers take.
-    pub fn memory_bytes(&self) -> usize {
+    pub(crate) fn memory_bytes(&self) -> usize {
         self.buffers().map(|buffers| buffers.bytes).sum()
     }
 
     /// Its buffers.
-    pub fn buffers(&self) -> impl Iterator<Item = BufferUse> + '_ {
+    pub(crate) fn buffers(&self) -> impl Iterator<Item = BufferUse> + '_ {
         self.connections.iter().map(|(key, connection)| BufferUse {
             owner: BufferOwner::Upstream,
             bytes: connection.responses.memory_bytes(),
@@ -198,19 +198,19 @@
     }
 
     /// The memory that a connection's buffers take.
-    pub fn memory_of(&self, key: ConnectionKey) -> usize {
+    pub(crate) fn memory_of(&self, key: ConnectionKey) -> usize {
         self.connections.get(key).map_or(0, |connection| connection.responses.memory_bytes())
     }
 
     /// Notes that a poll starts. [`EndpointDiscovery::open_connection`] and then [`EndpointDiscovery::send_poll`] are
     /// next.
-    pub fn begin_poll(&mut self, now: Ms, poll: u64, target: Target) {
+    pub(crate) fn begin_poll(&mut self, now: Ms, poll: u64, target: Target) {
         let late = self.client.calls_out() - 1;
         self.log.poll_started(now, poll, late, self.address, &poll_path(target));
     }
 
     /// A connection for a poll: the one on which the last poll was answered, or a new one.
-    pub fn open_connection(&mut self, reactor: &mut Reactor) -> io::Result<ConnectionKey> {
+    pub(crate) fn open_connection(&mut self, reactor: &mut Reactor) -> io::Result<ConnectionKey> {
         if let Some(key) = self.take_idle_connection(reactor) {
             return Ok(key);
         }
@@ -232,7 +232,7 @@
     }
 
     /// Sends a poll on the connection that was opened for it.
-    pub fn send_poll(
+    pub(crate) fn send_poll(
         &mut self,
         reactor: &mut Reactor,
         poll: u64,
@@ -258,7 +258,7 @@
     }
 
     /// Ends a poll whose answer is not wanted any more.
-    pub fn cancel_poll(&mut self, reactor: &mut Reactor, poll: u64) {
+    pub(crate) fn cancel_poll(&mut self, reactor: &mut Reactor, poll: u64) {
         let carries = |connection: &DiscoveryConnection| {
             connection.in_flight.is_some_and(|in_flight| in_flight.poll == poll)
         };
@@ -270,7 +270,7 @@
     }
 
     /// Writes what a poll still has to write, and notes when its connection is established.
-    pub fn on_writable(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
+    pub(crate) fn on_writable(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         let was_connecting = connection.responses.stream().connecting();
         if let Err(ended) = connection.responses.stream_mut().flush() {
@@ -286,7 +286,7 @@
     }
 
     /// Reads what discovery has sent; a list, if one was taken in.
-    pub fn on_readable(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<ReceivedList> {
+    pub(crate) fn on_readable(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<ReceivedList> {
         let connection = self.connections.get_mut(key)?;
         if connection.responses.stream().connecting() {
             self.on_writable(reactor, key);
@@ -378,7 +378,7 @@
     }
 
     /// Closes a connection whose buffers take too much memory.
-    pub fn close_over_memory(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
+    pub(crate) fn close_over_memory(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
         self.fail(reactor, key, &PollFailure::unusable(PollError::TooLarge));
     }
 
@@ -414,7 +414,7 @@
     }
 
     /// The configuration file was read again. Where it names another address, that is polled at once.
-    pub fn on_config_reloaded(&mut self, reactor: &mut Reactor, address: SocketAddr) -> ReloadResult {
+    pub(crate) fn on_config_reloaded(&mut self, reactor: &mut Reactor, address: SocketAddr) -> ReloadResult {
         let former = self.address;
         if address == former {
             self.log.reloaded(ReloadResult::Unchanged);
@@ -435,7 +435,13 @@
     }
 
     /// The configuration file could not be used. `first`: since its reload was requested.
-    pub fn on_reload_failed(&mut self, now: Ms, error: &ConfigError, first: bool, retry_in: Option<Ms>) {
+    pub(crate) fn on_reload_failed(
+        &mut self,
+        now: Ms,
+        error: &ConfigError,
+        first: bool,
+        retry_in: Option<Ms>,
+    ) {
         if first {
             self.client.reload_refused(now);
         }
@@ -443,7 +449,7 @@
     }
 
     /// Reports its state and counters.
-    pub fn log_metrics(&self, now: Ms) {
+    pub(crate) fn log_metrics(&self, now: Ms) {
         tracing::info!(
             address = %self.address, generation = self.client.generation(), validity = ?self.validity,
             age_ms = self.client.age(now).round(),
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -38,7 +38,7 @@
 /// `drain_grace`: for how long an endpoint may still be sent requests after its drain was announced, where lists are
 /// pushed. There the host's own agent answers the polls, and a change binds whether or not it was read, so a broken
 /// poll must be noticed and made again within that grace.
-pub fn pace(max_poll_interval: Option<Ms>, drain_grace: Option<Ms>) -> Pace {
+pub(crate) fn pace(max_poll_interval: Option<Ms>, drain_grace: Option<Ms>) -> Pace {
     let Some(max_poll_interval) = max_poll_interval else {
         let grace = drain_grace.unwrap_or(0.0).max(MIN_DRAIN_GRACE_MS);
         return Pace {
@@ -62,7 +62,7 @@
 
 /// As of when a list that a process starts with counts as complete. Where lists are pushed, what the agent has binds
 /// from the first moment of a process.
-pub fn cached_list_as_of(now: Ms, pushed: bool) -> Ms {
+pub(crate) fn cached_list_as_of(now: Ms, pushed: bool) -> Ms {
     match pushed {
         true => f64::NEG_INFINITY,
         false => now - CACHED_LIST_AGE_MS,
@@ -70,7 +70,7 @@
 }
 
 /// When a change binds this host although it has not received it. `drain_grace`: set where lists are pushed.
-pub fn freshness_rules(drain_grace: Option<Ms>) -> FreshnessRules {
+pub(crate) fn freshness_rules(drain_grace: Option<Ms>) -> FreshnessRules {
     match drain_grace {
         // It binds at once, and the grace covers a stall of the process.
         Some(grace) => FreshnessRules {
@@ -136,7 +136,7 @@
 
 /// A record of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndpointRecord {
+pub(crate) struct EndpointRecord {
     /// The endpoint's id.
     pub id: String,
     /// Its address; none where it was removed.
@@ -153,7 +153,7 @@
 
 /// An endpoint list, or the changes since an earlier one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndpointList {
+pub(crate) struct EndpointList {
     /// The number of its state.
     pub generation: u64,
     /// Whether it is complete; if not, it names what has changed.
@@ -241,12 +241,12 @@
 
 impl EndpointList {
     /// Reads a list; one record that cannot be read fails it as a whole.
-    pub fn from_json(value: &Value) -> Result<EndpointList, ListError> {
+    pub(crate) fn from_json(value: &Value) -> Result<EndpointList, ListError> {
         ListDocument::deserialize(value)?.try_into()
     }
 
     /// The same, from text.
-    pub fn from_slice(body: &[u8]) -> Result<EndpointList, ListError> {
+    pub(crate) fn from_slice(body: &[u8]) -> Result<EndpointList, ListError> {
         EndpointList::from_json(&serde_json::from_slice(body)?)
     }
 }
--- a/crates/platform/src/endpoint_table.rs
+++ b/crates/platform/src/endpoint_table.rs
@@ -22,7 +22,7 @@
 
 /// What an update of an endpoint means for connections to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndpointChange {
+pub(crate) enum EndpointChange {
     /// Connections stay.
     None,
     /// It has another address: idle connections are of no more use.
@@ -35,7 +35,7 @@
 
 /// An endpoint's record, as the scheduler is notified of it.
 #[derive(Debug)]
-pub struct EndpointUpdated {
+pub(crate) struct EndpointUpdated {
     /// Its number in this process.
     pub number: u32,
     /// What the scheduler is notified of.
@@ -45,7 +45,7 @@
 }
 
 /// All endpoints of the list.
-pub struct EndpointTable {
+pub(crate) struct EndpointTable {
     endpoints: BTreeMap<u32, KnownEndpoint>,
     numbers: EndpointNumbers,
     wall_clock: WallClock,
@@ -54,38 +54,38 @@
 
 impl EndpointTable {
     /// `zones`: the names of zones in the order of their numbers.
-    pub fn new(wall_clock: WallClock, zones: Vec<String>) -> EndpointTable {
+    pub(crate) fn new(wall_clock: WallClock, zones: Vec<String>) -> EndpointTable {
         let (endpoints, numbers) = (BTreeMap::new(), EndpointNumbers::default());
         EndpointTable { endpoints, numbers, wall_clock, zones }
     }
 
     /// How many endpoints the list names.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.endpoints.len()
     }
 
     /// The id of an endpoint in the list.
-    pub fn id(&self, number: u32) -> Option<&str> {
+    pub(crate) fn id(&self, number: u32) -> Option<&str> {
         self.endpoints.get(&number).map(|endpoint| endpoint.id.as_str())
     }
 
     /// The address of an endpoint.
-    pub fn address(&self, number: u32) -> Option<SocketAddr> {
+    pub(crate) fn address(&self, number: u32) -> Option<SocketAddr> {
         self.endpoints.get(&number).and_then(|endpoint| endpoint.address)
     }
 
     /// Whether an endpoint accepts new requests.
-    pub fn is_ready(&self, number: u32) -> bool {
+    pub(crate) fn is_ready(&self, number: u32) -> bool {
         self.endpoints.get(&number).is_some_and(|endpoint| endpoint.state == EndpointState::Ready)
     }
 
     /// The wall clock was read at this time of the loop's clock.
-    pub fn on_wall_clock(&mut self, unix: f64, now: Ms) {
+    pub(crate) fn on_wall_clock(&mut self, unix: f64, now: Ms) {
         self.wall_clock.read(unix, now);
     }
 
     /// Endpoints that a complete list does not name any more.
-    pub fn missing_from(&self, list: &EndpointList) -> Vec<u32> {
+    pub(crate) fn missing_from(&self, list: &EndpointList) -> Vec<u32> {
         if !list.complete {
             return Vec::new();
         }
@@ -95,7 +95,7 @@
     }
 
     /// Takes in a record of the list; none where it removes an endpoint that was never known.
-    pub fn update(&mut self, now: Ms, record: &EndpointRecord) -> Option<EndpointUpdated> {
+    pub(crate) fn update(&mut self, now: Ms, record: &EndpointRecord) -> Option<EndpointUpdated> {
         let number = match record.state {
             EndpointState::Removed => self.numbers.get(&record.id)?,
             _ => self.numbers.get_or_assign(now, &record.id),
@@ -129,7 +129,7 @@
     }
 
     /// Forgets an endpoint that has left the list.
-    pub fn remove(&mut self, now: Ms, number: u32) {
+    pub(crate) fn remove(&mut self, now: Ms, number: u32) {
         if let Some(known) = self.endpoints.remove(&number) {
             self.numbers.release(now, &known.id);
         }
--- a/crates/platform/src/event_loop.rs
+++ b/crates/platform/src/event_loop.rs
@@ -32,7 +32,7 @@
 const READY_WITHOUT_LIST_MS: Ms = 1500.0;
 
 /// A running host.
-pub struct EventLoop {
+pub(crate) struct EventLoop {
     engine: Engine,
     proxy: Proxy,
     discovery: EndpointDiscovery,
@@ -45,7 +45,7 @@
 
 impl EventLoop {
     /// Opens the sockets of a host, and takes in the endpoint list that it starts with.
-    pub fn new(config: HostConfig, path: &Path) -> io::Result<EventLoop> {
+    pub(crate) fn new(config: HostConfig, path: &Path) -> io::Result<EventLoop> {
         let (poll, clock) = (Poll::new()?, Clock::start());
         let now = clock.now();
         let sigterm = SignalSource::register(&poll, signal_hook::consts::SIGTERM, SIGTERM_KEY)?;
@@ -81,7 +81,7 @@
     }
 
     /// Serves until the host has shut down.
-    pub fn run(&mut self) -> io::Result<()> {
+    pub(crate) fn run(&mut self) -> io::Result<()> {
         let mut woken = Woken::default();
         loop {
             self.run_engine();
--- a/crates/platform/src/idle_pool.rs
+++ b/crates/platform/src/idle_pool.rs
@@ -11,7 +11,7 @@
 const MAX_IDLE_SHARE: f64 = 0.7;
 
 /// Idle connections by endpoint.
-pub struct IdlePool {
+pub(crate) struct IdlePool {
     /// By endpoint: the keys of its idle connections, each with the time since when; the latest is the last.
     idle: BTreeMap<u32, VecDeque<(ConnectionKey, Ms)>>,
     max_idle: Option<Ms>,
@@ -19,19 +19,19 @@
 
 impl IdlePool {
     /// `idle_timeout`: after how long an endpoint closes an idle connection; none: never.
-    pub fn new(idle_timeout: Option<Ms>) -> IdlePool {
+    pub(crate) fn new(idle_timeout: Option<Ms>) -> IdlePool {
         IdlePool { idle: BTreeMap::new(), max_idle: idle_timeout.map(|timeout| timeout * MAX_IDLE_SHARE) }
     }
 
     /// A connection has become idle.
-    pub fn put(&mut self, now: Ms, endpoint: u32, key: ConnectionKey) {
+    pub(crate) fn put(&mut self, now: Ms, endpoint: u32, key: ConnectionKey) {
         self.idle.entry(endpoint).or_default().push_back((key, now));
     }
 
     /// Takes the connection that became idle last among those that have been idle for `min_idle`, so that surplus
     /// connections expire unused. One that has been idle for less is never taken: what is left of its last exchange
     /// may still arrive, and would be read as the response to the next request.
-    pub fn take(&mut self, now: Ms, endpoint: u32, min_idle: Ms) -> Option<ConnectionKey> {
+    pub(crate) fn take(&mut self, now: Ms, endpoint: u32, min_idle: Ms) -> Option<ConnectionKey> {
         let idle = self.idle.get_mut(&endpoint)?;
         let position = idle.iter().rposition(|(_, since)| now - since >= min_idle)?;
         let taken = idle.remove(position).map(|(key, _)| key);
@@ -40,19 +40,19 @@
     }
 
     /// Takes a connection out that was closed while it was idle.
-    pub fn remove(&mut self, endpoint: u32, key: ConnectionKey) {
+    pub(crate) fn remove(&mut self, endpoint: u32, key: ConnectionKey) {
         let Some(idle) = self.idle.get_mut(&endpoint) else { return };
         idle.retain(|(idle_key, _)| *idle_key != key);
         self.drop_if_empty(endpoint);
     }
 
     /// Takes out all connections of an endpoint, to which nothing more is sent.
-    pub fn remove_endpoint(&mut self, endpoint: u32) -> Vec<ConnectionKey> {
+    pub(crate) fn remove_endpoint(&mut self, endpoint: u32) -> Vec<ConnectionKey> {
         self.idle.remove(&endpoint).into_iter().flatten().map(|(key, _)| key).collect()
     }
 
     /// Takes out the connection that has been idle for longest, to make room for another.
-    pub fn evict_oldest(&mut self) -> Option<ConnectionKey> {
+    pub(crate) fn evict_oldest(&mut self) -> Option<ConnectionKey> {
         let oldest = self.idle.iter().filter_map(|(endpoint, idle)| Some((idle.front()?.1, *endpoint)));
         let (_, endpoint) = oldest.min_by(|a, b| a.0.total_cmp(&b.0))?;
         let key = self.idle.get_mut(&endpoint)?.pop_front().map(|(key, _)| key);
@@ -61,7 +61,7 @@
     }
 
     /// Takes out those that have been idle for too long.
-    pub fn take_expired(&mut self, now: Ms) -> Vec<ConnectionKey> {
+    pub(crate) fn take_expired(&mut self, now: Ms) -> Vec<ConnectionKey> {
         let Some(max_idle) = self.max_idle else { return Vec::new() };
         let mut expired = Vec::new();
         for idle in self.idle.values_mut() {
--- a/crates/platform/src/incoming_request.rs
+++ b/crates/platform/src/incoming_request.rs
@@ -34,7 +34,7 @@
 }
 
 /// The id that the client has given a request, byte for byte.
-pub fn id<'a>(head: &RequestHead<'a>) -> Result<&'a str, Rejection> {
+pub(crate) fn id<'a>(head: &RequestHead<'a>) -> Result<&'a str, Rejection> {
     let id = required(head, "x-request-id", "there must be one X-Request-Id")?;
     let is_id_byte = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     match id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(is_id_byte) {
@@ -130,8 +130,8 @@
 }
 
 /// The request of a head and a body of `body_length` bytes. `waited`: how much of its time is over already.
-pub fn parse(
-    head: &RequestHead,
+pub(crate) fn parse(
+    head: &RequestHead<'_>,
     body_length: usize,
     settings: &PlatformSettings,
     waited: Ms,
@@ -182,7 +182,7 @@
 }
 
 /// The head that an endpoint is sent, up to the deadline, which is known when it is written.
-pub fn upstream_head(head: &RequestHead, body_length: usize) -> Result<Vec<u8>, Rejection> {
+pub(crate) fn upstream_head(head: &RequestHead<'_>, body_length: usize) -> Result<Vec<u8>, Rejection> {
     let single = |name, reason| head.headers.single(name).map_err(|_| bad_request(reason));
     let idempotency_key = single("idempotency-key", "there may be one Idempotency-Key")?;
     let length = body_length.to_string();
--- a/crates/platform/src/incoming_request/tests.rs
+++ b/crates/platform/src/incoming_request/tests.rs
@@ -22,7 +22,7 @@
     Content-Length: 3\r\nX-Placement: units=2,shard=5,hosts=3\r\n\r\n";
 
 /// How long the body is that a request's head names.
-fn bytes(request: &RequestHead) -> usize {
+fn bytes(request: &RequestHead<'_>) -> usize {
     match request.framing {
         BodyFraming::Length(length) => length,
         BodyFraming::Chunked => panic!("of unknown length"),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -7,8 +7,6 @@
 //! on, and `event_loop` what tells each owner what has happened. What can be decided without I/O is decided in
 //! modules of its own, which say so.
 
-#![warn(missing_docs)]
-
 mod attempt_end;
 mod client_connection;
 mod client_policy;
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -10,7 +10,7 @@
 
 /// What came of accepting one connection.
 #[derive(Debug)]
-pub enum Accepted {
+pub(crate) enum Accepted {
     /// A connection.
     Connection(TcpStream),
     /// No connection is waiting, or the listener is closed.
@@ -24,20 +24,20 @@
 }
 
 /// The listening socket until the host closes it.
-pub struct Listener {
+pub(crate) struct Listener {
     socket: Option<Registered<TcpListener>>,
     resumes_at: Ms,
 }
 
 impl Listener {
     /// Listens on an address.
-    pub fn bind(poll: &Poll, key: usize, address: SocketAddr, now: Ms) -> io::Result<Listener> {
+    pub(crate) fn bind(poll: &Poll, key: usize, address: SocketAddr, now: Ms) -> io::Result<Listener> {
         let socket = poll.register(magpiewick_transport::listen(address)?, key)?;
         Ok(Listener { socket: Some(socket), resumes_at: now })
     }
 
     /// Accepts a connection that is waiting.
-    pub fn accept(&mut self) -> Accepted {
+    pub(crate) fn accept(&mut self) -> Accepted {
         let Some(socket) = &mut self.socket else { return Accepted::NoneWaiting };
         match socket.accept() {
             Ok((stream, _)) => Accepted::Connection(stream),
@@ -51,7 +51,7 @@
     }
 
     /// Accepts nothing for a while.
-    pub fn pause(&mut self, now: Ms) {
+    pub(crate) fn pause(&mut self, now: Ms) {
         self.resumes_at = now + ACCEPT_PAUSE_MS;
         if let Some(socket) = &mut self.socket {
             _ = socket.watch(false, false);
@@ -59,7 +59,7 @@
     }
 
     /// Accepts again once a pause is over.
-    pub fn resume_if_due(&mut self, now: Ms) {
+    pub(crate) fn resume_if_due(&mut self, now: Ms) {
         if now < self.resumes_at {
             return;
         }
@@ -69,17 +69,17 @@
     }
 
     /// When a pause is over; none where nothing is paused.
-    pub fn resumes_at(&self, now: Ms) -> Option<Ms> {
+    pub(crate) fn resumes_at(&self, now: Ms) -> Option<Ms> {
         self.socket.as_ref().filter(|_| self.resumes_at > now).map(|_| self.resumes_at)
     }
 
     /// Whether the socket is still open.
-    pub fn is_open(&self) -> bool {
+    pub(crate) fn is_open(&self) -> bool {
         self.socket.is_some()
     }
 
     /// Closes the socket.
-    pub fn close(&mut self) {
+    pub(crate) fn close(&mut self) {
         self.socket = None;
     }
 }
--- a/crates/platform/src/memory_limit.rs
+++ b/crates/platform/src/memory_limit.rs
@@ -9,7 +9,7 @@
 /// Whose buffers they are. A client that is owed a response is never closed; a connection to an endpoint is closed
 /// before a client that is being sent its response, as the attempt on it can still be answered in another way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum BufferOwner {
+pub(crate) enum BufferOwner {
     /// A connection on which this host sends requests.
     Upstream,
     /// A client that is being sent its response.
@@ -20,7 +20,7 @@
 
 /// The buffers of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BufferUse {
+pub(crate) struct BufferUse {
     /// Whose they are.
     pub owner: BufferOwner,
     /// Their size.
@@ -31,23 +31,23 @@
 
 /// How much memory all buffers together may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MemoryLimit {
+pub(crate) struct MemoryLimit {
     bytes: usize,
 }
 
 impl MemoryLimit {
     /// `limit_mb`: the memory limit of the process.
-    pub fn new(limit_mb: f64) -> MemoryLimit {
+    pub(crate) fn new(limit_mb: f64) -> MemoryLimit {
         MemoryLimit { bytes: (limit_mb * BUFFERED_SHARE * f64::from(1 << 20)) as usize }
     }
 
     /// Whether so many bytes are more than half of what buffers may take.
-    pub fn is_half_used(self, bytes: usize) -> bool {
+    pub(crate) fn is_half_used(self, bytes: usize) -> bool {
         bytes > self.bytes / 2
     }
 
     /// The connections that are closed: of each kind of owner the largest first, until the rest is within the limit.
-    pub fn select_to_close(self, all: impl Iterator<Item = BufferUse>) -> Vec<ConnectionKey> {
+    pub(crate) fn select_to_close(self, all: impl Iterator<Item = BufferUse>) -> Vec<ConnectionKey> {
         let mut all: Vec<BufferUse> = all.filter(|buffers| buffers.bytes > 0).collect();
         let mut total: usize = all.iter().map(|buffers| buffers.bytes).sum();
         if total <= self.bytes {
--- a/crates/platform/src/metrics.rs
+++ b/crates/platform/src/metrics.rs
@@ -4,7 +4,7 @@
 
 /// Counters since the start; the log reports them by these names.
 #[derive(Debug, Default)]
-pub struct Metrics {
+pub(crate) struct Metrics {
     /// Requests that were accepted.
     pub requests_received: u64,
     /// Requests that were answered with an endpoint's response.
--- a/crates/platform/src/proxy.rs
+++ b/crates/platform/src/proxy.rs
@@ -7,7 +7,7 @@
 mod clients;
 mod upstreams;
 
-pub use clients::ClientEvent;
+pub(crate) use clients::ClientEvent;
 
 use crate::attempt_end::AttemptEnd;
 use crate::client_policy::ConnectionLimits;
@@ -33,7 +33,7 @@
 const RESERVED_DESCRIPTORS: usize = 20;
 
 /// Carries requests between clients and endpoints.
-pub struct Proxy {
+pub(crate) struct Proxy {
     reactor: Reactor,
     settings: PlatformSettings,
     clients: ClientPool,
@@ -52,7 +52,7 @@
 
 impl Proxy {
     /// `ready_at`: when the host is ready for clients at the latest.
-    pub fn new(reactor: Reactor, config: &HostConfig, ready_at: Ms) -> Proxy {
+    pub(crate) fn new(reactor: Reactor, config: &HostConfig, ready_at: Ms) -> Proxy {
         let settings = config.settings.clone();
         let limits = ConnectionLimits::new(config.sockets, config.sockets - RESERVED_DESCRIPTORS);
         let longest = config.scheduler.classes.iter().map(|class| class.client_timeout).fold(0.0, f64::max);
@@ -75,63 +75,63 @@
     }
 
     /// The time at which the current turn of the event loop began.
-    pub fn now(&self) -> Ms {
+    pub(crate) fn now(&self) -> Ms {
         self.reactor.now()
     }
 
     /// The reactor, for the event loop and for connections to discovery.
-    pub fn reactor(&self) -> &Reactor {
+    pub(crate) fn reactor(&self) -> &Reactor {
         &self.reactor
     }
 
     /// The reactor, for the event loop and for connections to discovery.
-    pub fn reactor_mut(&mut self) -> &mut Reactor {
+    pub(crate) fn reactor_mut(&mut self) -> &mut Reactor {
         &mut self.reactor
     }
 
     /// Logs that no connection can be accepted for a while.
-    pub fn log_accept_paused(&mut self, error: &io::Error) {
+    pub(crate) fn log_accept_paused(&mut self, error: &io::Error) {
         self.log.accept_paused(self.reactor.now(), error);
     }
 
     /// How far a shutdown has come.
-    pub fn shutdown(&self) -> &GracefulShutdown {
+    pub(crate) fn shutdown(&self) -> &GracefulShutdown {
         &self.shutdown
     }
 
     /// Begins a graceful shutdown.
-    pub fn begin_shutdown(&mut self) {
+    pub(crate) fn begin_shutdown(&mut self) {
         self.shutdown.begin(self.reactor.now());
     }
 
     /// When the engine is to be run at the latest.
-    pub fn engine_wake_at(&self) -> Ms {
+    pub(crate) fn engine_wake_at(&self) -> Ms {
         self.engine_wake_at
     }
 
     /// The host is ready for clients from now on, if it was not before.
-    pub fn mark_ready(&mut self) {
+    pub(crate) fn mark_ready(&mut self) {
         self.ready_at = self.ready_at.min(self.reactor.now());
     }
 
     /// Whether a request is open or an attempt is in flight.
-    pub fn has_requests(&self) -> bool {
+    pub(crate) fn has_requests(&self) -> bool {
         !self.requests.is_empty()
     }
 
     /// Whether clients need this process no more: they have disconnected or, once the process is to exit, are owed
     /// nothing.
-    pub fn clients_are_done(&self, exit_due: bool) -> bool {
+    pub(crate) fn clients_are_done(&self, exit_due: bool) -> bool {
         self.clients.is_empty() || exit_due && self.clients.none_busy()
     }
 
     /// Whether there is anything for the engine or for clients before the event loop may wait.
-    pub fn has_pending_work(&self) -> bool {
+    pub(crate) fn has_pending_work(&self) -> bool {
         !self.pending_outcomes.is_empty() || self.clients.has_pending_work()
     }
 
     /// Reports the counters.
-    pub fn log_metrics(&self) {
+    pub(crate) fn log_metrics(&self) {
         tracing::info!(
             requests_pending = self.requests.len(), client_connections = self.clients.len(),
             connections = self.reactor.connection_count(), endpoints = self.endpoints.len(),
@@ -141,7 +141,7 @@
     }
 
     /// Reports the counters as the host stops.
-    pub fn log_stopped(&self) {
+    pub(crate) fn log_stopped(&self) {
         tracing::info!(metrics = ?self.metrics, "host_stopped");
     }
 
@@ -153,7 +153,7 @@
 /// Memory.
 impl Proxy {
     /// The memory that a connection's buffers take, without its open request.
-    pub fn memory_of(&self, key: ConnectionKey) -> usize {
+    pub(crate) fn memory_of(&self, key: ConnectionKey) -> usize {
         let of_client = self.clients.get(key).map(|client| client.memory_bytes());
         of_client.or_else(|| self.upstreams.get(key).map(|u| u.memory_bytes())).unwrap_or(0)
     }
@@ -167,7 +167,7 @@
 
     /// Connections that are to be closed as buffers take too much memory. `others`: those of connections that the
     /// proxy does not own.
-    pub fn connections_over_memory_limit(
+    pub(crate) fn connections_over_memory_limit(
         &self,
         others: impl Iterator<Item = BufferUse>,
     ) -> Vec<ConnectionKey> {
@@ -187,7 +187,7 @@
     }
 
     /// Counts a connection that is closed as buffers take too much memory.
-    pub fn count_closed_over_memory(&mut self) {
+    pub(crate) fn count_closed_over_memory(&mut self) {
         self.metrics.closed_over_memory += 1;
     }
 }
@@ -195,24 +195,24 @@
 /// Requests.
 impl Proxy {
     /// Outcomes that the engine has to be told.
-    pub fn take_pending_outcomes(&mut self) -> Vec<(u64, Answer)> {
+    pub(crate) fn take_pending_outcomes(&mut self) -> Vec<(u64, Answer)> {
         std::mem::take(&mut self.pending_outcomes)
     }
 
     /// Forgets a request that has its response and no attempt in flight.
-    pub fn release_if_done(&mut self, number: u64) {
+    pub(crate) fn release_if_done(&mut self, number: u64) {
         self.requests.release_if_done(number);
     }
 
     /// Ends all attempts in flight, as the host has no time left.
-    pub fn time_out_all_attempts(&mut self) {
+    pub(crate) fn time_out_all_attempts(&mut self) {
         for (number, attempt) in self.requests.attempts_in_flight() {
             self.end_attempt_early(number, attempt, AttemptEnd::TimedOut);
         }
     }
 
     /// All requests, in order.
-    pub fn request_numbers(&self) -> Vec<u64> {
+    pub(crate) fn request_numbers(&self) -> Vec<u64> {
         self.requests.numbers()
     }
 
--- a/crates/platform/src/proxy/attempts.rs
+++ b/crates/platform/src/proxy/attempts.rs
@@ -85,7 +85,7 @@
     }
 
     /// Ends an attempt that is in flight, as its time is over or nobody waits for it.
-    pub fn end_attempt_early(&mut self, number: u64, attempt: u32, end: AttemptEnd) {
+    pub(crate) fn end_attempt_early(&mut self, number: u64, attempt: u32, end: AttemptEnd) {
         let in_flight = self.requests.get(number).and_then(OpenRequest::in_flight);
         let same = in_flight.filter(|in_flight| in_flight.attempt == attempt);
         if let Some(key) = same.and_then(|in_flight| in_flight.connection) {
--- a/crates/platform/src/proxy/clients.rs
+++ b/crates/platform/src/proxy/clients.rs
@@ -22,7 +22,7 @@
 const DUPLICATE_ID: Rejection = Rejection { status: 409, reason: "the X-Request-Id is open already" };
 
 /// What the event loop has to do about a client.
-pub enum ClientEvent {
+pub(crate) enum ClientEvent {
     /// Nothing.
     None,
     /// Close the connection: the client has disconnected.
@@ -33,7 +33,7 @@
 
 impl Proxy {
     /// Takes in a connection that was just accepted, where there is room for it.
-    pub fn accept_client(&mut self, stream: TcpStream) {
+    pub(crate) fn accept_client(&mut self, stream: TcpStream) {
         if self.clients.is_full() && !self.evict_client() {
             return;
         }
@@ -46,7 +46,7 @@
     }
 
     /// Closes the connection of the client that is best spared; false where there is none.
-    pub fn evict_client(&mut self) -> bool {
+    pub(crate) fn evict_client(&mut self) -> bool {
         self.evict_client_where(|_| true)
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Closes a client's connection; the request that was open on it, of which the engine has to be told.
-    pub fn close_client(&mut self, key: ConnectionKey, reason: ClientCloseReason) -> Option<u64> {
+    pub(crate) fn close_client(&mut self, key: ConnectionKey, reason: ClientCloseReason) -> Option<u64> {
         let client = self.clients.remove(&mut self.reactor, key)?;
         let request = client.open_request();
         self.log.client_closed(self.reactor.now(), client.serial(), client.requests(), request, reason);
@@ -73,13 +73,13 @@
     }
 
     /// The engine was told that the client of a request has disconnected: nothing of it starts any more.
-    pub fn end_abandoned_request(&mut self, number: u64) {
+    pub(crate) fn end_abandoned_request(&mut self, number: u64) {
         self.withdraw_if_unwritten(number);
         self.requests.release_if_done(number);
     }
 
     /// Reads what a client has sent. `discovery` counts towards the memory in use.
-    pub fn read_client(&mut self, key: ConnectionKey, discovery: &EndpointDiscovery) -> ClientEvent {
+    pub(crate) fn read_client(&mut self, key: ConnectionKey, discovery: &EndpointDiscovery) -> ClientEvent {
         match self.clients.receive(&mut self.reactor, key) {
             InputEvent::Disconnected => ClientEvent::Disconnected,
             InputEvent::Discarded | InputEvent::DiscardedTooMuch => ClientEvent::None,
@@ -94,7 +94,7 @@
     }
 
     /// Writes what is queued for a client, and goes on with its queue.
-    pub fn flush_client(&mut self, key: ConnectionKey) -> ClientEvent {
+    pub(crate) fn flush_client(&mut self, key: ConnectionKey) -> ClientEvent {
         match self.clients.flush(&mut self.reactor, key) {
             None | Some(ClientFlushEvent::Blocked(_) | ClientFlushEvent::RequestOpen) => ClientEvent::None,
             Some(ClientFlushEvent::Disconnected) => ClientEvent::Disconnected,
@@ -152,7 +152,7 @@
     fn open_request(
         &mut self,
         key: ConnectionKey,
-        head: &RequestHead,
+        head: &RequestHead<'_>,
         request: &CompleteRequest,
         waited: Ms,
     ) -> Result<ClientEvent, Rejection> {
@@ -191,7 +191,7 @@
     }
 
     /// Queues a response for a client, which gets no other one to this request.
-    pub(super) fn send_response(&mut self, key: ConnectionKey, response: &OutgoingResponse) {
+    pub(super) fn send_response(&mut self, key: ConnectionKey, response: &OutgoingResponse<'_>) {
         let now = self.reactor.now();
         let host_closed = self.shutdown.is_closed(now);
         let Some(queued) = self.clients.queue_response(now, key, response, host_closed) else { return };
@@ -211,12 +211,12 @@
     }
 
     /// A client's timer is due. Whether its input is to be read before [`Proxy::expire_client`].
-    pub fn on_client_timer(&mut self, key: ConnectionKey, serial: u64) -> bool {
+    pub(crate) fn on_client_timer(&mut self, key: ConnectionKey, serial: u64) -> bool {
         self.clients.on_timer(key, serial)
     }
 
     /// Decides about a client whose timer was due; why its connection is to be closed, if it is.
-    pub fn expire_client(&mut self, key: ConnectionKey, serial: u64) -> Option<ClientCloseReason> {
+    pub(crate) fn expire_client(&mut self, key: ConnectionKey, serial: u64) -> Option<ClientCloseReason> {
         match self.clients.timeout_action(&mut self.reactor, key, serial) {
             TimeoutAction::None | TimeoutAction::RearmFrom(_) => None,
             TimeoutAction::CloseResponseNotRead => Some(ClientCloseReason::ResponseNotRead),
@@ -230,29 +230,29 @@
     }
 
     /// Whether a client whose input is not read has disconnected.
-    pub fn check_disconnect(&mut self, key: ConnectionKey, serial: u64) -> DisconnectCheck {
+    pub(crate) fn check_disconnect(&mut self, key: ConnectionKey, serial: u64) -> DisconnectCheck {
         self.clients.check_disconnect(&mut self.reactor, key, serial)
     }
 
     /// Clients whose response was just queued.
-    pub fn take_clients_to_flush(&mut self) -> Vec<ConnectionKey> {
+    pub(crate) fn take_clients_to_flush(&mut self) -> Vec<ConnectionKey> {
         self.clients.take_to_flush()
     }
 
     /// Clients that were found disconnected while an attempt was to be written for them.
-    pub fn take_disconnected_clients(&mut self) -> Vec<ConnectionKey> {
+    pub(crate) fn take_disconnected_clients(&mut self) -> Vec<ConnectionKey> {
         let mut found = self.clients.take_disconnected();
         found.retain(|key| self.clients.get(*key).is_some_and(|client| client.has_disconnected()));
         found
     }
 
     /// Connections of clients that are not being closed yet.
-    pub fn open_clients(&self) -> Vec<ConnectionKey> {
+    pub(crate) fn open_clients(&self) -> Vec<ConnectionKey> {
         self.clients.not_closing()
     }
 
     /// Begins to close a client's connection: at once where nothing is owed, else with its last response.
-    pub fn begin_closing_client(&mut self, key: ConnectionKey) -> ClientEvent {
+    pub(crate) fn begin_closing_client(&mut self, key: ConnectionKey) -> ClientEvent {
         let Some(client) = self.clients.get(key).filter(|client| !client.is_closing()) else {
             return ClientEvent::None;
         };
--- a/crates/platform/src/proxy/upstreams.rs
+++ b/crates/platform/src/proxy/upstreams.rs
@@ -20,7 +20,7 @@
 
 impl Proxy {
     /// Takes in an endpoint list; what the engine has to be told of it.
-    pub fn apply_endpoint_list(&mut self, list: &EndpointList) -> Vec<(u32, Endpoint)> {
+    pub(crate) fn apply_endpoint_list(&mut self, list: &EndpointList) -> Vec<(u32, Endpoint)> {
         self.endpoints.on_wall_clock(unix_time(), self.reactor.read_clock());
         for number in self.endpoints.missing_from(list) {
             self.remove_endpoint(number);
@@ -54,7 +54,7 @@
     }
 
     /// Withdraws all attempts of which no byte was written, as the endpoint list has expired.
-    pub fn withdraw_all_unwritten(&mut self) {
+    pub(crate) fn withdraw_all_unwritten(&mut self) {
         self.withdraw_unwritten(|_| true);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Closes connections that have been idle for too long.
-    pub fn close_expired_upstreams(&mut self) {
+    pub(crate) fn close_expired_upstreams(&mut self) {
         for key in self.upstreams.take_expired_idle(self.reactor.now()) {
             self.close_upstream(key, UpstreamCloseReason::Expired);
         }
@@ -114,7 +114,7 @@
     }
 
     /// Closes a connection, and ends the attempt that it carries.
-    pub fn fail_upstream(&mut self, key: ConnectionKey, end: AttemptEnd) {
+    pub(crate) fn fail_upstream(&mut self, key: ConnectionKey, end: AttemptEnd) {
         let Some(upstream) = self.close_upstream(key, UpstreamCloseReason::Attempt(end)) else { return };
         let Some(attempt) = upstream.attempt() else { return };
         self.end_attempt(attempt.request_id, end.outcome(attempt.written), attempt.written_at, None);
@@ -160,7 +160,7 @@
     }
 
     /// Writes to a connection, and the attempt that waits for it to be established.
-    pub fn flush_upstream(&mut self, key: ConnectionKey) {
+    pub(crate) fn flush_upstream(&mut self, key: ConnectionKey) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         match upstream.flush(|| self.reactor.read_clock()) {
             FlushEvent::None => {}
@@ -193,7 +193,7 @@
     }
 
     /// Reads what an endpoint has sent.
-    pub fn read_upstream(&mut self, key: ConnectionKey) {
+    pub(crate) fn read_upstream(&mut self, key: ConnectionKey) {
         let now = self.reactor.now();
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         let serial = upstream.serial();
@@ -248,7 +248,7 @@
     }
 
     /// Keeps a connection after its exchange, or closes it where it may not carry another one.
-    fn finish_exchange(&mut self, key: ConnectionKey, received: &ReceivedResponse, last: bool) {
+    fn finish_exchange(&mut self, key: ConnectionKey, received: &ReceivedResponse<'_>, last: bool) {
         let now = self.reactor.now();
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         upstream.record_exchange(now, received);
@@ -266,14 +266,14 @@
     }
 
     /// A connection must be established by now.
-    pub fn on_connect_timeout(&mut self, key: ConnectionKey, serial: u64) {
+    pub(crate) fn on_connect_timeout(&mut self, key: ConnectionKey, serial: u64) {
         if self.upstreams.is_connect_overdue(key, serial) {
             self.fail_upstream(key, AttemptEnd::TimedOut);
         }
     }
 
     /// A response that has begun must have made progress by now.
-    pub fn on_response_stall(&mut self, key: ConnectionKey, serial: u64) {
+    pub(crate) fn on_response_stall(&mut self, key: ConnectionKey, serial: u64) {
         let progress = self.upstreams.check_response_progress(&mut self.reactor, key, serial);
         if progress == ResponseProgress::Stalled {
             self.fail_upstream(key, AttemptEnd::MalformedResponse);
--- a/crates/platform/src/reactor.rs
+++ b/crates/platform/src/reactor.rs
@@ -12,11 +12,11 @@
 const MAX_POLL_WAIT_MS: Ms = 25.0;
 
 /// Names a connection for as long as it is open; keys are used again.
-pub type ConnectionKey = usize;
+pub(crate) type ConnectionKey = usize;
 
 /// Whose connection a key names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ConnectionKind {
+pub(crate) enum ConnectionKind {
     /// A connection to the discovery service.
     Discovery,
     /// A connection that a client opened.
@@ -27,7 +27,7 @@
 
 /// A timer. Connection timers carry the connection's serial number, as keys are used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Timer {
+pub(crate) enum Timer {
     /// A connection to an endpoint must be established by now.
     UpstreamConnect(ConnectionKey, u64),
     /// A response that has begun must have made progress by now.
@@ -42,7 +42,7 @@
 
 /// What the poller reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub(crate) enum Source {
     /// A source that was registered under a fixed key: the listener or a signal.
     Fixed(usize),
     /// A connection.
@@ -59,7 +59,7 @@
 }
 
 /// Waits for events, keeps the time of the current turn of the event loop, and hands out connection keys.
-pub struct Reactor {
+pub(crate) struct Reactor {
     poll: Poll,
     clock: Clock,
     now: Ms,
@@ -72,7 +72,7 @@
 
 impl Reactor {
     /// `round`: the scheduler's round, by which stalls of the process are recognised.
-    pub fn new(poll: Poll, clock: Clock, round: Ms) -> Reactor {
+    pub(crate) fn new(poll: Poll, clock: Clock, round: Ms) -> Reactor {
         let now = clock.now();
         Reactor {
             poll,
@@ -87,22 +87,22 @@
     }
 
     /// The time at which the current turn of the event loop began.
-    pub fn now(&self) -> Ms {
+    pub(crate) fn now(&self) -> Ms {
         self.now
     }
 
     /// The time at this very moment.
-    pub fn read_clock(&self) -> Ms {
+    pub(crate) fn read_clock(&self) -> Ms {
         self.clock.now()
     }
 
     /// How old the input of this turn may be at most.
-    pub fn input_age(&self) -> Ms {
+    pub(crate) fn input_age(&self) -> Ms {
         self.input_age
     }
 
     /// Waits for events until `wake_at`, and begins a new turn.
-    pub fn wait(&mut self, woken: &mut Woken, wake_at: Ms) -> io::Result<()> {
+    pub(crate) fn wait(&mut self, woken: &mut Woken, wake_at: Ms) -> io::Result<()> {
         let now = self.clock.now();
         let sleep = (wake_at - now).clamp(0.0, MAX_POLL_WAIT_MS);
         self.stall_detector.on_sleep(now, sleep);
@@ -114,13 +114,13 @@
     }
 
     /// A number that no other connection of this process has.
-    pub fn next_serial(&mut self) -> u64 {
+    pub(crate) fn next_serial(&mut self) -> u64 {
         self.last_serial += 1;
         self.last_serial
     }
 
     /// Registers a connection; its stream is made under the key that it will have.
-    pub fn register(
+    pub(crate) fn register(
         &mut self,
         kind: ConnectionKind,
         open: impl FnOnce(&Poll, usize) -> io::Result<Stream>,
@@ -133,32 +133,32 @@
     }
 
     /// Gives a key back. Its stream is dropped by its owner.
-    pub fn release(&mut self, key: ConnectionKey) {
+    pub(crate) fn release(&mut self, key: ConnectionKey) {
         self.connections.try_remove(key);
     }
 
     /// Whose connection a key names; none where it is closed by now.
-    pub fn kind(&self, key: ConnectionKey) -> Option<ConnectionKind> {
+    pub(crate) fn kind(&self, key: ConnectionKey) -> Option<ConnectionKind> {
         self.connections.get(key).copied()
     }
 
     /// Open connections of all kinds.
-    pub fn connection_count(&self) -> usize {
+    pub(crate) fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
     /// Sets a timer.
-    pub fn set_timer(&mut self, at: Ms, timer: Timer) {
+    pub(crate) fn set_timer(&mut self, at: Ms, timer: Timer) {
         self.timers.set(at, timer);
     }
 
     /// When the next timer is due.
-    pub fn next_timer_at(&self) -> Option<Ms> {
+    pub(crate) fn next_timer_at(&self) -> Option<Ms> {
         self.timers.next_at()
     }
 
     /// The next timer that is due.
-    pub fn due_timer(&mut self) -> Option<Timer> {
+    pub(crate) fn due_timer(&mut self) -> Option<Timer> {
         self.timers.due(self.now)
     }
 }
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -12,7 +12,7 @@
 
 /// What came of reading the file again.
 #[derive(Debug)]
-pub enum ReloadEvent {
+pub(crate) enum ReloadEvent {
     /// It could not be used, and is read again after a while.
     Failed {
         /// Why.
@@ -30,7 +30,7 @@
 }
 
 /// The configuration file, and whether it has to be read again.
-pub struct ConfigReload {
+pub(crate) struct ConfigReload {
     path: PathBuf,
     startup_settings: Value,
     retry_at: Option<Ms>,
@@ -42,7 +42,7 @@
 
 impl ConfigReload {
     /// `config`: what the host has started with.
-    pub fn new(path: PathBuf, config: &HostConfig) -> ConfigReload {
+    pub(crate) fn new(path: PathBuf, config: &HostConfig) -> ConfigReload {
         ConfigReload {
             path,
             startup_settings: config.startup_settings.clone(),
@@ -54,13 +54,13 @@
     }
 
     /// The operator has replaced the file and requested a reload.
-    pub fn request(&mut self) {
+    pub(crate) fn request(&mut self) {
         self.requested = true;
         self.backoff.reset();
     }
 
     /// Reads the file. One that cannot be used changes nothing, and is read again without another request.
-    pub fn read(&mut self, now: Ms) -> ReloadEvent {
+    pub(crate) fn read(&mut self, now: Ms) -> ReloadEvent {
         match HostConfig::read(&self.path) {
             Ok(config) => {
                 self.retry_at = None;
@@ -75,12 +75,12 @@
     }
 
     /// When the file is read again.
-    pub fn retry_at(&self) -> Option<Ms> {
+    pub(crate) fn retry_at(&self) -> Option<Ms> {
         self.retry_at
     }
 
     /// Whether that time has come.
-    pub fn is_due(&self, now: Ms) -> bool {
+    pub(crate) fn is_due(&self, now: Ms) -> bool {
         self.retry_at.is_some_and(|at| now >= at)
     }
 }
--- a/crates/platform/src/request_log.rs
+++ b/crates/platform/src/request_log.rs
@@ -16,7 +16,7 @@
 
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClientCloseReason {
+pub(crate) enum ClientCloseReason {
     /// The client ended or broke it.
     Disconnected,
     /// It made room for another client.
@@ -33,7 +33,7 @@
 
 impl ClientCloseReason {
     /// The name under which it is logged and counted.
-    pub fn as_str(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             ClientCloseReason::Disconnected => "client_disconnected",
             ClientCloseReason::Evicted => "evicted",
@@ -52,7 +52,7 @@
 
 /// Why a connection to an endpoint was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UpstreamCloseReason {
+pub(crate) enum UpstreamCloseReason {
     /// It was idle for too long.
     Expired,
     /// It made room for another connection.
@@ -73,7 +73,7 @@
 
 impl UpstreamCloseReason {
     /// The name under which it is logged and counted.
-    pub fn as_str(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             UpstreamCloseReason::Expired => "expired",
             UpstreamCloseReason::Evicted => "evicted",
@@ -89,7 +89,7 @@
 
 /// Counters of requests and connections since the start, by reason.
 #[derive(Clone, Debug, Default)]
-pub struct RequestCounts {
+pub(crate) struct RequestCounts {
     /// Requests that this host answered itself.
     pub not_served: BTreeMap<&'static str, u64>,
     /// Attempts after the first, by the outcome of the one before.
@@ -105,7 +105,7 @@
 }
 
 /// A request as the log names it.
-pub struct RequestLabels<'a> {
+pub(crate) struct RequestLabels<'a> {
     /// The id that the client has given it.
     pub id: &'a str,
     /// How many attempts were started.
@@ -117,7 +117,7 @@
 }
 
 /// Writes the log lines and keeps the counters.
-pub struct RequestLog {
+pub(crate) struct RequestLog {
     refused: LogLimit,
     not_served: LogLimit,
     retried: LogLimit,
@@ -146,12 +146,12 @@
 
 impl RequestLog {
     /// The counters.
-    pub fn counts(&self) -> &RequestCounts {
+    pub(crate) fn counts(&self) -> &RequestCounts {
         &self.counts
     }
 
     /// What a client sent was not accepted as a request.
-    pub fn request_refused(&mut self, now: Ms, client: u64, rejection: Rejection) {
+    pub(crate) fn request_refused(&mut self, now: Ms, client: u64, rejection: Rejection) {
         if let Some(suppressed) = self.refused.admit(now) {
             let Rejection { status, reason } = rejection;
             tracing::info!(client, status, reason, suppressed, "request_refused");
@@ -159,7 +159,13 @@
     }
 
     /// This host gave the response itself.
-    pub fn request_not_served(&mut self, now: Ms, request: &RequestLabels, status: u16, reason: Reason) {
+    pub(crate) fn request_not_served(
+        &mut self,
+        now: Ms,
+        request: &RequestLabels<'_>,
+        status: u16,
+        reason: Reason,
+    ) {
         let reason = reason.as_str();
         *self.counts.not_served.entry(reason).or_default() += 1;
         if let Some(suppressed) = self.not_served.admit(now) {
@@ -178,7 +184,13 @@
     }
 
     /// Another attempt of a request starts at `next`; `outcome`: that of the one before.
-    pub fn request_retried(&mut self, now: Ms, request: &RequestLabels, next: &str, outcome: Outcome) {
+    pub(crate) fn request_retried(
+        &mut self,
+        now: Ms,
+        request: &RequestLabels<'_>,
+        next: &str,
+        outcome: Outcome,
+    ) {
         let outcome = Reason::After(outcome).as_str();
         *self.counts.retried.entry(outcome).or_default() += 1;
         if let Some(suppressed) = self.retried.admit(now) {
@@ -197,7 +209,7 @@
     }
 
     /// The client disconnected while its request was open.
-    pub fn client_disconnected(&mut self, now: Ms, request: &RequestLabels) {
+    pub(crate) fn client_disconnected(&mut self, now: Ms, request: &RequestLabels<'_>) {
         if let Some(suppressed) = self.disconnected.admit(now) {
             let RequestLabels { id: request_id, attempts, age: elapsed_ms, endpoint } = *request;
             tracing::info!(request_id, attempts, elapsed_ms, endpoint, suppressed, "client_disconnected");
@@ -205,14 +217,14 @@
     }
 
     /// No connection can be accepted, and none is for a while.
-    pub fn accept_paused(&mut self, now: Ms, error: &std::io::Error) {
+    pub(crate) fn accept_paused(&mut self, now: Ms, error: &std::io::Error) {
         if let Some(suppressed) = self.refused.admit(now) {
             tracing::warn!(%error, suppressed, "accept_paused");
         }
     }
 
     /// A client's connection was closed; `open_request`: its request that had no response yet.
-    pub fn client_closed(
+    pub(crate) fn client_closed(
         &mut self,
         now: Ms,
         client: u64,
@@ -233,30 +245,36 @@
     }
 
     /// A request was accepted; `number` names it in other lines.
-    pub fn request_received(&self, client: u64, request_id: &str, number: u64, requests_before: u32) {
+    pub(crate) fn request_received(&self, client: u64, request_id: &str, number: u64, requests_before: u32) {
         tracing::debug!(client, request_id, number, requests_before, "request_received");
     }
 
     /// A response was queued for a client.
-    pub fn response_queued(&self, client: u64, number: Option<u64>, status: u16, close: bool) {
+    pub(crate) fn response_queued(&self, client: u64, number: Option<u64>, status: u16, close: bool) {
         tracing::debug!(client, number, status, close, "response_queued");
     }
 
     /// An attempt was written to a connection.
-    pub fn attempt_started(&self, request: &RequestLabels, connection: u64, exchanges: u32, deadline_ms: Ms) {
+    pub(crate) fn attempt_started(
+        &self,
+        request: &RequestLabels<'_>,
+        connection: u64,
+        exchanges: u32,
+        deadline_ms: Ms,
+    ) {
         let RequestLabels { id: request_id, attempts: attempt, endpoint, .. } = *request;
         tracing::debug!(request_id, attempt, endpoint, connection, exchanges, deadline_ms, "attempt_started");
     }
 
     /// An attempt has ended.
-    pub fn attempt_finished(&self, request: &RequestLabels, outcome: Outcome, elapsed_ms: Ms) {
+    pub(crate) fn attempt_finished(&self, request: &RequestLabels<'_>, outcome: Outcome, elapsed_ms: Ms) {
         let RequestLabels { id: request_id, attempts: attempt, endpoint, .. } = *request;
         let outcome = Reason::After(outcome).as_str();
         tracing::debug!(request_id, attempt, endpoint, outcome, elapsed_ms, "attempt_finished");
     }
 
     /// A connection to an endpoint was closed.
-    pub fn upstream_closed(
+    pub(crate) fn upstream_closed(
         &mut self,
         now: Ms,
         endpoint: Option<&str>,
@@ -273,7 +291,7 @@
     }
 
     /// A response may belong to another request than the open one, and nobody was given it.
-    pub fn response_mismatched(
+    pub(crate) fn response_mismatched(
         &mut self,
         now: Ms,
         endpoint: Option<&str>,
@@ -288,7 +306,7 @@
     }
 
     /// Bytes arrived from an endpoint outside an exchange, so long after the last one on their connection ended.
-    pub fn unsolicited_bytes_received(
+    pub(crate) fn unsolicited_bytes_received(
         &mut self,
         now: Ms,
         endpoint: Option<&str>,
--- a/crates/platform/src/response_stream.rs
+++ b/crates/platform/src/response_stream.rs
@@ -6,7 +6,7 @@
 
 /// Why no response can be read from a connection any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum ReceiveError {
+pub(crate) enum ReceiveError {
     /// Bytes that are no response.
     #[error(transparent)]
     Malformed(#[from] MalformedResponse),
@@ -16,7 +16,7 @@
 }
 
 /// A complete response.
-pub struct CompleteResponse {
+pub(crate) struct CompleteResponse {
     /// The response.
     pub response: Response,
     /// What has arrived after it.
@@ -26,55 +26,55 @@
 }
 
 /// A byte stream and the reader of its responses.
-pub struct ResponseStream {
+pub(crate) struct ResponseStream {
     stream: Stream,
     reader: ResponseReader,
 }
 
 impl ResponseStream {
     /// A stream on which nothing was exchanged yet.
-    pub fn new(stream: Stream) -> ResponseStream {
+    pub(crate) fn new(stream: Stream) -> ResponseStream {
         ResponseStream { stream, reader: ResponseReader::default() }
     }
 
     /// The byte stream, for what is written to it.
-    pub fn stream(&self) -> &Stream {
+    pub(crate) fn stream(&self) -> &Stream {
         &self.stream
     }
 
     /// The byte stream, for what is written to it.
-    pub fn stream_mut(&mut self) -> &mut Stream {
+    pub(crate) fn stream_mut(&mut self) -> &mut Stream {
         &mut self.stream
     }
 
     /// The memory that its buffers take.
-    pub fn memory_bytes(&self) -> usize {
+    pub(crate) fn memory_bytes(&self) -> usize {
         self.stream.held() + self.reader.memory_bytes()
     }
 
     /// Whether neither bytes nor an end have arrived while nothing was requested.
-    pub fn is_quiet(&mut self) -> bool {
+    pub(crate) fn is_quiet(&mut self) -> bool {
         self.stream.is_reusable()
     }
 
     /// Reads what arrived while nothing was requested; how many bytes that are.
-    pub fn read_unsolicited(&mut self) -> usize {
+    pub(crate) fn read_unsolicited(&mut self) -> usize {
         _ = self.stream.fill();
         self.stream.input().len()
     }
 
     /// Bytes that were read and belong to no response yet.
-    pub fn buffered_bytes(&self) -> usize {
+    pub(crate) fn buffered_bytes(&self) -> usize {
         self.stream.input().len()
     }
 
     /// Whether a part of a response has arrived.
-    pub fn has_partial_response(&self) -> bool {
+    pub(crate) fn has_partial_response(&self) -> bool {
         self.reader.in_progress() || !self.stream.input().is_empty()
     }
 
     /// Reads what has arrived: a response, if it is complete.
-    pub fn receive(&mut self) -> Result<Option<CompleteResponse>, ReceiveError> {
+    pub(crate) fn receive(&mut self) -> Result<Option<CompleteResponse>, ReceiveError> {
         let ended = self.stream.fill().err();
         let input = self.stream.take_input();
         let (used, response) = self.reader.read(&input)?;
--- a/crates/platform/src/signals.rs
+++ b/crates/platform/src/signals.rs
@@ -5,11 +5,11 @@
 use std::os::unix::net::UnixStream;
 
 /// A signal whose handler writes to a socket that the poller watches.
-pub struct SignalSource(Registered<UnixStream>);
+pub(crate) struct SignalSource(Registered<UnixStream>);
 
 impl SignalSource {
     /// Handles a signal from now on, and registers it under a key.
-    pub fn register(poll: &Poll, signal: i32, key: usize) -> io::Result<SignalSource> {
+    pub(crate) fn register(poll: &Poll, signal: i32, key: usize) -> io::Result<SignalSource> {
         let (receiver, sender) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
         signal_hook::low_level::pipe::register(signal, sender)?;
@@ -17,7 +17,7 @@
     }
 
     /// Whether the signal was received since the last call.
-    pub fn take(&mut self) -> bool {
+    pub(crate) fn take(&mut self) -> bool {
         let mut bytes = [0; 64];
         let mut received = false;
         while matches!(self.0.read(&mut bytes), Ok(n) if n > 0) {
--- a/crates/platform/src/upstream_connection.rs
+++ b/crates/platform/src/upstream_connection.rs
@@ -7,11 +7,11 @@
 
 /// A response that has begun and made no progress for so long does not become complete any more. Endpoints write a
 /// response at once, and this is what the platform's protocol allows the network.
-pub const RESPONSE_STALL_MS: Ms = 50.0;
+pub(crate) const RESPONSE_STALL_MS: Ms = 50.0;
 
 /// An attempt that is written as soon as its connection is established.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AssignedAttempt {
+pub(crate) struct AssignedAttempt {
     /// The request.
     pub request_id: u64,
     /// Until when its client waits.
@@ -36,7 +36,7 @@
 
 /// The attempt that a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CarriedAttempt {
+pub(crate) struct CarriedAttempt {
     /// The request.
     pub request_id: u64,
     /// Whether the system took its last byte.
@@ -47,7 +47,7 @@
 
 /// What writing to a connection came to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum FlushEvent {
+pub(crate) enum FlushEvent {
     /// Nothing is to be done.
     None,
     /// The connection broke.
@@ -57,7 +57,7 @@
 }
 
 /// What has arrived on a connection.
-pub enum ReceiveEvent {
+pub(crate) enum ReceiveEvent {
     /// The connection may have been established, or failed; flushing tells.
     MayBeEstablished,
     /// Bytes or an end, although nothing was requested.
@@ -71,7 +71,7 @@
 }
 
 /// A connection to an endpoint.
-pub struct UpstreamConnection {
+pub(crate) struct UpstreamConnection {
     responses: ResponseStream,
     endpoint: u32,
     serial: u64,
@@ -83,7 +83,7 @@
 
 impl UpstreamConnection {
     /// A connection that is being established.
-    pub fn new(stream: Stream, endpoint: u32, serial: u64) -> UpstreamConnection {
+    pub(crate) fn new(stream: Stream, endpoint: u32, serial: u64) -> UpstreamConnection {
         UpstreamConnection {
             responses: ResponseStream::new(stream),
             endpoint,
@@ -95,63 +95,63 @@
     }
 
     /// The endpoint's number.
-    pub fn endpoint(&self) -> u32 {
+    pub(crate) fn endpoint(&self) -> u32 {
         self.endpoint
     }
 
     /// The number by which the log names this connection.
-    pub fn serial(&self) -> u64 {
+    pub(crate) fn serial(&self) -> u64 {
         self.serial
     }
 
     /// Exchanges that ended with a complete response.
-    pub fn exchanges(&self) -> u32 {
+    pub(crate) fn exchanges(&self) -> u32 {
         self.history.exchanges()
     }
 
     /// How long ago the last exchange ended.
-    pub fn idle_for(&self, now: Ms) -> Ms {
+    pub(crate) fn idle_for(&self, now: Ms) -> Ms {
         self.history.idle_for(now)
     }
 
     /// The memory that its buffers take.
-    pub fn memory_bytes(&self) -> usize {
+    pub(crate) fn memory_bytes(&self) -> usize {
         self.responses.memory_bytes()
     }
 
     /// Bytes that arrived and were not used.
-    pub fn unread_bytes(&self) -> usize {
+    pub(crate) fn unread_bytes(&self) -> usize {
         self.responses.buffered_bytes()
     }
 
     /// Whether the connection is still being established.
-    pub fn is_connecting(&self) -> bool {
+    pub(crate) fn is_connecting(&self) -> bool {
         self.responses.stream().connecting()
     }
 
     /// Whether it carries no attempt.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         matches!(self.state, UpstreamState::Idle)
     }
 
     /// Whether it carries an attempt of which no byte was written.
-    pub fn has_unwritten_attempt(&self) -> bool {
+    pub(crate) fn has_unwritten_attempt(&self) -> bool {
         matches!(self.state, UpstreamState::Assigned(_))
     }
 
     /// Whether neither bytes nor an end have arrived while it was idle.
-    pub fn is_quiet(&mut self) -> bool {
+    pub(crate) fn is_quiet(&mut self) -> bool {
         self.responses.is_quiet()
     }
 
     /// Whether the system took the last byte of the attempt.
-    pub fn is_written(&self) -> bool {
+    pub(crate) fn is_written(&self) -> bool {
         let written = self.responses.stream().written_in_all();
         matches!(self.state, UpstreamState::InFlight { end_offset, .. } if written >= end_offset)
     }
 
     /// The attempt that it carries.
-    pub fn attempt(&self) -> Option<CarriedAttempt> {
+    pub(crate) fn attempt(&self) -> Option<CarriedAttempt> {
         match self.state {
             UpstreamState::Idle => None,
             UpstreamState::Assigned(AssignedAttempt { request_id, .. }) => {
@@ -164,17 +164,17 @@
     }
 
     /// When the latest bytes of an incomplete response arrived.
-    pub fn partial_since(&self) -> Option<Ms> {
+    pub(crate) fn partial_since(&self) -> Option<Ms> {
         self.partial_since
     }
 
     /// Gives it an attempt to write when it is established.
-    pub fn assign(&mut self, attempt: AssignedAttempt) {
+    pub(crate) fn assign(&mut self, attempt: AssignedAttempt) {
         self.state = UpstreamState::Assigned(attempt);
     }
 
     /// Queues the assigned attempt. `head` lacks the deadline, which is told as the time that is left.
-    pub fn queue_attempt(&mut self, request_id: u64, head: &[u8], time_left: Ms, body: &[u8]) {
+    pub(crate) fn queue_attempt(&mut self, request_id: u64, head: &[u8], time_left: Ms, body: &[u8]) {
         let deadline = format!("X-Deadline: {time_left}m\r\n\r\n");
         let stream = self.responses.stream_mut();
         let output = stream.output();
@@ -184,7 +184,7 @@
     }
 
     /// Writes what is queued. `clock` is read after that.
-    pub fn flush(&mut self, clock: impl FnOnce() -> Ms) -> FlushEvent {
+    pub(crate) fn flush(&mut self, clock: impl FnOnce() -> Ms) -> FlushEvent {
         if self.responses.stream_mut().flush().is_err() {
             return FlushEvent::ConnectionLost;
         }
@@ -203,7 +203,7 @@
     }
 
     /// Reads what has arrived.
-    pub fn receive(&mut self, now: Ms) -> ReceiveEvent {
+    pub(crate) fn receive(&mut self, now: Ms) -> ReceiveEvent {
         match self.state {
             UpstreamState::InFlight { .. } => {}
             UpstreamState::Assigned(_) => return ReceiveEvent::MayBeEstablished,
@@ -223,17 +223,21 @@
     }
 
     /// Whether a response is that of the request in flight.
-    pub fn verify(&self, response: &ReceivedResponse, request_id: &str) -> Result<(), ResponseMismatch> {
+    pub(crate) fn verify(
+        &self,
+        response: &ReceivedResponse<'_>,
+        request_id: &str,
+    ) -> Result<(), ResponseMismatch> {
         self.history.verify(response, request_id)
     }
 
     /// The exchange has ended with a response of its own.
-    pub fn record_exchange(&mut self, now: Ms, response: &ReceivedResponse) {
+    pub(crate) fn record_exchange(&mut self, now: Ms, response: &ReceivedResponse<'_>) {
         self.history.record(now, response);
     }
 
     /// It carries no attempt any more, and may be used again.
-    pub fn become_idle(&mut self) {
+    pub(crate) fn become_idle(&mut self) {
         self.state = UpstreamState::Idle;
         self.responses.stream_mut().release_buffers();
     }
--- a/crates/platform/src/upstream_pool.rs
+++ b/crates/platform/src/upstream_pool.rs
@@ -17,7 +17,7 @@
 
 /// Whether a partial response still makes progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResponseProgress {
+pub(crate) enum ResponseProgress {
     /// Nothing is awaited, or the timer was set again.
     Ongoing,
     /// Nothing has arrived for too long.
@@ -25,7 +25,7 @@
 }
 
 /// All connections to endpoints.
-pub struct UpstreamPool {
+pub(crate) struct UpstreamPool {
     connections: ConnectionTable<UpstreamConnection>,
     idle: IdlePool,
     trust: EndpointTrust,
@@ -35,7 +35,7 @@
 
 impl UpstreamPool {
     /// `idle_timeout`: after how long an endpoint closes an idle connection; none: never.
-    pub fn new(
+    pub(crate) fn new(
         max_connections: usize,
         connect_timeout: Option<Ms>,
         idle_timeout: Option<Ms>,
@@ -50,27 +50,27 @@
     }
 
     /// A connection.
-    pub fn get(&self, key: ConnectionKey) -> Option<&UpstreamConnection> {
+    pub(crate) fn get(&self, key: ConnectionKey) -> Option<&UpstreamConnection> {
         self.connections.get(key)
     }
 
     /// A connection, to be used.
-    pub fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut UpstreamConnection> {
+    pub(crate) fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut UpstreamConnection> {
         self.connections.get_mut(key)
     }
 
     /// All connections, in the order of their keys.
-    pub fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &UpstreamConnection)> + '_ {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &UpstreamConnection)> + '_ {
         self.connections.iter()
     }
 
     /// Whether another connection may only take the place of an idle one.
-    pub fn is_full(&self) -> bool {
+    pub(crate) fn is_full(&self) -> bool {
         self.connections.len() >= self.max_connections
     }
 
     /// Begins to connect to an endpoint.
-    pub fn connect(
+    pub(crate) fn connect(
         &mut self,
         reactor: &mut Reactor,
         endpoint: u32,
@@ -84,13 +84,13 @@
     }
 
     /// Sets the time by which a new connection must be established.
-    pub fn arm_connect_timer(&self, reactor: &mut Reactor, key: ConnectionKey, serial: u64) {
+    pub(crate) fn arm_connect_timer(&self, reactor: &mut Reactor, key: ConnectionKey, serial: u64) {
         reactor.set_timer(reactor.now() + self.connect_timeout, Timer::UpstreamConnect(key, serial));
     }
 
     /// Takes a connection out, which closes it as soon as it is dropped.
     #[must_use = "the attempt that the connection carries has to be ended"]
-    pub fn remove(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<UpstreamConnection> {
+    pub(crate) fn remove(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<UpstreamConnection> {
         let connection = self.connections.remove(key)?;
         reactor.release(key);
         if connection.is_idle() {
@@ -100,27 +100,27 @@
     }
 
     /// An idle connection that has been idle for long enough to be used again.
-    pub fn take_idle(&mut self, now: Ms, endpoint: u32) -> Option<ConnectionKey> {
+    pub(crate) fn take_idle(&mut self, now: Ms, endpoint: u32) -> Option<ConnectionKey> {
         self.idle.take(now, endpoint, self.trust.min_idle())
     }
 
     /// The connection that has been idle for longest, to make room for another.
-    pub fn evict_oldest_idle(&mut self) -> Option<ConnectionKey> {
+    pub(crate) fn evict_oldest_idle(&mut self) -> Option<ConnectionKey> {
         self.idle.evict_oldest()
     }
 
     /// Connections that have been idle for too long.
-    pub fn take_expired_idle(&mut self, now: Ms) -> Vec<ConnectionKey> {
+    pub(crate) fn take_expired_idle(&mut self, now: Ms) -> Vec<ConnectionKey> {
         self.idle.take_expired(now)
     }
 
     /// All idle connections of an endpoint, to be closed.
-    pub fn take_idle_of(&mut self, endpoint: u32) -> Vec<ConnectionKey> {
+    pub(crate) fn take_idle_of(&mut self, endpoint: u32) -> Vec<ConnectionKey> {
         self.idle.remove_endpoint(endpoint)
     }
 
     /// Keeps a connection for another exchange.
-    pub fn put_idle(&mut self, now: Ms, key: ConnectionKey) {
+    pub(crate) fn put_idle(&mut self, now: Ms, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.become_idle();
         let endpoint = connection.endpoint();
@@ -128,22 +128,22 @@
     }
 
     /// Whether a connection to an endpoint may be used again after a response with this status.
-    pub fn may_reuse(&self, endpoint: u32, status: u16) -> bool {
+    pub(crate) fn may_reuse(&self, endpoint: u32, status: u16) -> bool {
         self.trust.may_reuse(endpoint, status)
     }
 
     /// An endpoint sent more than was requested: none of its connections is used again.
-    pub fn distrust(&mut self, endpoint: u32, idle_ms: Ms) {
+    pub(crate) fn distrust(&mut self, endpoint: u32, idle_ms: Ms) {
         self.trust.on_unsolicited_bytes(endpoint, idle_ms);
     }
 
     /// An endpoint has left the list.
-    pub fn forget_endpoint(&mut self, endpoint: u32) {
+    pub(crate) fn forget_endpoint(&mut self, endpoint: u32) {
         self.trust.forget(endpoint);
     }
 
     /// Connections with an attempt of which no byte was written.
-    pub fn unwritten(&self, of_endpoint: impl Fn(u32) -> bool) -> Vec<ConnectionKey> {
+    pub(crate) fn unwritten(&self, of_endpoint: impl Fn(u32) -> bool) -> Vec<ConnectionKey> {
         let unwritten = |connection: &UpstreamConnection| {
             of_endpoint(connection.endpoint()) && connection.has_unwritten_attempt()
         };
@@ -151,12 +151,12 @@
     }
 
     /// Whether a connection has failed to be established in time.
-    pub fn is_connect_overdue(&self, key: ConnectionKey, serial: u64) -> bool {
+    pub(crate) fn is_connect_overdue(&self, key: ConnectionKey, serial: u64) -> bool {
         self.get(key).is_some_and(|connection| connection.serial() == serial && connection.is_connecting())
     }
 
     /// Whether a partial response has stalled; sets the timer again where it has not.
-    pub fn check_response_progress(
+    pub(crate) fn check_response_progress(
         &self,
         reactor: &mut Reactor,
         key: ConnectionKey,
--- a/crates/scenario/src/audit/at_most_once.rs
+++ b/crates/scenario/src/audit/at_most_once.rs
@@ -7,7 +7,7 @@
 use magpiewick_node_protocol::FinalCode;
 use std::collections::HashMap;
 
-pub(super) fn check(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
     check_effects(run, verdict);
     let classes = &run.evidence.host.start.classes;
     for tracked in &run.requests {
@@ -18,7 +18,7 @@
     }
 }
 
-fn check_effects(run: &Run, verdict: &mut Verdict) {
+fn check_effects(run: &Run<'_>, verdict: &mut Verdict) {
     let classes = &run.evidence.host.start.classes;
     let idempotency = |class: u16| {
         classes.get(usize::from(class)).map_or(Idempotency::NonIdempotent, |class| class.idempotency)
@@ -46,7 +46,7 @@
 }
 
 /// Finds attempts that repeat one which may have been executed, where no deduplication covers them.
-fn check_attempts(run: &Run, tracked: &TrackedRequest, verdict: &mut Verdict) {
+fn check_attempts(run: &Run<'_>, tracked: &TrackedRequest, verdict: &mut Verdict) {
     let attempts: Vec<&TrackedAttempt> = run.attempts_of(tracked).collect();
     for (index, attempt) in attempts.iter().enumerate() {
         let earlier = attempts[..index].iter().find(|earlier| !earlier.known_not_executed(attempt.at));
@@ -58,7 +58,7 @@
 }
 
 fn unsafe_repeat(
-    run: &Run,
+    run: &Run<'_>,
     tracked: &TrackedRequest,
     earlier: &TrackedAttempt,
     attempt: &TrackedAttempt,
@@ -76,7 +76,7 @@
 }
 
 /// Finds a rejection of a request that may have been executed: the client would retry it.
-fn check_rejection(run: &Run, tracked: &TrackedRequest, verdict: &mut Verdict) {
+fn check_rejection(run: &Run<'_>, tracked: &TrackedRequest, verdict: &mut Verdict) {
     let Some((at, FinalCode::Rejected)) = tracked.answer else { return };
     let class = &run.evidence.host.start.classes[usize::from(tracked.request.class)];
     let deduplicated_everywhere = class.idempotency == Idempotency::IdempotentWithKey
@@ -87,7 +87,7 @@
     }
 }
 
-fn in_same_scope(run: &Run, scope: DeduplicationScope, a: u32, b: u32) -> bool {
+fn in_same_scope(run: &Run<'_>, scope: DeduplicationScope, a: u32, b: u32) -> bool {
     match (scope, run.evidence.node(a), run.evidence.node(b)) {
         (DeduplicationScope::All, ..) => true,
         (DeduplicationScope::Zone, Some(a), Some(b)) => a.zone == b.zone,
--- a/crates/scenario/src/audit/data_integrity.rs
+++ b/crates/scenario/src/audit/data_integrity.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Each key holds, at its owner, what was written to it last, and no request succeeded without being executed.
-pub(super) fn check_stored(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check_stored(run: &Run<'_>, verdict: &mut Verdict) {
     check_successes(run, verdict);
     let mut last_writes: BTreeMap<(u64, u64), BlockWrite> = BTreeMap::new();
     for write in run.evidence.block_writes() {
@@ -29,7 +29,7 @@
     }
 }
 
-fn check_successes(run: &Run, verdict: &mut Verdict) {
+fn check_successes(run: &Run<'_>, verdict: &mut Verdict) {
     let executed: HashSet<u64> = run
         .evidence
         .node_events
@@ -53,7 +53,7 @@
 }
 
 /// Each block of a successful read holds what was stored there at some moment of the read.
-pub(super) fn check_reads(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check_reads(run: &Run<'_>, verdict: &mut Verdict) {
     let tolerance = run.evidence.scenario.clock_tolerance;
     let mut writes: HashMap<(u64, u64), Vec<(Ms, u64)>> = HashMap::new();
     for write in run.evidence.block_writes() {
@@ -89,7 +89,7 @@
 }
 
 /// No attempt leaves under a version of an extent that is older than what its host was sent.
-pub(super) fn check_versions(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check_versions(run: &Run<'_>, verdict: &mut Verdict) {
     let tolerance = run.evidence.scenario.clock_tolerance;
     let mut known: HashMap<(u64, u64), Vec<KnownVersion>> = HashMap::new();
     let mut checked = 0;
--- a/crates/scenario/src/audit/draining.rs
+++ b/crates/scenario/src/audit/draining.rs
@@ -9,7 +9,7 @@
 /// The incarnation of a host, a node and the node's incarnation.
 type Notification = (u64, u32, u64);
 
-pub(super) fn check(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
     let scenario = run.evidence.scenario;
     let grace = scenario.drain_grace + scenario.clock_tolerance;
     let notified = notifications(run);
@@ -27,7 +27,7 @@
     verdict.add_checked(Rule::Draining, checked.len());
 }
 
-fn notifications(run: &Run) -> HashMap<Notification, Ms> {
+fn notifications(run: &Run<'_>) -> HashMap<Notification, Ms> {
     let mut notified = HashMap::new();
     for (at, event) in run.evidence.node_events {
         if let NodeEvent::DrainNotified { host, node, incarnation } = *event {
--- a/crates/scenario/src/audit/evidence.rs
+++ b/crates/scenario/src/audit/evidence.rs
@@ -90,7 +90,7 @@
 
 impl TrackedRequest {
     /// When it was over for its client; infinite where it never was.
-    pub fn over_at(&self) -> Ms {
+    pub(super) fn over_at(&self) -> Ms {
         let answered = self.answer.map_or(f64::INFINITY, |answer| answer.0);
         answered.min(self.ended.unwrap_or(f64::INFINITY))
     }
@@ -117,7 +117,7 @@
 
 impl TrackedAttempt {
     /// Whether the node had answered by then that it did not execute the attempt.
-    pub fn known_not_executed(&self, by: Ms) -> bool {
+    pub(super) fn known_not_executed(&self, by: Ms) -> bool {
         self.answered.is_some_and(|(at, executed)| !executed && at <= by)
     }
 }
@@ -133,7 +133,7 @@
 
 impl<'a> Run<'a> {
     /// Reconstructs a run; what fits no request is a finding.
-    pub fn reconstruct(evidence: &'a Evidence<'a>, verdict: &mut Verdict) -> Run<'a> {
+    pub(super) fn reconstruct(evidence: &'a Evidence<'a>, verdict: &mut Verdict) -> Run<'a> {
         let requests = reconstruct_requests(evidence, verdict);
         let attempts = reconstruct_attempts(evidence);
         let host_numbers = requests.iter().map(|r| (r.request.host, r.request.host_number)).collect();
@@ -145,7 +145,7 @@
     }
 
     /// The attempts of a request.
-    pub fn attempts_of<'b>(
+    pub(super) fn attempts_of<'b>(
         &'b self,
         request: &'b TrackedRequest,
     ) -> impl Iterator<Item = &'b TrackedAttempt> + 'b {
@@ -153,12 +153,12 @@
     }
 
     /// Whether a host was stopped at some time within a span.
-    pub fn is_stalled(&self, host: usize, from: Ms, to: Ms) -> bool {
+    pub(super) fn is_stalled(&self, host: usize, from: Ms, to: Ms) -> bool {
         self.evidence.stalls.iter().any(|stall| stall.host == host && stall.from <= to && stall.to >= from)
     }
 
     /// When a host could read what it was sent: at once, or when it continued after a stall.
-    pub fn received_at(&self, host: u64, sent_at: Ms) -> Ms {
+    pub(super) fn received_at(&self, host: u64, sent_at: Ms) -> Ms {
         let number = self.host_numbers.get(&host);
         let stalls = self.evidence.stalls.iter();
         let stalls = stalls.filter(|s| Some(&s.host) == number && s.from <= sent_at && sent_at < s.to);
@@ -189,7 +189,7 @@
     }
 }
 
-fn reconstruct_requests(evidence: &Evidence, verdict: &mut Verdict) -> Vec<TrackedRequest> {
+fn reconstruct_requests(evidence: &Evidence<'_>, verdict: &mut Verdict) -> Vec<TrackedRequest> {
     let mut requests: Vec<TrackedRequest> = Vec::new();
     let mut by_number: HashMap<u64, usize> = HashMap::new();
     for (at, event) in evidence.client_events {
@@ -228,7 +228,7 @@
 /// How many attempts back the outstanding ones of a closed connection are searched for.
 const CLOSED_CONNECTION_SEARCH: usize = 10_000;
 
-fn reconstruct_attempts(evidence: &Evidence) -> Vec<TrackedAttempt> {
+fn reconstruct_attempts(evidence: &Evidence<'_>) -> Vec<TrackedAttempt> {
     let mut attempts: Vec<TrackedAttempt> = Vec::new();
     let mut incarnations: HashMap<u32, u64> = HashMap::new();
     let mut by_id: HashMap<(u64, u64, u16), usize> = HashMap::new();
--- a/crates/scenario/src/audit/final_answers.rs
+++ b/crates/scenario/src/audit/final_answers.rs
@@ -4,7 +4,7 @@
 use super::verdict::{Rule, Verdict};
 use crate::Ms;
 
-pub(super) fn check(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
     let tolerance = run.evidence.scenario.clock_tolerance;
     verdict.add_checked(Rule::FinalAnswer, run.requests.len());
     for tracked in &run.requests {
--- a/crates/scenario/src/audit/mod.rs
+++ b/crates/scenario/src/audit/mod.rs
@@ -23,7 +23,7 @@
 use evidence::Run;
 
 /// Audits a run.
-pub fn audit(evidence: &Evidence) -> Verdict {
+pub fn audit(evidence: &Evidence<'_>) -> Verdict {
     let expectation = &evidence.scenario.retry_storm;
     let mut verdict = Verdict::default();
     let rules = Rule::ALL.into_iter().filter(|rule| *rule != Rule::RetryStorm || expectation.is_some());
--- a/crates/scenario/src/audit/ordering.rs
+++ b/crates/scenario/src/audit/ordering.rs
@@ -9,7 +9,7 @@
 /// How many earlier requests of a key are compared with each; those before them were over long ago.
 const COMPARED_REQUESTS: usize = 64;
 
-pub(super) fn check_keys(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check_keys(run: &Run<'_>, verdict: &mut Verdict) {
     let classes = &run.evidence.host.start.classes;
     let mut by_key: BTreeMap<(u64, u64, u64), Vec<&TrackedRequest>> = BTreeMap::new();
     for tracked in &run.requests {
@@ -34,7 +34,7 @@
 
 /// Checks an attempt of a later request against an earlier request of its key.
 fn check_pair(
-    run: &Run,
+    run: &Run<'_>,
     earlier: &TrackedRequest,
     attempt: &TrackedAttempt,
     is_first_attempt: bool,
@@ -75,7 +75,7 @@
     }
 }
 
-pub(super) fn check_overlapping_writes(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check_overlapping_writes(run: &Run<'_>, verdict: &mut Verdict) {
     let mut requests: HashMap<(u64, u64), (u64, usize)> = HashMap::new();
     for (sequence, tracked) in (0..).zip(&run.requests).filter(|(_, tracked)| tracked.request.write) {
         let request = &tracked.request;
--- a/crates/scenario/src/audit/rate_limits.rs
+++ b/crates/scenario/src/audit/rate_limits.rs
@@ -14,7 +14,7 @@
     filled_at: Ms,
 }
 
-pub(super) fn check(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
     let start = &run.evidence.host.start;
     let mut known_requests: HashSet<(u64, u64)> = HashSet::new();
     let mut buckets: HashMap<u64, TokenBucket> = HashMap::new();
--- a/crates/scenario/src/audit/retry_budget.rs
+++ b/crates/scenario/src/audit/retry_budget.rs
@@ -12,7 +12,7 @@
     retries: Vec<&'a TrackedAttempt>,
 }
 
-pub(super) fn check(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
     let Some(budget) = &run.evidence.host.start.budget else { return };
     let tolerance = run.evidence.scenario.clock_tolerance;
     for HostLoad { request_times, retries } in load_by_host(run).values() {
@@ -31,8 +31,8 @@
     }
 }
 
-fn load_by_host<'a>(run: &'a Run) -> BTreeMap<u64, HostLoad<'a>> {
-    let mut hosts: BTreeMap<u64, HostLoad> = BTreeMap::new();
+fn load_by_host<'a>(run: &'a Run<'_>) -> BTreeMap<u64, HostLoad<'a>> {
+    let mut hosts: BTreeMap<u64, HostLoad<'_>> = BTreeMap::new();
     for tracked in &run.requests {
         hosts.entry(tracked.request.host).or_default().request_times.push(tracked.sent_at);
     }
--- a/crates/scenario/src/audit/retry_storm.rs
+++ b/crates/scenario/src/audit/retry_storm.rs
@@ -63,7 +63,7 @@
 }
 
 /// Checks what a scenario expects of retry storms.
-pub(super) fn check(evidence: &Evidence, expectation: &RetryStormExpectation, verdict: &mut Verdict) {
+pub(super) fn check(evidence: &Evidence<'_>, expectation: &RetryStormExpectation, verdict: &mut Verdict) {
     let begin = run_begin(evidence);
     let weights = request_weights(evidence);
     let sends = sends_by_mark(evidence);
@@ -112,12 +112,12 @@
     }
 }
 
-fn run_begin(evidence: &Evidence) -> Ms {
+fn run_begin(evidence: &Evidence<'_>) -> Ms {
     let sent = |(at, event): &(Ms, ClientEvent)| matches!(event, ClientEvent::Sent(_)).then_some(*at);
     evidence.client_events.iter().find_map(sent).unwrap_or(0.0)
 }
 
-fn next_stop(evidence: &Evidence, after: Ms) -> Option<Ms> {
+fn next_stop(evidence: &Evidence<'_>, after: Ms) -> Option<Ms> {
     let stops = |(at, event): &(Ms, NodeEvent)| {
         (matches!(event, NodeEvent::Stopped { .. }) && *at > after).then_some(*at)
     };
@@ -125,7 +125,7 @@
 }
 
 /// The weight of each request, by when it was due first.
-fn request_weights(evidence: &Evidence) -> Vec<RequestWeight> {
+fn request_weights(evidence: &Evidence<'_>) -> Vec<RequestWeight> {
     let classes = &evidence.host.start.classes;
     let mut by_mark: HashMap<u64, usize> = HashMap::new();
     let mut by_number = HashMap::new();
@@ -189,7 +189,7 @@
     is_retry: bool,
 }
 
-fn sends_by_mark(evidence: &Evidence) -> HashMap<u64, Vec<Send>> {
+fn sends_by_mark(evidence: &Evidence<'_>) -> HashMap<u64, Vec<Send>> {
     let mut sends: HashMap<u64, Vec<Send>> = HashMap::new();
     for (at, event) in evidence.client_events {
         if let ClientEvent::Sent(request) = event {
@@ -200,7 +200,7 @@
 }
 
 /// Measures what the nodes of a return were sent until they were warm, or stopped again.
-fn measure_load(evidence: &Evidence, sends: &HashMap<u64, Vec<Send>>, node_return: &mut NodeReturn) {
+fn measure_load(evidence: &Evidence<'_>, sends: &HashMap<u64, Vec<Send>>, node_return: &mut NodeReturn) {
     let (warm_up, begin) = (evidence.emulator.slow_start.duration, node_return.at_ms);
     let mut started: HashMap<u32, Ms> = HashMap::new();
     let mut slots: BTreeMap<(u32, u64), f64> = BTreeMap::new();
--- a/crates/scenario/src/audit/slow_start.rs
+++ b/crates/scenario/src/audit/slow_start.rs
@@ -5,7 +5,7 @@
 use crate::Ms;
 use magpiewick_emulator::{NodeConfig, NodeEvent};
 
-pub(super) fn check(run: &Run, verdict: &mut Verdict) {
+pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
     for (at, event) in run.evidence.node_events {
         let NodeEvent::Started { node, incarnation, warming_up: true } = *event else { continue };
         let Some(node) = run.evidence.node(node) else { continue };
@@ -25,7 +25,7 @@
 }
 
 /// Finds the first window in which a node was sent more than it tolerates.
-fn check_start(run: &Run, node: &NodeConfig, incarnation: u64, start: Ms, verdict: &mut Verdict) {
+fn check_start(run: &Run<'_>, node: &NodeConfig, incarnation: u64, start: Ms, verdict: &mut Verdict) {
     let slow_start = run.evidence.emulator.slow_start;
     let window = slow_start.overload_window;
     let checked_until = start + slow_start.duration + window;
--- a/crates/scenario/src/audit/statistics.rs
+++ b/crates/scenario/src/audit/statistics.rs
@@ -10,7 +10,7 @@
 const LONG_READ_BLOCKS: u32 = 16;
 
 /// Counts attempts that reached a node which did not serve the data, and how their requests ended.
-pub(super) fn count_stale_attempts(run: &Run, verdict: &mut Verdict) {
+pub(super) fn count_stale_attempts(run: &Run<'_>, verdict: &mut Verdict) {
     let stale = run.evidence.node_events.iter().filter_map(|(_, event)| match *event {
         NodeEvent::Answered { host, request_id, shard_moved: true, .. } => Some((host, request_id)),
         _ => None,
@@ -49,7 +49,7 @@
 }
 
 /// Fills in what each host did, and the priority weight of all.
-pub(super) fn measure_hosts(run: &Run, verdict: &mut Verdict) {
+pub(super) fn measure_hosts(run: &Run<'_>, verdict: &mut Verdict) {
     let clients = measure_clients(run);
     let nodes = measure_nodes(run);
     verdict.total_weight = clients.iter().map(|host| host.total_weight).sum();
@@ -73,7 +73,7 @@
         .collect();
 }
 
-fn measure_clients(run: &Run) -> Vec<ClientSide> {
+fn measure_clients(run: &Run<'_>) -> Vec<ClientSide> {
     let start = &run.evidence.host.start;
     let mut hosts = vec![ClientSide::default(); start.hosts as usize];
     for tracked in &run.requests {
@@ -93,7 +93,7 @@
     hosts
 }
 
-fn measure_nodes(run: &Run) -> Vec<NodeSide> {
+fn measure_nodes(run: &Run<'_>) -> Vec<NodeSide> {
     let mut hosts = vec![NodeSide::default(); run.evidence.host.start.hosts as usize];
     let mut known_batches: HashSet<u64> = HashSet::new();
     let mut known_writes: HashSet<(usize, u64)> = HashSet::new();
--- a/crates/scenario/src/client_defects.rs
+++ b/crates/scenario/src/client_defects.rs
@@ -17,7 +17,7 @@
 }
 
 impl ClientDefects {
-    pub fn new(defect: Option<SeededDefect>) -> ClientDefects {
+    pub(crate) fn new(defect: Option<SeededDefect>) -> ClientDefects {
         let is = |other: SeededDefect| defect == Some(other);
         ClientDefects {
             lose_answer_from: is(SeededDefect::Rule(Rule::FinalAnswer)).then_some(FIRST_AFFECTED_ANSWER),
@@ -27,12 +27,12 @@
     }
 
     /// Whether the answer to a request is lost.
-    pub fn loses_answer(&mut self, number: u64) -> bool {
+    pub(crate) fn loses_answer(&mut self, number: u64) -> bool {
         self.lose_answer_from.take_if(|from| number >= *from).is_some()
     }
 
     /// Whether the answer to a request comes twice.
-    pub fn repeats_answer(&mut self, number: u64) -> bool {
+    pub(crate) fn repeats_answer(&mut self, number: u64) -> bool {
         self.repeat_answer_from.take_if(|from| number >= *from).is_some()
     }
 }
--- a/crates/scenario/src/client_loop.rs
+++ b/crates/scenario/src/client_loop.rs
@@ -89,7 +89,7 @@
 }
 
 impl ClientLoop {
-    pub fn new(
+    pub(crate) fn new(
         host: &HostConfig,
         scenario: &ScenarioConfig,
         hosts: Vec<Option<SocketAddr>>,
@@ -128,7 +128,7 @@
     }
 
     /// Runs until the session is over and all requests are.
-    pub fn run(&mut self, inbox: &Receiver<Command>) {
+    pub(crate) fn run(&mut self, inbox: &Receiver<Command>) {
         let mut woken = Woken::default();
         (0..self.hosts.len()).for_each(|host| self.connect(host));
         loop {
@@ -152,7 +152,7 @@
     }
 
     /// What the clients did and saw.
-    pub fn into_report(self) -> ClientReport {
+    pub(crate) fn into_report(self) -> ClientReport {
         ClientReport { statistics: self.statistics, events: self.events.unwrap_or_default() }
     }
 
--- a/crates/scenario/src/config.rs
+++ b/crates/scenario/src/config.rs
@@ -124,7 +124,7 @@
 }
 
 /// Reads a whole file; `None` where it has no host, which is a fault of the file.
-pub fn read_config(root: &SettingsBlock, seed: u64) -> Option<Config> {
+pub fn read_config(root: &SettingsBlock<'_>, seed: u64) -> Option<Config> {
     let host = read_host(root, seed);
     let mut emulator = read_emulator(root);
     if let (Some(emulator), Some(host)) = (&mut emulator, &host) {
@@ -136,12 +136,12 @@
     Some(Config { host: host?, emulator, scenario })
 }
 
-fn read_scenario(root: &SettingsBlock, host: &HostConfig) -> Option<ScenarioConfig> {
+fn read_scenario(root: &SettingsBlock<'_>, host: &HostConfig) -> Option<ScenarioConfig> {
     let faults = read_faults(root);
     let scenario = root.optional_block("drill");
     let traffic = root.optional_block("traffic");
     let time = |name, absent| {
-        scenario.as_ref().map_or(absent, |p: &SettingsBlock| p.attribute(name).duration_ms_or(absent))
+        scenario.as_ref().map_or(absent, |p: &SettingsBlock<'_>| p.attribute(name).duration_ms_or(absent))
     };
     let (duration, drain_grace, clock_tolerance) =
         (time("time", 10_000.0), time("drain_within", 250.0), time("noise", 60.0));
@@ -163,7 +163,7 @@
     })
 }
 
-fn read_retry_storm(p: &SettingsBlock) -> RetryStormExpectation {
+fn read_retry_storm(p: &SettingsBlock<'_>) -> RetryStormExpectation {
     RetryStormExpectation {
         ceiling: p.attribute("ceiling").number(),
         quiet: p.attribute("quiet").duration_ms(),
@@ -172,7 +172,7 @@
     }
 }
 
-fn read_traffic(p: &SettingsBlock, host: &HostConfig) -> TrafficConfig {
+fn read_traffic(p: &SettingsBlock<'_>, host: &HostConfig) -> TrafficConfig {
     let mixes: Vec<Mix> = p.labelled_blocks("mix").iter().filter_map(|mix| read_mix(mix, host)).collect();
     if mixes.iter().map(|mix| mix.share).sum::<f64>() <= 0.0 {
         p.report_error("no mix with a share; expected at least one block mix \"band\"");
@@ -188,7 +188,7 @@
     }
 }
 
-fn read_mix(p: &SettingsBlock, host: &HostConfig) -> Option<Mix> {
+fn read_mix(p: &SettingsBlock<'_>, host: &HostConfig) -> Option<Mix> {
     let mut classes = host.classes.iter().map(String::as_str).zip(0..);
     let class = classes.find(|(name, _)| *name == p.label()).map(|(_, number)| number);
     if class.is_none() {
@@ -207,7 +207,7 @@
 const BACKOFFS: [(&str, Backoff); 3] =
     [("at-once", Backoff::None), ("fixed", Backoff::Fixed), ("exponential", Backoff::Exponential)];
 
-fn read_retry_behaviour(p: &SettingsBlock) -> RetryBehaviour {
+fn read_retry_behaviour(p: &SettingsBlock<'_>) -> RetryBehaviour {
     RetryBehaviour {
         share: p.attribute("share").number(),
         backoff: p.attribute("again").one_of_or(&BACKOFFS, Backoff::Exponential),
--- a/crates/scenario/src/host_process.rs
+++ b/crates/scenario/src/host_process.rs
@@ -12,7 +12,7 @@
 
 /// How hosts are started.
 #[derive(Clone, Debug)]
-pub struct HostProgram {
+pub(crate) struct HostProgram {
     /// The program.
     pub program: PathBuf,
     /// Its settings file.
@@ -28,7 +28,7 @@
 }
 
 /// A running host; killed when it is dropped.
-pub struct HostProcess {
+pub(crate) struct HostProcess {
     child: Child,
     /// Where it listens.
     pub address: SocketAddr,
@@ -36,7 +36,7 @@
 
 impl HostProcess {
     /// Starts a host and waits until it reports its address.
-    pub fn start(program: &HostProgram, number: usize) -> Result<HostProcess, ScenarioError> {
+    pub(crate) fn start(program: &HostProgram, number: usize) -> Result<HostProcess, ScenarioError> {
         let mut command = Command::new(&program.program);
         command.arg("serve").arg(&program.file).arg("--bare");
         command.args(["--number", &number.to_string(), "--listen", "127.0.0.1:0"]);
@@ -56,7 +56,7 @@
     }
 
     /// Starts a process whose first line of output is `ready` and its address.
-    pub fn run(mut command: Command) -> Result<HostProcess, ScenarioError> {
+    pub(crate) fn run(mut command: Command) -> Result<HostProcess, ScenarioError> {
         let program = PathBuf::from(command.get_program());
         let start_error = |source| ScenarioError::StartProcess { program: program.clone(), source };
         command.stdin(Stdio::null()).stdout(Stdio::piped());
@@ -76,7 +76,7 @@
     }
 
     /// Seconds of processor time that it has used, and bytes of memory that it holds.
-    pub fn usage(&self) -> Result<(f64, u64), ScenarioError> {
+    pub(crate) fn usage(&self) -> Result<(f64, u64), ScenarioError> {
         let pid = self.child.id();
         let read = |file: &str| {
             let text = std::fs::read_to_string(format!("/proc/{pid}/{file}"));
@@ -97,12 +97,12 @@
     }
 
     /// Stops the process with a signal, or continues it.
-    pub fn stall(&self, stopped: bool) -> Result<(), ScenarioError> {
+    pub(crate) fn stall(&self, stopped: bool) -> Result<(), ScenarioError> {
         self.signal(if stopped { Signal::STOP } else { Signal::CONT })
     }
 
     /// Terminates the process and waits; its exit code, `None` where a signal ended it.
-    pub fn end(mut self) -> Result<Option<i32>, ScenarioError> {
+    pub(crate) fn end(mut self) -> Result<Option<i32>, ScenarioError> {
         self.signal(Signal::TERM)?;
         let pid = self.child.id();
         let status = self.child.wait();
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,8 +1,6 @@
 //! Scenarios: hosts as processes of their own, emulated services, clients and faults on loopback, and an audit of
 //! the seven rules that relies on nobody's counters, only on what nodes and clients saw on their sockets.
 
-#![warn(missing_docs)]
-
 mod audit;
 mod benchmark;
 mod client_defects;
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -89,7 +89,7 @@
         Ok(())
     }
 
-    fn forward(&mut self, key: usize, message: &Message) {
+    fn forward(&mut self, key: usize, message: &Message<'_>) {
         match message {
             Message::Request(request) => {
                 let request_id = self.in_flight.insert((key, request.request_id)) as u64;
--- a/crates/scenario/src/scenario_run.rs
+++ b/crates/scenario/src/scenario_run.rs
@@ -90,7 +90,7 @@
 pub fn run_scenario(
     program: &Path,
     file: &Path,
-    settings: ScenarioSettings,
+    settings: ScenarioSettings<'_>,
     options: RunOptions,
 ) -> Result<ScenarioReport, ScenarioError> {
     let ScenarioSettings { host, emulator, scenario } = settings;
@@ -138,7 +138,7 @@
 }
 
 fn report(
-    settings: ScenarioSettings,
+    settings: ScenarioSettings<'_>,
     options: RunOptions,
     clients: ClientReport,
     verdict: Verdict,
@@ -173,7 +173,7 @@
 }
 
 fn start_emulator(
-    settings: ScenarioSettings,
+    settings: ScenarioSettings<'_>,
     options: RunOptions,
     clock: Clock,
 ) -> Result<EmulatorHandle, ScenarioError> {
@@ -193,7 +193,7 @@
 }
 
 /// The steps of the scenario's faults that begin while clients send.
-fn script_steps(settings: ScenarioSettings) -> Vec<(Ms, Step)> {
+fn script_steps(settings: ScenarioSettings<'_>) -> Vec<(Ms, Step)> {
     let nodes_of_zone = |zone: u64| {
         let nodes = settings.emulator.nodes.iter();
         let of_zone = nodes.filter(|node| u64::from(node.zone) == zone && !node.spare);
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -38,7 +38,7 @@
 }
 
 impl Workload {
-    pub fn new(
+    pub(crate) fn new(
         host: &HostConfig,
         scenario: &ScenarioConfig,
         host_count: usize,
@@ -61,18 +61,18 @@
         Workload { rng: WyRand::new_seed(seed), traffic, volumes: volumes.collect() }
     }
 
-    pub fn traffic(&self) -> &TrafficConfig {
+    pub(crate) fn traffic(&self) -> &TrafficConfig {
         &self.traffic
     }
 
     /// Changes the traffic of a volume to this multiple of its usual traffic.
-    pub fn set_surge(&mut self, id: u64, factor: f64) {
+    pub(crate) fn set_surge(&mut self, id: u64, factor: f64) {
         let volumes = self.volumes.iter_mut().filter(|volume| volume.id == id);
         volumes.for_each(|volume| volume.surge = factor);
     }
 
     /// The host to try after this one, for a volume's index.
-    pub fn next_host(&self, volume: usize, host: usize) -> usize {
+    pub(crate) fn next_host(&self, volume: usize, host: usize) -> usize {
         let hosts = &self.volumes[volume].hosts;
         let next = hosts.iter().position(|other| *other == host).map_or(0, |i| (i + 1) % hosts.len());
         hosts[next]
@@ -84,14 +84,14 @@
     }
 
     /// The time until the next request is due.
-    pub fn draw_interarrival(&mut self) -> Ms {
+    pub(crate) fn draw_interarrival(&mut self) -> Ms {
         let surges: f64 = self.volumes.iter().map(|volume| volume.surge).sum();
         let mean_surge = surges / self.volumes.len() as f64;
         -self.draw().ln() * 1000.0 / (self.traffic.rate * mean_surge)
     }
 
     /// Draws a request: its volume by the surges, its host among the volume's, its class by the mix.
-    pub fn draw_request(&mut self) -> DrawnRequest {
+    pub(crate) fn draw_request(&mut self) -> DrawnRequest {
         let number = self.draw();
         let volume = weighted_choice(number, self.volumes.iter().map(|volume| volume.surge)).unwrap_or(0);
         let number = self.draw();
@@ -124,7 +124,7 @@
 
     /// Draws how the client of a request retries. Nothing is drawn where no behaviours are given, so that the
     /// seeds of such scenarios keep their sequence.
-    pub fn draw_retry_behaviour(&mut self) -> Option<RetryBehaviour> {
+    pub(crate) fn draw_retry_behaviour(&mut self) -> Option<RetryBehaviour> {
         if self.traffic.retry_behaviours.is_empty() {
             return None;
         }
@@ -134,7 +134,7 @@
     }
 
     /// Draws the delay of a retry after so many sends.
-    pub fn draw_retry_delay(&mut self, behaviour: &RetryBehaviour, sends: u32, retry_after: Ms) -> Ms {
+    pub(crate) fn draw_retry_delay(&mut self, behaviour: &RetryBehaviour, sends: u32, retry_after: Ms) -> Ms {
         let (compliance, spread) = (self.draw(), self.draw());
         behaviour.delay_after(sends, retry_after, compliance, spread)
     }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -4,7 +4,7 @@
 
 /// A fault of the input, or of the streams themselves. All of them end the process.
 #[derive(Debug, thiserror::Error)]
-pub enum AdapterError {
+pub(crate) enum AdapterError {
     /// Standard input failed.
     #[error("the input cannot be read: {source}")]
     Read {
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -7,29 +7,29 @@
 use magpiewick_engine::IncomingRequest;
 
 /// The codes of a batch's records.
-pub mod record_code {
+pub(crate) mod record_code {
     /// A stream begins; nothing follows from it.
-    pub const STREAM_STARTED: u8 = 1;
+    pub(crate) const STREAM_STARTED: u8 = 1;
     /// A client's request.
-    pub const REQUEST: u8 = 2;
+    pub(crate) const REQUEST: u8 = 2;
     /// A table of endpoints, which later records name by its number.
-    pub const TABLE: u8 = 3;
+    pub(crate) const TABLE: u8 = 3;
     /// The outcome of an attempt.
-    pub const OUTCOME: u8 = 4;
+    pub(crate) const OUTCOME: u8 = 4;
     /// A message from another host.
-    pub const GOSSIP: u8 = 5;
+    pub(crate) const GOSSIP: u8 = 5;
     /// An instance starts.
-    pub const START: u8 = 6;
+    pub(crate) const START: u8 = 6;
     /// An update of the endpoint list.
-    pub const ENDPOINT_UPDATE: u8 = 7;
+    pub(crate) const ENDPOINT_UPDATE: u8 = 7;
     /// A client disconnected.
-    pub const CLIENT_DISCONNECT: u8 = 8;
+    pub(crate) const CLIENT_DISCONNECT: u8 = 8;
     /// The answer to a health check; nothing follows from it.
-    pub const HEALTH_REPORT: u8 = 9;
+    pub(crate) const HEALTH_REPORT: u8 = 9;
     /// An instance was killed.
-    pub const KILL: u8 = 10;
+    pub(crate) const KILL: u8 = 10;
     /// A timer is due.
-    pub const TIMER: u8 = 11;
+    pub(crate) const TIMER: u8 = 11;
 }
 
 /// Bytes of an endpoint in a table.
@@ -39,7 +39,7 @@
 
 /// How many classes and policies an instance was started with; an event names them by smaller numbers.
 #[derive(Clone, Copy)]
-pub struct Limits {
+pub(crate) struct Limits {
     /// Request classes.
     pub classes: usize,
     /// QoS policies.
@@ -47,7 +47,7 @@
 }
 
 /// What happened to a running instance.
-pub enum Event<'a> {
+pub(crate) enum Event<'a> {
     /// A client's request.
     Request(IncomingRequest),
     /// The outcome of an attempt.
@@ -89,7 +89,7 @@
 
 impl<'a> Event<'a> {
     /// Reads the fields of an event whose code and instance were read.
-    pub fn read(code: u8, fields: &mut Fields<'a>, limits: Limits) -> Result<Event<'a>, AdapterError> {
+    pub(crate) fn read(code: u8, fields: &mut Fields<'a>, limits: Limits) -> Result<Event<'a>, AdapterError> {
         Ok(match code {
             record_code::STREAM_STARTED => {
                 fields.bytes(STREAM_START_LENGTH, "the start of a stream")?;
@@ -119,7 +119,7 @@
     }
 }
 
-fn read_request(fields: &mut Fields, limits: Limits) -> Result<IncomingRequest, AdapterError> {
+fn read_request(fields: &mut Fields<'_>, limits: Limits) -> Result<IncomingRequest, AdapterError> {
     let id = fields.u64("a command")?;
     let class = usize::from(fields.u16("a band")?);
     let policy = usize::from(fields.u16("a plan")?);
@@ -155,7 +155,7 @@
     Ok(IncomingRequest { id, key, volume, request })
 }
 
-fn read_attempt_outcome<'a>(fields: &mut Fields) -> Result<Event<'a>, AdapterError> {
+fn read_attempt_outcome<'a>(fields: &mut Fields<'_>) -> Result<Event<'a>, AdapterError> {
     let request_id = fields.u64("a command")?;
     fields.u16("a hand-off")?;
     fields.u32("a node")?;
@@ -173,7 +173,7 @@
     })
 }
 
-fn read_endpoint_update<'a>(fields: &mut Fields) -> Result<Event<'a>, AdapterError> {
+fn read_endpoint_update<'a>(fields: &mut Fields<'_>) -> Result<Event<'a>, AdapterError> {
     let table = usize::from(fields.u16("a table's number")?);
     fields.u64("a version")?;
     let update = match fields.u8("a list's mode")? {
@@ -186,7 +186,7 @@
     Ok(Event::EndpointUpdate { table, update })
 }
 
-fn read_outcome_code(fields: &mut Fields) -> Result<Outcome, AdapterError> {
+fn read_outcome_code(fields: &mut Fields<'_>) -> Result<Outcome, AdapterError> {
     Ok(match fields.u16("an outcome")? {
         10 => Outcome::Succeeded,
         20 => Outcome::Error,
@@ -201,7 +201,7 @@
 }
 
 /// Reads past the node's load figures, which no decision uses.
-fn skip_load_report(fields: &mut Fields) -> Result<(), AdapterError> {
+fn skip_load_report(fields: &mut Fields<'_>) -> Result<(), AdapterError> {
     for _ in 0..fields.u8("a load report's length")? {
         fields.f32("a load report")?;
     }
@@ -209,7 +209,7 @@
 }
 
 /// Reads the endpoints of a table whose number was read.
-pub fn read_endpoints(fields: &mut Fields) -> Result<Vec<(u32, Endpoint)>, AdapterError> {
+pub(crate) fn read_endpoints(fields: &mut Fields<'_>) -> Result<Vec<(u32, Endpoint)>, AdapterError> {
     let count = fields.u32("a table's length")? as usize;
     fields.check_remaining(count.saturating_mul(TABLE_ENTRY_LENGTH), "a table")?;
     let mut endpoints = Vec::with_capacity(count);
@@ -219,7 +219,7 @@
     Ok(endpoints)
 }
 
-fn read_endpoint(fields: &mut Fields) -> Result<(u32, Endpoint), AdapterError> {
+fn read_endpoint(fields: &mut Fields<'_>) -> Result<(u32, Endpoint), AdapterError> {
     let id = fields.u32("a node")?;
     let zone = usize::from(fields.u16("a zone")?);
     fields.u8("a machine type")?;
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -4,13 +4,13 @@
 use std::io::Read;
 
 /// Bytes of a frame's header: clock u64, frame length u32, records u32, batch u32.
-pub const HEADER_LENGTH: usize = 20;
+pub(crate) const HEADER_LENGTH: usize = 20;
 /// Where the frame's length stands in the header.
 const LENGTH_FIELD: std::ops::Range<usize> = 8..12;
 
 /// Reads one frame into `frame`; false at the end of the input. The frame grows with what arrives, not with what its
 /// header promises.
-pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, AdapterError> {
+pub(crate) fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, AdapterError> {
     frame.clear();
     read_up_to(input, HEADER_LENGTH, frame)?;
     if frame.is_empty() {
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -7,7 +7,7 @@
 use magpiewick_instance_settings::NS_PER_MS;
 
 /// One instance of the process.
-pub struct Host {
+pub(crate) struct Host {
     number: u32,
     engine: Engine,
     timer: Timer,
@@ -28,7 +28,7 @@
 }
 
 /// Nanoseconds of the wire as the scheduler's milliseconds.
-pub fn ms(ns: u64) -> Ms {
+pub(crate) fn ms(ns: u64) -> Ms {
     ns as f64 / NS_PER_MS
 }
 
@@ -97,7 +97,7 @@
 
 impl Host {
     /// An instance that starts now.
-    pub fn new(number: u32, config: SchedulerConfig, now_ns: u64) -> Host {
+    pub(crate) fn new(number: u32, config: SchedulerConfig, now_ns: u64) -> Host {
         Host { number, engine: Engine::new(config, ms(now_ns)), timer: Timer::default() }
     }
 
@@ -111,43 +111,48 @@
     }
 
     /// An update of the endpoint list.
-    pub fn on_endpoint_update(&mut self, now_ns: u64, update: EndpointUpdate, endpoints: &[(u32, Endpoint)]) {
+    pub(crate) fn on_endpoint_update(
+        &mut self,
+        now_ns: u64,
+        update: EndpointUpdate,
+        endpoints: &[(u32, Endpoint)],
+    ) {
         self.engine.on_endpoint_update(ms(now_ns), update, endpoints);
     }
 
     /// A new request.
-    pub fn submit(&mut self, now_ns: u64, incoming: IncomingRequest, reply: &mut Reply) {
+    pub(crate) fn submit(&mut self, now_ns: u64, incoming: IncomingRequest, reply: &mut Reply) {
         let (engine, mut environment) = self.with_environment(now_ns, reply);
         engine.submit(ms(now_ns), incoming, &mut environment);
     }
 
     /// The outcome of an attempt.
-    pub fn on_outcome(&mut self, now_ns: u64, request_id: u64, answer: Answer, reply: &mut Reply) {
+    pub(crate) fn on_outcome(&mut self, now_ns: u64, request_id: u64, answer: Answer, reply: &mut Reply) {
         let (engine, mut environment) = self.with_environment(now_ns, reply);
         engine.on_outcome(ms(now_ns), request_id, answer, &mut environment);
     }
 
     /// A client disconnected.
-    pub fn on_client_disconnect(&mut self, now_ns: u64, request_id: u64) {
+    pub(crate) fn on_client_disconnect(&mut self, now_ns: u64, request_id: u64) {
         self.engine.on_client_disconnect(ms(now_ns), request_id);
     }
 
     /// A message from another host; one that cannot be decoded counts as lost.
-    pub fn on_gossip(&mut self, now_ns: u64, from: u16, message: &[u8]) {
+    pub(crate) fn on_gossip(&mut self, now_ns: u64, from: u16, message: &[u8]) {
         if let Ok(reports) = magpiewick_gossip::decode(message) {
             self.engine.on_gossip(ms(now_ns), usize::from(from), &reports);
         }
     }
 
     /// A timer is due; [`Host::run`] follows it.
-    pub fn on_timer(&mut self, label: u32) {
+    pub(crate) fn on_timer(&mut self, label: u32) {
         if label == self.timer.label {
             self.timer.armed_for_ns = None;
         }
     }
 
     /// Does what is due.
-    pub fn run(&mut self, now_ns: u64, reply: &mut Reply) {
+    pub(crate) fn run(&mut self, now_ns: u64, reply: &mut Reply) {
         let (engine, mut environment) = self.with_environment(now_ns, reply);
         engine.run(ms(now_ns), &mut environment);
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,6 @@
 //! The simulator's wire in front of the engine: frames with events on standard input, frames with actions on
 //! standard output.
 
-#![warn(missing_docs)]
-
 mod error;
 mod event;
 mod fields;
--- a/crates/simulator-adapter/src/process.rs
+++ b/crates/simulator-adapter/src/process.rs
@@ -14,7 +14,7 @@
 
 /// The tables that records name, and the running instances by number.
 #[derive(Default)]
-pub struct Process {
+pub(crate) struct Process {
     tables: [Option<Vec<(u32, Endpoint)>>; MAX_TABLES],
     instances: BTreeMap<u32, Instance>,
 }
@@ -26,7 +26,7 @@
 
 impl Process {
     /// Applies a batch: first its records in their order, then what is due at the instances that it named.
-    pub fn apply_batch(&mut self, frame: &[u8], reply: &mut Reply) -> Result<(), AdapterError> {
+    pub(crate) fn apply_batch(&mut self, frame: &[u8], reply: &mut Reply) -> Result<(), AdapterError> {
         let mut fields = Fields::new(frame);
         let now_ns = fields.u64("the clock")?;
         fields.u32("the length")?;
@@ -50,7 +50,7 @@
     fn apply_record(
         &mut self,
         now_ns: u64,
-        fields: &mut Fields,
+        fields: &mut Fields<'_>,
         named: &mut BTreeSet<u32>,
         reply: &mut Reply,
     ) -> Result<(), AdapterError> {
@@ -69,7 +69,7 @@
         }
     }
 
-    fn set_table(&mut self, fields: &mut Fields) -> Result<(), AdapterError> {
+    fn set_table(&mut self, fields: &mut Fields<'_>) -> Result<(), AdapterError> {
         let number = usize::from(fields.u16("a table's number")?);
         if number >= MAX_TABLES {
             return Err(fields.invalid(format_args!("impossible table number {number}")));
@@ -78,7 +78,12 @@
         Ok(())
     }
 
-    fn start_instance(&mut self, number: u32, now_ns: u64, fields: &mut Fields) -> Result<(), AdapterError> {
+    fn start_instance(
+        &mut self,
+        number: u32,
+        now_ns: u64,
+        fields: &mut Fields<'_>,
+    ) -> Result<(), AdapterError> {
         let seed = fields.u64("a seed")?;
         let length = fields.u32("the settings' length")? as usize;
         let text = fields.bytes(length, "the settings")?;
@@ -97,7 +102,7 @@
         code: u8,
         number: u32,
         now_ns: u64,
-        fields: &mut Fields,
+        fields: &mut Fields<'_>,
         reply: &mut Reply,
     ) -> Result<(), AdapterError> {
         let Some(Instance { host, limits }) = self.instances.get_mut(&number) else {
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -3,40 +3,40 @@
 use crate::error::AdapterError;
 
 /// The codes of a reply's actions.
-pub mod action_code {
+pub(crate) mod action_code {
     /// Checks a node's health.
-    pub const CHECK_HEALTH: u8 = 1;
+    pub(crate) const CHECK_HEALTH: u8 = 1;
     /// Sends an attempt.
-    pub const SEND: u8 = 3;
+    pub(crate) const SEND: u8 = 3;
     /// Rejects a request with a retry-after.
-    pub const REJECT: u8 = 4;
+    pub(crate) const REJECT: u8 = 4;
     /// Polls the endpoint list.
-    pub const POLL_ENDPOINTS: u8 = 6;
+    pub(crate) const POLL_ENDPOINTS: u8 = 6;
     /// Cancels an attempt.
-    pub const CANCEL: u8 = 7;
+    pub(crate) const CANCEL: u8 = 7;
     /// Sends a message to another host.
-    pub const SEND_GOSSIP: u8 = 9;
+    pub(crate) const SEND_GOSSIP: u8 = 9;
     /// Fails a request.
-    pub const FAIL: u8 = 10;
+    pub(crate) const FAIL: u8 = 10;
     /// Sets a timer.
-    pub const SET_TIMER: u8 = 12;
+    pub(crate) const SET_TIMER: u8 = 12;
 }
 
 /// The reply that is being written; its buffer is reused from batch to batch.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     bytes: Vec<u8>,
 }
 
 impl Reply {
     /// Starts the reply to a batch.
-    pub fn open(&mut self, batch: u32) {
+    pub(crate) fn open(&mut self, batch: u32) {
         self.bytes.clear();
         self.u32(0).u32(batch);
     }
 
     /// Fills in the length and returns the whole reply.
-    pub fn close(&mut self) -> Result<&[u8], AdapterError> {
+    pub(crate) fn close(&mut self) -> Result<&[u8], AdapterError> {
         let length = u32::try_from(self.bytes.len()).map_err(|_| AdapterError::ReplyTooLong)?;
         self.bytes[..4].copy_from_slice(&length.to_le_bytes());
         Ok(&self.bytes)
@@ -44,34 +44,34 @@
 
     /// What was written so far.
     #[cfg(test)]
-    pub fn bytes(&self) -> &[u8] {
+    pub(crate) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
     /// Appends bytes as they are.
-    pub fn put(&mut self, bytes: &[u8]) -> &mut Reply {
+    pub(crate) fn put(&mut self, bytes: &[u8]) -> &mut Reply {
         self.bytes.extend_from_slice(bytes);
         self
     }
 
     /// Appends one byte.
-    pub fn u8(&mut self, value: u8) -> &mut Reply {
+    pub(crate) fn u8(&mut self, value: u8) -> &mut Reply {
         self.bytes.push(value);
         self
     }
 
     /// Appends two bytes.
-    pub fn u16(&mut self, value: u16) -> &mut Reply {
+    pub(crate) fn u16(&mut self, value: u16) -> &mut Reply {
         self.put(&value.to_le_bytes())
     }
 
     /// Appends four bytes.
-    pub fn u32(&mut self, value: u32) -> &mut Reply {
+    pub(crate) fn u32(&mut self, value: u32) -> &mut Reply {
         self.put(&value.to_le_bytes())
     }
 
     /// Appends eight bytes.
-    pub fn u64(&mut self, value: u64) -> &mut Reply {
+    pub(crate) fn u64(&mut self, value: u64) -> &mut Reply {
         self.put(&value.to_le_bytes())
     }
 }
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -79,12 +79,12 @@
     }
 
     /// Queues a message. `token` names it to [`Connection::unwritten`], unless it is [`NOTHING`].
-    pub fn queue(&mut self, message: &Message, token: u64) {
+    pub fn queue(&mut self, message: &Message<'_>, token: u64) {
         self.queue_for(message, token, Vec::new());
     }
 
     /// Queues a message that has several tokens.
-    pub fn queue_for(&mut self, message: &Message, token: u64, more_tokens: Vec<u64>) {
+    pub fn queue_for(&mut self, message: &Message<'_>, token: u64, more_tokens: Vec<u64>) {
         let start = self.stream.queued_in_all();
         encode(message, self.stream.output());
         if token != NOTHING {
--- a/crates/transport/src/errors.rs
+++ b/crates/transport/src/errors.rs
@@ -21,7 +21,7 @@
 }
 
 /// Whether a non-blocking connect is still under way after this error, as after an interrupting signal.
-pub fn connect_goes_on(error: &io::Error) -> bool {
+pub(crate) fn connect_goes_on(error: &io::Error) -> bool {
     matches!(errno(error), Some(Errno::INPROGRESS | Errno::AGAIN | Errno::INTR))
 }
 
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,8 +1,6 @@
 //! What every event loop of magpiewick needs: a poller that owns its sources, byte streams, connections that carry
 //! frames, and timers. It decides nothing.
 
-#![warn(missing_docs)]
-
 mod connection;
 mod errors;
 mod poll;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,6 @@
 //! The scheduler of magpiewick, the types of its interface, and the client of the discovery service. It
 //! does no I/O: callers pass in the time and carry out what it decides.
 
-#![warn(missing_docs)]
-
 mod backoff;
 mod endpoint_client;
 mod freshness;
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -56,7 +56,7 @@
 
 impl ClientTimeouts {
     /// No request came yet.
-    pub fn new(config: &SchedulerConfig) -> ClientTimeouts {
+    pub(super) fn new(config: &SchedulerConfig) -> ClientTimeouts {
         let policies = config.policies.len().max(1);
         let statistics = vec![TimeoutStatistics::default(); config.classes.len() * policies];
         ClientTimeouts { policies, statistics }
@@ -79,7 +79,7 @@
     /// Whether the reserve covers a request, as far as this host knows; takes its units if so. Where nodes
     /// do not say what they served through other hosts, this host counts on the reserve over the root of
     /// the volume's hosts.
-    pub fn take(&mut self, now: Ms, request: &Request, config: &SchedulerConfig) -> bool {
+    pub(super) fn take(&mut self, now: Ms, request: &Request, config: &SchedulerConfig) -> bool {
         let reserve = config.policies[request.policy].reserve;
         let hosts = if config.counts_remote_service { 1.0 } else { request.hosts.sqrt() };
         let rate = reserve / hosts;
@@ -93,14 +93,14 @@
     }
 
     /// A request that the reserve covered leaves its queue unsent.
-    pub fn put_back(&mut self, request: &Request) {
+    pub(super) fn put_back(&mut self, request: &Request) {
         if let Some(bucket) = self.buckets.get_mut(&request.volume) {
             bucket.put_back(request.units);
         }
     }
 
     /// Units were served through other hosts.
-    pub fn drain(&mut self, volume: usize, units: f64) {
+    pub(super) fn drain(&mut self, volume: usize, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(&volume) {
             bucket.drain(units);
         }
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -66,7 +66,7 @@
 
 impl ConcurrencyWindow {
     /// A window at its start.
-    pub fn new(latency_objective: Ms, has_gossip: bool) -> ConcurrencyWindow {
+    pub(super) fn new(latency_objective: Ms, has_gossip: bool) -> ConcurrencyWindow {
         ConcurrencyWindow {
             size: MIN_WINDOW,
             latency_objective,
@@ -81,24 +81,24 @@
     }
 
     /// The node's process is a new one.
-    pub fn restart(&mut self) {
+    pub(super) fn restart(&mut self) {
         self.size = MIN_WINDOW;
     }
 
     /// Whether other hosts report. From then on the window holds the slots of all hosts and keeps their
     /// common floor.
-    pub fn set_gossip(&mut self, has_gossip: bool) {
+    pub(super) fn set_gossip(&mut self, has_gossip: bool) {
         self.has_gossip = has_gossip;
         self.size = self.size.max(if has_gossip { MIN_WINDOW } else { 0.0 });
     }
 
     /// Whether other hosts report.
-    pub fn has_gossip(&self) -> bool {
+    pub(super) fn has_gossip(&self) -> bool {
         self.has_gossip
     }
 
     /// What other hosts have at the node.
-    pub fn set_remote_load(&mut self, in_flight: u32, competing_hosts: u32) {
+    pub(super) fn set_remote_load(&mut self, in_flight: u32, competing_hosts: u32) {
         self.remote_in_flight = f64::from(in_flight);
         self.competing_hosts = f64::from(competing_hosts);
     }
@@ -108,19 +108,19 @@
     }
 
     /// Whether all slots but one are taken.
-    pub fn is_nearly_full(&self, in_flight: &InFlightAttempts) -> bool {
+    pub(super) fn is_nearly_full(&self, in_flight: &InFlightAttempts) -> bool {
         self.total_in_flight(in_flight) >= self.size - 1.0
     }
 
     /// Whether a slot is free.
-    pub fn has_capacity(&self, in_flight: &InFlightAttempts, spared: bool) -> bool {
+    pub(super) fn has_capacity(&self, in_flight: &InFlightAttempts, spared: bool) -> bool {
         let windows = if spared && self.has_gossip { SPARED_WINDOWS } else { 1.0 };
         self.total_in_flight(in_flight) < self.size.max(1.0) * windows
     }
 
     /// The queueing delay to expect of an attempt that is sent now: where hosts report all that is in
     /// flight, no more than that takes. Guards against past congestion that counts until the next answer.
-    pub fn expected_queueing_delay(&self, in_flight: &InFlightAttempts) -> Ms {
+    pub(super) fn expected_queueing_delay(&self, in_flight: &InFlightAttempts) -> Ms {
         if self.has_gossip {
             return self.queueing_delay.min(self.total_in_flight(in_flight) * self.unloaded_latency);
         }
@@ -128,29 +128,29 @@
     }
 
     /// By how much answers were lately over the unloaded latency.
-    pub fn queueing_delay(&self) -> Ms {
+    pub(super) fn queueing_delay(&self) -> Ms {
         self.queueing_delay
     }
 
     /// Queueing delay and unloaded latency together.
-    pub fn loaded_latency(&self) -> Ms {
+    pub(super) fn loaded_latency(&self) -> Ms {
         self.queueing_delay + self.unloaded_latency
     }
 
     /// How soon the node would be done with what is in flight there, to compare nodes.
-    pub fn expected_completion(&self, in_flight: &InFlightAttempts) -> Ms {
+    pub(super) fn expected_completion(&self, in_flight: &InFlightAttempts) -> Ms {
         self.queueing_delay + self.total_in_flight(in_flight) * self.unloaded_latency
     }
 
     /// When an attempt must have been sent that an answer with this queueing delay, reported by another
     /// host within `report_delay`, has overtaken.
-    pub fn overtaken_since(&self, now: Ms, queueing_delay: Ms, report_delay: Ms) -> Ms {
+    pub(super) fn overtaken_since(&self, now: Ms, queueing_delay: Ms, report_delay: Ms) -> Ms {
         now - queueing_delay - self.unloaded_latency - report_delay
     }
 
     /// Whether the next attempt may follow the last one by now. Spacing stands for a window under one, and
     /// for turns where other hosts' requests wait as well.
-    pub fn spacing_has_passed(&self, now: Ms, in_flight: &InFlightAttempts, spared: bool) -> bool {
+    pub(super) fn spacing_has_passed(&self, now: Ms, in_flight: &InFlightAttempts, spared: bool) -> bool {
         if spared && self.spares_spacing(in_flight) || self.needs_no_spacing() {
             return true;
         }
@@ -171,29 +171,35 @@
     }
 
     /// An attempt leaves: the next one waits for its turn, drawn at random (`fraction`, from 0 to 1).
-    pub fn on_send(&mut self, now: Ms, fraction: f64) {
+    pub(super) fn on_send(&mut self, now: Ms, fraction: f64) {
         self.last_sent_at = now;
         self.turn = MAX_TURN * fraction;
     }
 
     /// Whether a request that enters the empty queue has to wait for a turn.
-    pub fn has_competitors(&self) -> bool {
+    pub(super) fn has_competitors(&self) -> bool {
         self.competing_hosts > 0.0
     }
 
     /// A request enters the empty queue while other hosts compete: it waits for its turn from now on.
-    pub fn await_turn(&mut self, now: Ms, fraction: f64) {
+    pub(super) fn await_turn(&mut self, now: Ms, fraction: f64) {
         self.last_sent_at = self.last_sent_at.max(now);
         self.turn = MAX_TURN * fraction;
     }
 
     /// Narrows the window to a part of it.
-    pub fn narrow(&mut self, part: f64, floor: f64) {
+    pub(super) fn narrow(&mut self, part: f64, floor: f64) {
         self.size = (self.size * part).max(floor);
     }
 
     /// An answer came, `answer_age` after the one before it, so much over the unloaded latency.
-    pub fn on_answer(&mut self, answer_age: Ms, queueing_delay: Ms, nearly_full: bool, bounds: &DelayBounds) {
+    pub(super) fn on_answer(
+        &mut self,
+        answer_age: Ms,
+        queueing_delay: Ms,
+        nearly_full: bool,
+        bounds: &DelayBounds,
+    ) {
         let staleness = 1.0 - (-answer_age.min(MAX_ANSWER_AGE) / SMOOTHING_TIME_SCALE).exp();
         let smoothing = SMOOTHING.max(MAX_SMOOTHING * staleness);
         self.queueing_delay += smoothing * (queueing_delay - self.queueing_delay);
--- a/src/scheduler/endpoint_health.rs
+++ b/src/scheduler/endpoint_health.rs
@@ -36,32 +36,32 @@
 
 impl EndpointHealth {
     /// A node of which nothing is known.
-    pub fn new() -> EndpointHealth {
+    pub(super) fn new() -> EndpointHealth {
         EndpointHealth { last_answer_at: 0.0, unanswered: 0, backoff: FIRST_BACKOFF, backoff_until: 0.0 }
     }
 
     /// The node's process is a new one.
-    pub fn restart(&mut self, now: Ms) {
+    pub(super) fn restart(&mut self, now: Ms) {
         self.backoff_until = now;
     }
 
     /// Whether its last attempts failed.
-    pub fn is_failing(&self) -> bool {
+    pub(super) fn is_failing(&self) -> bool {
         self.backoff > FIRST_BACKOFF
     }
 
     /// Whether nothing is to be sent for now.
-    pub fn is_backing_off(&self, now: Ms) -> bool {
+    pub(super) fn is_backing_off(&self, now: Ms) -> bool {
         now < self.backoff_until
     }
 
     /// How long ago the last answer came.
-    pub fn answer_age(&self, now: Ms) -> Ms {
+    pub(super) fn answer_age(&self, now: Ms) -> Ms {
         now - self.last_answer_at
     }
 
     /// An answer came, here or at another host.
-    pub fn note_answer(&mut self, now: Ms) {
+    pub(super) fn note_answer(&mut self, now: Ms) {
         self.last_answer_at = now;
     }
 
@@ -90,12 +90,12 @@
 
 impl LossEstimate {
     /// No attempt was lost yet.
-    pub fn new() -> LossEstimate {
+    pub(super) fn new() -> LossEstimate {
         LossEstimate { rate: 0.0, doubtful_after: DOUBTFUL_AFTER }
     }
 
     /// How many later answers make an attempt doubtful.
-    pub fn doubtful_after(&self) -> u32 {
+    pub(super) fn doubtful_after(&self) -> u32 {
         self.doubtful_after
     }
 
--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -24,7 +24,7 @@
 
 impl EndpointPolling {
     /// The first poll is due now.
-    pub fn new(now: Ms, max_interval: Option<Ms>) -> EndpointPolling {
+    pub(super) fn new(now: Ms, max_interval: Option<Ms>) -> EndpointPolling {
         let longest_backoff = LONGEST_POLL_BACKOFF * max_interval.unwrap_or(0.0);
         EndpointPolling {
             max_interval,
@@ -34,12 +34,12 @@
     }
 
     /// When the next poll is due.
-    pub fn next_at(&self) -> Option<Ms> {
+    pub(super) fn next_at(&self) -> Option<Ms> {
         self.next_at
     }
 
     /// Whether a poll is due now, which it is no more then.
-    pub fn take_due(&mut self, now: Ms) -> bool {
+    pub(super) fn take_due(&mut self, now: Ms) -> bool {
         let is_due = self.next_at.is_some_and(|at| now >= at);
         if is_due {
             self.next_at = self.max_interval.map(|interval| now + POLL_TIMEOUT * interval);
--- a/src/scheduler/fair_queueing.rs
+++ b/src/scheduler/fair_queueing.rs
@@ -71,17 +71,17 @@
 
 impl FairQueue {
     /// Whether no request is queued.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
     /// The queued requests in the order in which they leave.
-    pub fn requests(&self) -> impl Iterator<Item = usize> + '_ {
+    pub(super) fn requests(&self) -> impl Iterator<Item = usize> + '_ {
         self.entries.iter().map(|(_, _, request)| *request)
     }
 
     /// Starts again from zero, without service that any flow had.
-    pub fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         for flow in self.flows.values_mut() {
             flow.last_finish = 0.0;
         }
@@ -90,7 +90,7 @@
     }
 
     /// Adds a request; the tag that it gets.
-    pub fn enqueue(&mut self, now: Ms, entry: &QueueEntry, bounds: &FrameBounds) -> Tag {
+    pub(super) fn enqueue(&mut self, now: Ms, entry: &QueueEntry, bounds: &FrameBounds) -> Tag {
         let key = (entry.volume, entry.reserved);
         let new_flow = Flow { last_finish: 0.0, weight: entry.weight, last_seen: now, queued: 0 };
         let flow = self.flows.entry(key).or_insert(new_flow);
@@ -120,14 +120,14 @@
     }
 
     /// Takes a request that leaves unsent out: its frame's counter falls, and its flow is not charged for it.
-    pub fn remove_unsent(&mut self, id: usize, pending: &PendingRequest) {
+    pub(super) fn remove_unsent(&mut self, id: usize, pending: &PendingRequest) {
         if let Some(flow) = self.remove(id, pending) {
             flow.last_finish -= pending.tag.finish - pending.tag.start;
         }
     }
 
     /// Takes a request that is sent out, and moves the potential and the frame on.
-    pub fn depart(&mut self, now: Ms, id: usize, pending: &PendingRequest) {
+    pub(super) fn depart(&mut self, now: Ms, id: usize, pending: &PendingRequest) {
         if let Some(flow) = self.remove(id, pending) {
             flow.last_seen = now;
         }
--- a/src/scheduler/gossip.rs
+++ b/src/scheduler/gossip.rs
@@ -36,7 +36,7 @@
 
 impl Gossip {
     /// Nothing was reported yet.
-    pub fn new(now: Ms) -> Gossip {
+    pub(super) fn new(now: Ms) -> Gossip {
         Gossip {
             received: GossipState::default(),
             is_active: false,
@@ -47,22 +47,22 @@
     }
 
     /// Whether other hosts have reported lately.
-    pub fn is_active(&self) -> bool {
+    pub(super) fn is_active(&self) -> bool {
         self.is_active
     }
 
     /// When the next report is due, if there is anything to report.
-    pub fn next_at(&self) -> Ms {
+    pub(super) fn next_at(&self) -> Ms {
         self.next_at
     }
 
     /// Whether there are answers or ended attempts to report.
-    pub fn has_unreported(&self) -> bool {
+    pub(super) fn has_unreported(&self) -> bool {
         self.owes_update || !self.unreported.is_empty()
     }
 
     /// Keeps an answer for the next report.
-    pub fn record_answer(&mut self, node: usize, queueing_delay: Ms) {
+    pub(super) fn record_answer(&mut self, node: usize, queueing_delay: Ms) {
         let unreported = self.unreported.entry(node).or_default();
         unreported.count += 1;
         unreported.total_queueing_delay += queueing_delay;
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -23,7 +23,7 @@
 
 impl Node {
     /// A node that the endpoint list names for the first time.
-    pub fn new(latency_objective: Ms, has_gossip: bool) -> Node {
+    pub(super) fn new(latency_objective: Ms, has_gossip: bool) -> Node {
         Node {
             endpoint: Endpoint::default(),
             queue: FairQueue::default(),
@@ -36,29 +36,29 @@
     }
 
     /// Whether the endpoint list has it as ready.
-    pub fn is_ready(&self) -> bool {
+    pub(super) fn is_ready(&self) -> bool {
         self.endpoint.state == EndpointState::Ready
     }
 
     /// Starts fair queueing again from zero where nothing is queued or in flight.
-    pub fn reset_queue_if_idle(&mut self) {
+    pub(super) fn reset_queue_if_idle(&mut self) {
         if self.queue.is_empty() && self.in_flight.is_empty() {
             self.queue.reset();
         }
     }
 
     /// Whether the window has a free slot, for a request that is spared spacing or for another.
-    pub fn has_capacity(&self, spared: bool) -> bool {
+    pub(super) fn has_capacity(&self, spared: bool) -> bool {
         self.is_ready() && self.window.has_capacity(&self.in_flight, spared)
     }
 
     /// Whether all slots of the window but one are taken.
-    pub fn is_nearly_full(&self) -> bool {
+    pub(super) fn is_nearly_full(&self) -> bool {
         self.window.is_nearly_full(&self.in_flight)
     }
 
     /// The queueing delay to expect of an attempt that is sent now.
-    pub fn expected_queueing_delay(&self) -> Ms {
+    pub(super) fn expected_queueing_delay(&self) -> Ms {
         self.window.expected_queueing_delay(&self.in_flight)
     }
 }
@@ -77,17 +77,17 @@
 
 impl Nodes {
     /// The node of an index.
-    pub fn get(&self, node: usize) -> Option<&Node> {
+    pub(super) fn get(&self, node: usize) -> Option<&Node> {
         self.slots.get(node)?.as_ref()
     }
 
     /// The node of an index, to change it; [`Nodes::refresh`] follows where queue, slots or attempts changed.
-    pub fn get_mut(&mut self, node: usize) -> Option<&mut Node> {
+    pub(super) fn get_mut(&mut self, node: usize) -> Option<&mut Node> {
         self.slots.get_mut(node)?.as_mut()
     }
 
     /// The node of an index, which is made where there is none.
-    pub fn get_or_insert_with(&mut self, node: usize, new: impl FnOnce() -> Node) -> &mut Node {
+    pub(super) fn get_or_insert_with(&mut self, node: usize, new: impl FnOnce() -> Node) -> &mut Node {
         if self.slots.len() <= node {
             self.slots.resize_with(node + 1, || None);
         }
@@ -95,40 +95,40 @@
     }
 
     /// All nodes, by index.
-    pub fn iter(&self) -> impl Iterator<Item = &Node> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Node> {
         self.slots.iter().flatten()
     }
 
     /// All nodes, by index, to change them.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Node> {
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Node> {
         self.slots.iter_mut().flatten()
     }
 
     /// The nodes of a shard.
-    pub fn of_shard(&self, shard: usize) -> impl Iterator<Item = &Node> {
+    pub(super) fn of_shard(&self, shard: usize) -> impl Iterator<Item = &Node> {
         let nodes = self.by_shard.get(&shard).into_iter().flatten();
         nodes.filter_map(|node| self.get(*node))
     }
 
     /// The nodes that have a free slot.
-    pub fn with_capacity(&self) -> impl Iterator<Item = &Node> {
+    pub(super) fn with_capacity(&self) -> impl Iterator<Item = &Node> {
         self.with_capacity.iter().filter_map(|node| self.get(*node))
     }
 
     /// The nodes that have a free slot and requests queued.
-    pub fn dispatchable(&self) -> Vec<usize> {
+    pub(super) fn dispatchable(&self) -> Vec<usize> {
         self.dispatchable.iter().copied().collect()
     }
 
     /// The nodes where an attempt may be overdue, by index.
-    pub fn due_overdue_checks(&self, now: Ms) -> Vec<usize> {
+    pub(super) fn due_overdue_checks(&self, now: Ms) -> Vec<usize> {
         let mut due: Vec<usize> = self.overdue_checks.due(now).collect();
         due.sort_unstable();
         due
     }
 
     /// Brings what is known of a node's capacity and of its overdue attempts up to date.
-    pub fn refresh(&mut self, index: usize) {
+    pub(super) fn refresh(&mut self, index: usize) {
         let node = self.slots[index].as_ref();
         let has_capacity = node.is_some_and(|node| node.has_capacity(true));
         let is_dispatchable = has_capacity && node.is_some_and(|node| !node.queue.is_empty());
@@ -142,7 +142,7 @@
     }
 
     /// Drops removed nodes where nothing is in flight, and lists the others by shard anew.
-    pub fn rebuild(&mut self) {
+    pub(super) fn rebuild(&mut self) {
         let is_over =
             |node: &mut Node| node.endpoint.state == EndpointState::Removed && node.in_flight.is_empty();
         for slot in &mut self.slots {
--- a/src/scheduler/pending_request.rs
+++ b/src/scheduler/pending_request.rs
@@ -50,7 +50,7 @@
 
 impl PendingRequest {
     /// Whether an attempt is in flight.
-    pub fn is_in_flight(&self) -> bool {
+    pub(super) fn is_in_flight(&self) -> bool {
         matches!(self.state, RequestState::InFlight(_) | RequestState::Finished(_))
     }
 }
@@ -63,27 +63,27 @@
 
 impl PendingRequests {
     /// The request of an index.
-    pub fn get(&self, id: usize) -> Option<&PendingRequest> {
+    pub(super) fn get(&self, id: usize) -> Option<&PendingRequest> {
         self.slots.get(id)?.as_ref()
     }
 
     /// The request of an index, to change it.
-    pub fn get_mut(&mut self, id: usize) -> Option<&mut PendingRequest> {
+    pub(super) fn get_mut(&mut self, id: usize) -> Option<&mut PendingRequest> {
         self.slots.get_mut(id)?.as_mut()
     }
 
     /// The request of an index if it is in no queue and not in flight.
-    pub fn blocked(&self, id: usize) -> Option<&PendingRequest> {
+    pub(super) fn blocked(&self, id: usize) -> Option<&PendingRequest> {
         self.get(id).filter(|pending| pending.state == RequestState::Blocked)
     }
 
     /// Whether the index has a request.
-    pub fn contains(&self, id: usize) -> bool {
+    pub(super) fn contains(&self, id: usize) -> bool {
         self.get(id).is_some()
     }
 
     /// Gives an index a request.
-    pub fn insert(&mut self, id: usize, pending: PendingRequest) {
+    pub(super) fn insert(&mut self, id: usize, pending: PendingRequest) {
         if self.slots.len() <= id {
             self.slots.resize_with(id + 1, || None);
         }
@@ -91,7 +91,7 @@
     }
 
     /// Frees an index.
-    pub fn remove(&mut self, id: usize) -> Option<PendingRequest> {
+    pub(super) fn remove(&mut self, id: usize) -> Option<PendingRequest> {
         self.slots.get_mut(id)?.take()
     }
 }
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -16,7 +16,7 @@
 
 impl RateLimits {
     /// No volume has spent anything since the host started.
-    pub fn new(started_at: Ms) -> RateLimits {
+    pub(super) fn new(started_at: Ms) -> RateLimits {
         RateLimits { buckets: BTreeMap::new(), started_at }
     }
 
@@ -35,14 +35,14 @@
     }
 
     /// Gives the tokens of a request back that leaves its queue unsent. Whether its volume is limited.
-    pub fn release(&mut self, request: &Request) -> bool {
+    pub(super) fn release(&mut self, request: &Request) -> bool {
         let Some(bucket) = self.buckets.get_mut(&request.volume) else { return false };
         bucket.release(request.units);
         true
     }
 
     /// Spends the tokens of a request that is sent.
-    pub fn spend(&mut self, now: Ms, request: &Request, policy: &QosPolicy) {
+    pub(super) fn spend(&mut self, now: Ms, request: &Request, policy: &QosPolicy) {
         let Some(bucket) = self.buckets.get_mut(&request.volume) else { return };
         bucket.refill(now, policy.limit_rate / request.hosts, policy.limit_burst / request.hosts);
         bucket.spend_reserved(request.units);
--- a/src/scheduler/retry_policy.rs
+++ b/src/scheduler/retry_policy.rs
@@ -20,19 +20,19 @@
 
 impl RetryCounts {
     /// Counts over the budget's window.
-    pub fn new(budget: Option<&RetryBudget>) -> RetryCounts {
+    pub(super) fn new(budget: Option<&RetryBudget>) -> RetryCounts {
         let bucket_length = budget.map_or(DEFAULT_WINDOW, |budget| budget.window) / BUCKETS as f64;
         let window = || RollingWindow::new(bucket_length, BUCKETS);
         RetryCounts { requests: window(), retries: window() }
     }
 
     /// Counts a request that was accepted.
-    pub fn add_request(&mut self, now: Ms, weight: f64) {
+    pub(super) fn add_request(&mut self, now: Ms, weight: f64) {
         self.requests.add(now, weight);
     }
 
     /// Counts a retry that was sent.
-    pub fn add_retry(&mut self, now: Ms) {
+    pub(super) fn add_retry(&mut self, now: Ms) {
         self.retries.add(now, 1.0);
     }
 
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -29,7 +29,7 @@
 
 impl ShardThroughput {
     /// Measures the nodes that are warm.
-    pub fn measure(&mut self, now: Ms, nodes: &mut Nodes, slow_start_duration: Ms) {
+    pub(super) fn measure(&mut self, now: Ms, nodes: &mut Nodes, slow_start_duration: Ms) {
         for node in nodes.iter_mut().filter(|node| node.is_ready()) {
             if node.endpoint.started_at.is_none_or(|at| now >= at + slow_start_duration) {
                 let served = node.served_units.lower_sum(now);
@@ -55,12 +55,12 @@
 
 impl SlowStartAllowance {
     /// The node's process is a new one.
-    pub fn restart(&mut self, now: Ms, units: f64) {
+    pub(super) fn restart(&mut self, now: Ms, units: f64) {
         (self.units, self.updated_at) = (units, now);
     }
 
     /// Units were sent; the allowance may fall below zero.
-    pub fn spend(&mut self, units: f64) {
+    pub(super) fn spend(&mut self, units: f64) {
         self.units -= units;
     }
 
--- a/src/scheduler/unloaded_latency.rs
+++ b/src/scheduler/unloaded_latency.rs
@@ -43,7 +43,7 @@
 
 impl UnloadedLatency {
     /// Nothing is known yet.
-    pub fn new(config: &SchedulerConfig, shortest_objective: Ms) -> UnloadedLatency {
+    pub(super) fn new(config: &SchedulerConfig, shortest_objective: Ms) -> UnloadedLatency {
         let samples = || RollingWindow::new(BUCKET_LENGTH, BUCKETS);
         UnloadedLatency {
             samples: config.classes.iter().map(|_| samples()).collect(),
@@ -56,17 +56,17 @@
     }
 
     /// The unloaded latency of a class.
-    pub fn of_class(&self, class: usize) -> Ms {
+    pub(super) fn of_class(&self, class: usize) -> Ms {
         self.by_class[class]
     }
 
     /// What queueing delays are held against.
-    pub fn delay_bounds(&self, congested_floor: f64) -> DelayBounds {
+    pub(super) fn delay_bounds(&self, congested_floor: f64) -> DelayBounds {
         DelayBounds { unloaded_latency: self.least, headroom: self.headroom, congested_floor }
     }
 
     /// Learns from an answer; by how much its latency is over the unloaded one.
-    pub fn record(&mut self, now: Ms, sample: &LatencySample) -> Ms {
+    pub(super) fn record(&mut self, now: Ms, sample: &LatencySample) -> Ms {
         let class = sample.class;
         let (mean_latency, known) = (sample.latency / sample.relative_duration, self.by_class[class]);
         // A batch takes less than its size: it counts only where it is slower than what is known.
--- a/src/structures/expiry_queue.rs
+++ b/src/structures/expiry_queue.rs
@@ -6,7 +6,7 @@
 
 /// Where an expiring request stands; those that expire together end in this order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum QueuePosition {
+pub(crate) enum QueuePosition {
     /// In no queue, with its arrival number.
     Blocked(u64),
     /// In a node's queue, with the number of its entry.
@@ -16,7 +16,7 @@
 /// Waiting requests by shard and time of expiry, one timer a shard for the first of them, and the requests
 /// that were found to be expiring.
 #[derive(Default)]
-pub struct ExpiryQueue {
+pub(crate) struct ExpiryQueue {
     waiting: BTreeMap<Option<usize>, BTreeSet<(i64, usize)>>,
     checks: TimerQueue<Option<usize>>,
     expiring: BTreeSet<(QueuePosition, usize)>,
@@ -25,7 +25,7 @@
 
 impl ExpiryQueue {
     /// Adds a waiting request, or removes it. It is not expiring from then on.
-    pub fn set_waiting(&mut self, shard: Option<usize>, expires_at: Ms, id: usize, waiting: bool) {
+    pub(crate) fn set_waiting(&mut self, shard: Option<usize>, expires_at: Ms, id: usize, waiting: bool) {
         if let Some(position) = self.position_of.remove(&id) {
             self.expiring.remove(&(position, id));
         }
@@ -38,37 +38,37 @@
     }
 
     /// The waiting request of a shard that expires first.
-    pub fn first_waiting(&self, shard: Option<usize>) -> Option<usize> {
+    pub(crate) fn first_waiting(&self, shard: Option<usize>) -> Option<usize> {
         Some(self.waiting.get(&shard)?.first()?.1)
     }
 
     /// All waiting requests of a shard, the first to expire first.
-    pub fn waiting_for(&self, shard: usize) -> Vec<usize> {
+    pub(crate) fn waiting_for(&self, shard: usize) -> Vec<usize> {
         self.waiting.get(&Some(shard)).into_iter().flatten().map(|(_, id)| *id).collect()
     }
 
     /// The shards that requests wait for.
-    pub fn shards(&self) -> Vec<Option<usize>> {
+    pub(crate) fn shards(&self) -> Vec<Option<usize>> {
         self.waiting.keys().copied().collect()
     }
 
     /// Sets when the first request of a shard is to be checked.
-    pub fn set_check(&mut self, shard: Option<usize>, at: Option<Ms>) {
+    pub(crate) fn set_check(&mut self, shard: Option<usize>, at: Option<Ms>) {
         self.checks.set(shard, at);
     }
 
     /// The shards whose first request is to be checked by `now`.
-    pub fn due_checks(&self, now: Ms) -> Vec<Option<usize>> {
+    pub(crate) fn due_checks(&self, now: Ms) -> Vec<Option<usize>> {
         self.checks.due(now).collect()
     }
 
     /// Whether any shard has a check ahead.
-    pub fn has_checks(&self) -> bool {
+    pub(crate) fn has_checks(&self) -> bool {
         !self.checks.is_empty()
     }
 
     /// Records that a request, which waits no longer, is expiring, or that it has moved to another position.
-    pub fn mark_expiring(&mut self, id: usize, position: QueuePosition) {
+    pub(crate) fn mark_expiring(&mut self, id: usize, position: QueuePosition) {
         if let Some(former) = self.position_of.insert(id, position) {
             self.expiring.remove(&(former, id));
         }
@@ -76,12 +76,12 @@
     }
 
     /// Whether a request was marked as expiring.
-    pub fn is_expiring(&self, id: usize) -> bool {
+    pub(crate) fn is_expiring(&self, id: usize) -> bool {
         self.position_of.contains_key(&id)
     }
 
     /// The expiring request with the first position.
-    pub fn first_expiring(&self) -> Option<usize> {
+    pub(crate) fn first_expiring(&self) -> Option<usize> {
         self.expiring.first().map(|(_, id)| *id)
     }
 }
--- a/src/structures/gossip_state.rs
+++ b/src/structures/gossip_state.rs
@@ -5,7 +5,7 @@
 
 /// What all other hosts together have at a node, as far as they reported.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-pub struct RemoteLoad {
+pub(crate) struct RemoteLoad {
     /// Their attempts in flight.
     pub in_flight: u32,
     /// How many of them have requests in the queue of the node.
@@ -19,14 +19,14 @@
 
 /// The latest reports by host, and their sums by node.
 #[derive(Default)]
-pub struct GossipState {
+pub(crate) struct GossipState {
     by_host: BTreeMap<usize, Reports>,
     by_node: BTreeMap<usize, RemoteLoad>,
 }
 
 impl GossipState {
     /// Replaces what a host reported before; the nodes of the former and of the new reports.
-    pub fn replace(&mut self, now: Ms, host: usize, reports: &[GossipReport]) -> Vec<usize> {
+    pub(crate) fn replace(&mut self, now: Ms, host: usize, reports: &[GossipReport]) -> Vec<usize> {
         let new = Reports { received_at: now, reports: reports.to_vec() };
         let former = self.by_host.insert(host, new).map_or(Vec::new(), |former| former.reports);
         for report in reports {
@@ -44,7 +44,7 @@
     }
 
     /// Drops reports received before a time; the nodes that they were about.
-    pub fn expire(&mut self, before: Ms) -> Vec<usize> {
+    pub(crate) fn expire(&mut self, before: Ms) -> Vec<usize> {
         let is_old = |reports: &Reports| reports.received_at < before;
         let old: Vec<usize> =
             self.by_host.iter().filter(|(_, reports)| is_old(reports)).map(|(host, _)| *host).collect();
@@ -56,12 +56,12 @@
     }
 
     /// Whether no host has reported lately.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.by_host.is_empty()
     }
 
     /// What the other hosts have at a node.
-    pub fn remote_load(&self, node: usize) -> RemoteLoad {
+    pub(crate) fn remote_load(&self, node: usize) -> RemoteLoad {
         self.by_node.get(&node).copied().unwrap_or_default()
     }
 }
--- a/src/structures/key_locks.rs
+++ b/src/structures/key_locks.rs
@@ -10,7 +10,7 @@
 
 /// The requests of each key in the order of arrival; the first one holds the lock of its key.
 #[derive(Default)]
-pub struct KeyLocks {
+pub(crate) struct KeyLocks {
     queues: BTreeMap<usize, KeyQueue>,
     /// Keys without requests, each with the end of its quiet period.
     idle: VecDeque<(Ms, usize)>,
@@ -18,19 +18,19 @@
 
 impl KeyLocks {
     /// Adds a request behind those of its key.
-    pub fn enqueue(&mut self, now: Ms, key: usize, id: usize) {
+    pub(crate) fn enqueue(&mut self, now: Ms, key: usize, id: usize) {
         let empty = || KeyQueue { requests: VecDeque::new(), quiet_until: now };
         self.queues.entry(key).or_insert_with(empty).requests.push_back(id);
     }
 
     /// The request that holds the lock of a key, and until when the key is to be quiet.
-    pub fn holder(&self, key: usize) -> Option<(usize, Ms)> {
+    pub(crate) fn holder(&self, key: usize) -> Option<(usize, Ms)> {
         let queue = self.queues.get(&key)?;
         Some((*queue.requests.front()?, queue.quiet_until))
     }
 
     /// Sets until when no other request of a key may start.
-    pub fn set_quiet_until(&mut self, key: usize, until: Ms) {
+    pub(crate) fn set_quiet_until(&mut self, key: usize, until: Ms) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.quiet_until = until;
         }
@@ -38,7 +38,7 @@
 
     /// Removes a request; the one that holds the lock then. Idle keys are dropped once their quiet period
     /// is over.
-    pub fn remove(&mut self, now: Ms, key: usize, id: usize) -> Option<usize> {
+    pub(crate) fn remove(&mut self, now: Ms, key: usize, id: usize) -> Option<usize> {
         let queue = self.queues.get_mut(&key)?;
         queue.requests.retain(|&other| other != id);
         let next = queue.requests.front().copied();
--- a/src/structures/mod.rs
+++ b/src/structures/mod.rs
@@ -9,14 +9,14 @@
 mod token_bucket;
 mod total_order;
 
-pub use blocked_requests::BlockedRequests;
-pub use expiry_queue::{ExpiryQueue, QueuePosition};
-pub use gossip_state::GossipState;
-pub use key_locks::KeyLocks;
-pub use rolling_window::RollingWindow;
-pub use timer_queue::TimerQueue;
-pub use token_bucket::TokenBucket;
-pub use total_order::total_order_key;
+pub(crate) use blocked_requests::BlockedRequests;
+pub(crate) use expiry_queue::{ExpiryQueue, QueuePosition};
+pub(crate) use gossip_state::GossipState;
+pub(crate) use key_locks::KeyLocks;
+pub(crate) use rolling_window::RollingWindow;
+pub(crate) use timer_queue::TimerQueue;
+pub(crate) use token_bucket::TokenBucket;
+pub(crate) use total_order::total_order_key;
 
 #[cfg(test)]
 mod tests;
--- a/src/structures/rolling_window.rs
+++ b/src/structures/rolling_window.rs
@@ -14,7 +14,7 @@
 /// Sums of values over the latest buckets of time, kept in a ring. The ring has one bucket more than the
 /// window, as the newest one is not full yet.
 #[derive(Default)]
-pub struct RollingWindow {
+pub(crate) struct RollingWindow {
     bucket_length: Ms,
     newest: i64,
     buckets: Vec<Bucket>,
@@ -22,7 +22,7 @@
 
 impl RollingWindow {
     /// A window of `buckets` buckets.
-    pub fn new(bucket_length: Ms, buckets: usize) -> RollingWindow {
+    pub(crate) fn new(bucket_length: Ms, buckets: usize) -> RollingWindow {
         RollingWindow { bucket_length, newest: i64::MIN / 2, buckets: vec![Bucket::default(); buckets + 1] }
     }
 
@@ -38,27 +38,27 @@
     }
 
     /// Adds a value.
-    pub fn add(&mut self, now: Ms, value: f64) {
+    pub(crate) fn add(&mut self, now: Ms, value: f64) {
         let newest = self.advance(now);
         self.buckets[newest].sum += value;
         self.buckets[newest].count += 1.0;
     }
 
     /// The sum over all buckets: never less than that of the window.
-    pub fn upper_sum(&mut self, now: Ms) -> f64 {
+    pub(crate) fn upper_sum(&mut self, now: Ms) -> f64 {
         self.advance(now);
         self.buckets.iter().map(|bucket| bucket.sum).sum()
     }
 
     /// The sum without the oldest bucket: never more than that of the window.
-    pub fn lower_sum(&mut self, now: Ms) -> f64 {
+    pub(crate) fn lower_sum(&mut self, now: Ms) -> f64 {
         let oldest = (self.advance(now) + 1) % self.buckets.len();
         let within = self.buckets.iter().enumerate().filter(|(index, _)| *index != oldest);
         within.map(|(_, bucket)| bucket.sum).sum()
     }
 
     /// The lowest mean of any bucket that has enough values.
-    pub fn lowest_mean(&mut self, now: Ms) -> Option<f64> {
+    pub(crate) fn lowest_mean(&mut self, now: Ms) -> Option<f64> {
         self.advance(now);
         let counting = self.buckets.iter().filter(|bucket| bucket.count >= MIN_VALUES_OF_MEAN);
         counting.map(|bucket| bucket.sum / bucket.count).min_by(f64::total_cmp)
--- a/src/structures/timer_queue.rs
+++ b/src/structures/timer_queue.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// At most one timer for each key.
-pub struct TimerQueue<K> {
+pub(crate) struct TimerQueue<K> {
     time_of: BTreeMap<K, i64>,
     queue: BTreeSet<(i64, K)>,
 }
@@ -18,7 +18,7 @@
 
 impl<K: Ord + Copy> TimerQueue<K> {
     /// Sets, moves or (with `None`) removes the timer of a key.
-    pub fn set(&mut self, key: K, at: Option<Ms>) {
+    pub(crate) fn set(&mut self, key: K, at: Option<Ms>) {
         let former = match at.map(total_order_key) {
             Some(at) => {
                 let former = self.time_of.insert(key, at);
@@ -36,12 +36,12 @@
     }
 
     /// Whether no timer is set.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
     /// The keys whose time has come by `now`, the earliest first.
-    pub fn due(&self, now: Ms) -> impl Iterator<Item = K> + '_ {
+    pub(crate) fn due(&self, now: Ms) -> impl Iterator<Item = K> + '_ {
         let last = total_order_key(now);
         self.queue.iter().take_while(move |(at, _)| *at <= last).map(|(_, key)| *key)
     }
--- a/tests/scheduler/reference_model.rs
+++ b/tests/scheduler/reference_model.rs
@@ -4,7 +4,7 @@
 use magpiewick::*;
 
 impl Simulation {
-    pub fn check_no_answer_is_overdue(&self) {
+    pub(crate) fn check_no_answer_is_overdue(&self) {
         for record in self.requests.iter().filter(|record| record.completion.is_none()) {
             let due_by = record.arrived_at + record.request.client_timeout + 12.0;
             assert!(self.now < due_by, "rule 1: no answer in time");
@@ -12,7 +12,7 @@
     }
 
     /// The host gives a request its final answer.
-    pub fn complete(&mut self, id: usize, status: FinalStatus) {
+    pub(crate) fn complete(&mut self, id: usize, status: FinalStatus) {
         let record = &self.requests[id];
         let class = &self.config.classes[record.request.class];
         assert!(record.completion.is_none() && !record.is_in_flight(), "rule 1: one final answer");
@@ -26,7 +26,7 @@
     }
 
     /// The host sends an attempt, coalesced with that of `first`.
-    pub fn start_attempt(&mut self, id: usize, node: usize, timeout: Ms, send_by: Ms, first: usize) {
+    pub(crate) fn start_attempt(&mut self, id: usize, node: usize, timeout: Ms, send_by: Ms, first: usize) {
         self.check_single_attempt(id, timeout);
         self.check_endpoint(id, node);
         self.check_idempotency(id, node, send_by);
