--- a/tests/scheduler/simulation.rs
+++ b/tests/scheduler/simulation.rs
@@ -7,7 +7,7 @@
 const ROUND: Ms = 2.0;
 const HOSTS: f64 = 2.0;
 
-pub fn config() -> SchedulerConfig {
+pub(crate) fn config() -> SchedulerConfig {
     let class = |idempotency, deduplication_scope, ordered| RequestClass {
         latency_objective: 200.0,
         client_timeout: 3000.0,
@@ -55,12 +55,12 @@
     }
 }
 
-pub fn endpoint(node: usize, state: EndpointState, started_at: Option<Ms>) -> Endpoint {
+pub(crate) fn endpoint(node: usize, state: EndpointState, started_at: Option<Ms>) -> Endpoint {
     Endpoint { node, zone: 0, shard: node % 2, state, started_at }
 }
 
 /// An idempotent request of one unit for the first shard; tests change what they are about.
-pub fn request() -> Request {
+pub(crate) fn request() -> Request {
     Request {
         class: 0,
         policy: 0,
@@ -76,17 +76,17 @@
 }
 
 /// A request of a volume whose client waits for long.
-pub fn request_of(volume: usize) -> Request {
+pub(crate) fn request_of(volume: usize) -> Request {
     Request { volume, client_timeout: 3000.0, ..request() }
 }
 
 /// A report without answers.
-pub fn report(node: usize, in_flight: u32, has_queued: bool) -> GossipReport {
+pub(crate) fn report(node: usize, in_flight: u32, has_queued: bool) -> GossipReport {
     GossipReport { node, in_flight, has_queued, answers: 0, queueing_delay: 0.0 }
 }
 
 /// An attempt that the scheduler decided on.
-pub struct Attempt {
+pub(crate) struct Attempt {
     pub node: usize,
     pub sent_at: Ms,
     pub timeout: Ms,
@@ -97,18 +97,18 @@
 }
 
 impl Attempt {
-    pub fn is_in_flight(&self) -> bool {
+    pub(crate) fn is_in_flight(&self) -> bool {
         self.ended.is_none()
     }
 
-    pub fn never_ran(&self) -> bool {
+    pub(crate) fn never_ran(&self) -> bool {
         self.ended.is_some_and(|(outcome, _)| outcome.never_ran())
     }
 }
 
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Completion {
+pub(crate) enum Completion {
     /// A node answered it, or its client disconnected.
     WithoutFinalStatus,
     /// The host gave it this final answer.
@@ -116,7 +116,7 @@
 }
 
 /// A request and all that happened to it.
-pub struct RequestRecord {
+pub(crate) struct RequestRecord {
     pub request: Request,
     pub arrived_at: Ms,
     pub attempts: Vec<Attempt>,
@@ -124,19 +124,19 @@
 }
 
 impl RequestRecord {
-    pub fn is_in_flight(&self) -> bool {
+    pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts.last().is_some_and(Attempt::is_in_flight)
     }
 
-    pub fn is_over(&self) -> bool {
+    pub(crate) fn is_over(&self) -> bool {
         self.completion.is_some() && !self.is_in_flight()
     }
 
-    pub fn provably_never_ran(&self) -> bool {
+    pub(crate) fn provably_never_ran(&self) -> bool {
         self.attempts.iter().all(Attempt::never_ran)
     }
 
-    pub fn final_status(&self) -> Option<FinalStatus> {
+    pub(crate) fn final_status(&self) -> Option<FinalStatus> {
         match self.completion {
             Some(Completion::WithFinalStatus(status)) => Some(status),
             Some(Completion::WithoutFinalStatus) | None => None,
@@ -144,20 +144,20 @@
     }
 
     /// The nodes that its attempts went to.
-    pub fn nodes(&self) -> Vec<usize> {
+    pub(crate) fn nodes(&self) -> Vec<usize> {
         self.attempts.iter().map(|attempt| attempt.node).collect()
     }
 }
 
 /// Units that were sent to a node or served by it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Transfer {
+pub(crate) struct Transfer {
     pub at: Ms,
     pub node: usize,
     pub units: f64,
 }
 
-pub struct Simulation {
+pub(crate) struct Simulation {
     pub now: Ms,
     pub config: SchedulerConfig,
     pub scheduler: Scheduler,
@@ -186,7 +186,7 @@
 }
 
 impl Simulation {
-    pub fn new(config: SchedulerConfig) -> Simulation {
+    pub(crate) fn new(config: SchedulerConfig) -> Simulation {
         let now = 1_000_000.0;
         let ready = |node| (node, endpoint(node, EndpointState::Ready, None));
         let mut simulation = Simulation {
@@ -212,7 +212,7 @@
     }
 
     /// A host whose window at the first node is full, so that further requests are queued.
-    pub fn with_full_window(config: SchedulerConfig) -> Simulation {
+    pub(crate) fn with_full_window(config: SchedulerConfig) -> Simulation {
         let mut simulation = Simulation::new(config);
         simulation.fill_window();
         simulation.disconnect(simulation.requests.len() - 1);
@@ -220,35 +220,35 @@
     }
 
     /// Submits requests to the first node until one is not sent.
-    pub fn fill_window(&mut self) {
+    pub(crate) fn fill_window(&mut self) {
         while self.in_flight_at(0) == self.requests.len() {
             self.submit(request_of(9));
         }
     }
 
     /// Submits several requests of a kind; their indices.
-    pub fn submit_all(&mut self, count: usize, request: &Request) -> Vec<usize> {
+    pub(crate) fn submit_all(&mut self, count: usize, request: &Request) -> Vec<usize> {
         (0..count).map(|_| self.submit(request.clone())).collect()
     }
 
     /// How many requests are in flight that had an attempt at a node.
-    pub fn in_flight_at(&self, node: usize) -> usize {
+    pub(crate) fn in_flight_at(&self, node: usize) -> usize {
         let in_flight = self.requests.iter().filter(|record| record.is_in_flight());
         in_flight.filter(|record| record.nodes().contains(&node)).count()
     }
 
     /// How many attempts a request had.
-    pub fn attempts(&self, id: usize) -> usize {
+    pub(crate) fn attempts(&self, id: usize) -> usize {
         self.requests[id].attempts.len()
     }
 
     /// The nodes that the attempts of a request went to.
-    pub fn nodes(&self, id: usize) -> Vec<usize> {
+    pub(crate) fn nodes(&self, id: usize) -> Vec<usize> {
         self.requests[id].nodes()
     }
 
     /// The order in which queued requests leave as all that is in flight is answered.
-    pub fn dispatch_order(&mut self, queued: &[usize]) -> Vec<usize> {
+    pub(crate) fn dispatch_order(&mut self, queued: &[usize]) -> Vec<usize> {
         let mut order = Vec::new();
         for id in 0..self.requests.len() {
             self.outcome(id, Outcome::Succeeded);
@@ -259,13 +259,13 @@
         order
     }
 
-    pub fn update_endpoints(&mut self, update: EndpointUpdate) {
+    pub(crate) fn update_endpoints(&mut self, update: EndpointUpdate) {
         let endpoints: Vec<Endpoint> = self.endpoints.values().cloned().collect();
         self.scheduler.on_endpoint_update(self.now, update, &endpoints);
         self.run_actions();
     }
 
-    pub fn set_endpoint(&mut self, node: usize, state: EndpointState, started_at: Option<Ms>) {
+    pub(crate) fn set_endpoint(&mut self, node: usize, state: EndpointState, started_at: Option<Ms>) {
         let former = self.endpoints.insert(node, endpoint(node, state, started_at));
         if former.is_none_or(|former| former.started_at != started_at) {
             self.notified_at.insert(node, self.now);
@@ -274,7 +274,7 @@
     }
 
     /// The host is killed and starts again with nothing but its last endpoint list.
-    pub fn restart(&mut self) {
+    pub(crate) fn restart(&mut self) {
         self.requests.clear();
         self.retries.clear();
         self.cancelled.clear();
@@ -283,7 +283,7 @@
     }
 
     /// A request arrives; its index.
-    pub fn submit(&mut self, request: Request) -> usize {
+    pub(crate) fn submit(&mut self, request: Request) -> usize {
         let id = self.requests.len();
         let arrived_at = self.now;
         self.requests.push(RequestRecord { request, arrived_at, attempts: Vec::new(), completion: None });
@@ -321,7 +321,7 @@
     }
 
     /// The attempt in flight of a request ends, if there is one.
-    pub fn outcome(&mut self, id: usize, outcome: Outcome) {
+    pub(crate) fn outcome(&mut self, id: usize, outcome: Outcome) {
         let (now, record) = (self.now, &mut self.requests[id]);
         let request_over = record.completion.is_some() || outcome == Outcome::Succeeded;
         let Some(attempt) = record.attempts.last_mut().filter(|attempt| attempt.is_in_flight()) else {
@@ -341,7 +341,7 @@
     }
 
     /// The client of a request disconnects.
-    pub fn disconnect(&mut self, id: usize) {
+    pub(crate) fn disconnect(&mut self, id: usize) {
         if self.requests[id].completion.is_none() {
             self.requests[id].completion = Some(Completion::WithoutFinalStatus);
             self.scheduler.on_client_disconnect(self.now, id);
@@ -350,7 +350,7 @@
     }
 
     /// Another host reports.
-    pub fn receive_gossip(&mut self, from: usize, reports: &[GossipReport]) {
+    pub(crate) fn receive_gossip(&mut self, from: usize, reports: &[GossipReport]) {
         if !self.drops_gossip {
             self.scheduler.on_gossip(self.now, from, reports);
             self.run_actions();
@@ -358,7 +358,7 @@
     }
 
     /// The data of a request lies on another shard now.
-    pub fn move_to_shard(&mut self, id: usize, shard: usize) {
+    pub(crate) fn move_to_shard(&mut self, id: usize, shard: usize) {
         self.requests[id].request.shard = Some(shard);
         self.scheduler.on_shard_moved(self.now, id, shard);
         self.run_actions();
@@ -380,7 +380,7 @@
     }
 
     /// Lets time advance, with cancellations and time-outs, and checks that no answer is overdue.
-    pub fn advance(&mut self, time: Ms) {
+    pub(crate) fn advance(&mut self, time: Ms) {
         let end = self.now + time;
         while self.now < end {
             let until = self.run_actions();
