--- a/scenarios/bad-day.hcl
+++ b/scenarios/bad-day.hcl
@@ -1,5 +1,5 @@
 # The bad day: three hosts, eight nodes and their successors, and most kinds of fault that the first users reported.
-#   cargo run --release -- drill scenarios/bad-day.hcl
+#   cargo run --release -- scenario scenarios/bad-day.hcl
 host {
   hosts       = 3
   hand_offs   = 3
--- a/scenarios/extent-moves.hcl
+++ b/scenarios/extent-moves.hcl
@@ -1,5 +1,5 @@
 # Extents are migrated between shards while hosts serve, under a surge, twice in a row, and while coordinators fail.
-#   cargo run --release -- drill scenarios/extent-moves.hcl
+#   cargo run --release -- scenario scenarios/extent-moves.hcl
 host {
   hosts       = 3
   hand_offs   = 3
--- a/scenarios/merge-split.hcl
+++ b/scenarios/merge-split.hcl
@@ -1,6 +1,6 @@
 # Small writes that are coalesced and large reads that are split, while nodes fail partially, become unresponsive and
 # drain, and extents are migrated. Host 1 sends every request by itself, to compare with.
-#   cargo run --release -- drill scenarios/merge-split.hcl
+#   cargo run --release -- scenario scenarios/merge-split.hcl
 host {
   hosts      = 2
   hand_offs  = 3
--- a/scenarios/plants.hcl
+++ b/scenarios/plants.hcl
@@ -1,5 +1,5 @@
-# A short scenario in which every rule has cases to check; --plant RULE seeds a defect that the audit must find.
-#   cargo run --release -- drill scenarios/plants.hcl --plant twice
+# A short scenario in which every rule has cases to check; --defect RULE seeds a defect that the audit must find.
+#   cargo run --release -- scenario scenarios/plants.hcl --defect twice
 host {
   hosts       = 3
   hand_offs   = 3
--- a/scenarios/retry-storm.hcl
+++ b/scenarios/retry-storm.hcl
@@ -1,6 +1,6 @@
 # A retry storm: a node stops for five seconds and comes back warming up, to clients that retry as real ones do; then a
 # rack of three goes down and comes back together.
-#   cargo run --release -- drill scenarios/retry-storm.hcl --undamped
+#   cargo run --release -- scenario scenarios/retry-storm.hcl --undamped
 host {
   hosts       = 3
   hand_offs   = 3
