--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -3,6 +3,7 @@
 use super::in_flight::InFlightAttempt;
 use super::node::Node;
 use super::pending_request::{PendingRequest, RequestState, UncertainAttempt};
+use super::unloaded_latency::relative_duration;
 use super::Scheduler;
 use crate::types::{Ms, RouteDecision};
 
@@ -121,7 +122,7 @@
             attempt: pending.attempts,
             sent_at: now,
             response_timeout: self.config.classes[request.class].latency_objective,
-            unloaded_latency: unloaded_latency * (1.0 + request.units / self.config.mean_units) / 2.0,
+            unloaded_latency: unloaded_latency * relative_duration(request.units, self.config.mean_units),
             batch: self.batches,
             batch_units: request.units,
             overtaken_by: 0,
