--- a/crates/instance-settings/src/lib.rs
+++ b/crates/instance-settings/src/lib.rs
@@ -18,13 +18,13 @@
 pub enum SettingsError {
     /// A line is no pair of a key and a value.
     #[error("start setting without '=': {line:?}")]
-    NoPair {
+    MissingSeparator {
         /// The line.
         line: String,
     },
     /// The settings are no JSON object.
     #[error("the start settings are not an object")]
-    NoObject,
+    NotAnObject,
     /// A value cannot be read, or is out of range.
     #[error("start setting {key} has an impossible value {value}")]
     ImpossibleValue {
@@ -100,11 +100,11 @@
 
 impl InstanceSettings {
     /// Reads pairs of the form path=value, each on its own line.
-    pub fn pairs(text: &str) -> Result<InstanceSettings, SettingsError> {
+    pub fn from_pairs(text: &str) -> Result<InstanceSettings, SettingsError> {
         let mut pairs = HashMap::new();
         for line in text.lines().filter(|line| !line.is_empty()) {
             let Some((key, value)) = line.split_once('=') else {
-                return Err(SettingsError::NoPair { line: line.to_string() });
+                return Err(SettingsError::MissingSeparator { line: line.to_string() });
             };
             pairs.insert(key.to_string(), value.to_string());
         }
@@ -113,11 +113,11 @@
 
     /// Reads nested JSON: a list of plain values stands as these joined by commas, a list of objects as its
     /// length under `count` and its items under their numbers, as the pairs have it.
-    pub fn json(settings: &Value) -> Result<InstanceSettings, SettingsError> {
+    pub fn from_json(settings: &Value) -> Result<InstanceSettings, SettingsError> {
         let mut pairs = HashMap::new();
         match settings {
             Value::Object(_) => flatten(String::new(), settings, &mut pairs),
-            _ => return Err(SettingsError::NoObject),
+            _ => return Err(SettingsError::NotAnObject),
         }
         Ok(InstanceSettings(pairs))
     }
--- a/crates/instance-settings/tests/forms.rs
+++ b/crates/instance-settings/tests/forms.rs
@@ -46,7 +46,7 @@
 #[test]
 fn nested_and_dotted_settings_mean_the_same() {
     let (nested, dotted) =
-        (InstanceSettings::json(&settings()).unwrap(), InstanceSettings::pairs(PAIRS).unwrap());
+        (InstanceSettings::from_json(&settings()).unwrap(), InstanceSettings::from_pairs(PAIRS).unwrap());
     assert_eq!(
         format!("{:?}", nested.scheduler_config(7).unwrap()),
         format!("{:?}", dotted.scheduler_config(7).unwrap())
@@ -61,17 +61,17 @@
 fn the_same_errors_are_named_in_both_forms() {
     let mut bad = settings();
     bad["profiles"][0]["slo_ns"] = json!("soon");
-    let nested = InstanceSettings::json(&bad).unwrap().scheduler_config(7).unwrap_err();
+    let nested = InstanceSettings::from_json(&bad).unwrap().scheduler_config(7).unwrap_err();
     let dotted = PAIRS.replace("profiles.0.slo_ns=200000000", "profiles.0.slo_ns=soon");
-    assert_eq!(nested, InstanceSettings::pairs(&dotted).unwrap().scheduler_config(7).unwrap_err());
+    assert_eq!(nested, InstanceSettings::from_pairs(&dotted).unwrap().scheduler_config(7).unwrap_err());
     assert!(nested.to_string().contains("profiles.0.slo_ns"), "{nested}");
     bad["profiles"][0]["slo_ns"] = Value::Null;
-    assert!(InstanceSettings::json(&bad)
+    assert!(InstanceSettings::from_json(&bad)
         .unwrap()
         .scheduler_config(7)
         .unwrap_err()
         .to_string()
         .contains("is missing"));
-    assert!(InstanceSettings::json(&json!([1])).is_err());
-    assert!(InstanceSettings::json(&json!({})).unwrap().scheduler_config(7).is_err());
+    assert!(InstanceSettings::from_json(&json!([1])).is_err());
+    assert!(InstanceSettings::from_json(&json!({})).unwrap().scheduler_config(7).is_err());
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -138,7 +138,7 @@
         if file.limits.memory_mb < MIN_MEMORY_MB {
             return Err(FileError::TooLittleMemory(file.limits.memory_mb));
         }
-        let instance = InstanceSettings::json(&file.settings)?;
+        let instance = InstanceSettings::from_json(&file.settings)?;
         let mut scheduler = instance.scheduler_config(seed)?;
         let settings = instance.platform_settings()?;
         // The endpoint client alone decides when the list is polled.
--- a/crates/simulator-adapter/src/process.rs
+++ b/crates/simulator-adapter/src/process.rs
@@ -88,7 +88,7 @@
         let length = fields.u32("the settings' length")? as usize;
         let text = fields.bytes(length, "the settings")?;
         let text = std::str::from_utf8(text).map_err(|_| fields.invalid("the settings are not text"))?;
-        let config = InstanceSettings::pairs(text)
+        let config = InstanceSettings::from_pairs(text)
             .and_then(|settings| settings.scheduler_config(seed))
             .map_err(|error| AdapterError::Settings(error.to_string()))?;
         let limits = Limits { classes: config.classes.len(), policies: config.policies.len() };
