--- a/crates/platform/src/attempt_end.rs
+++ b/crates/platform/src/attempt_end.rs
@@ -1,35 +1,36 @@
-//! What the end of an attempt proves; free of I/O.
+//! Conclusions that the end of an attempt allows about its request; free of I/O.
 
 use crate::response_stream::ReceiveError;
 use magpiewick::Outcome;
 use magpiewick_http1::Response;
 use std::fmt;
 
-/// How an attempt ended.
+/// End of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptEnd {
-    /// With a complete response.
+    /// A complete response arrived.
     Response {
-        /// Its status.
+        /// HTTP status.
         status: u16,
-        /// The endpoint says that the request was not run.
+        /// True if the endpoint reports that the request was not run.
         not_run: bool,
     },
-    /// With bytes that are no response.
+    /// Bytes arrived that are not an HTTP response.
     MalformedResponse,
-    /// The connection could not be established, broke or ended.
+    /// The connection could not be established, was reset or was closed.
     ConnectionLost,
-    /// The time for the connection or for the attempt is over.
+    /// The connect timeout or the timeout of the attempt expired.
     TimedOut,
-    /// This host gave it up.
+    /// This host cancelled the attempt.
     Cancelled,
-    /// This host withdrew it before it was written completely, whatever the endpoint does.
+    /// This host withdrew the attempt before its request was written completely, regardless of the endpoint's
+    /// behaviour.
     Withdrawn,
 }
 
 impl AttemptEnd {
-    /// The outcome of an attempt that ended so. `written`: the system took its last byte. Only what the platform names
-    /// as proof counts as never run.
+    /// Returns the outcome of an attempt with this end. `written`: whether the operating system accepted the last byte
+    /// of the request. A request counts as never run only where the platform's protocol guarantees that.
     pub(crate) fn outcome(self, written: bool) -> Outcome {
         match self {
             AttemptEnd::Response { status: 200, .. } => Outcome::Succeeded,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The name under which it is logged and counted.
+    /// Returns the name used in log lines and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             AttemptEnd::Response { .. } => "response",
--- a/crates/platform/src/attempt_end/tests.rs
+++ b/crates/platform/src/attempt_end/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-/// Each row of the platform's table, and what it says of whether the request has run.
+/// Covers each row of the platform's table of attempt ends, and whether the request may have run.
 #[test]
-fn only_what_the_platform_names_proves_that_nothing_ran() {
-    let answer = |status, not_run| AttemptEnd::Response { status, not_run };
+fn only_ends_defined_by_the_platform_prove_that_a_request_did_not_run() {
+    let response = |status, not_run| AttemptEnd::Response { status, not_run };
     for (end, written, expected, never_ran) in [
-        (answer(200, false), true, Outcome::Succeeded, false),
-        (answer(200, true), true, Outcome::Succeeded, false),
-        (answer(500, false), true, Outcome::Error, false),
-        (answer(500, true), true, Outcome::Error, false),
-        (answer(503, true), true, Outcome::Overloaded, true),
-        (answer(504, true), true, Outcome::Overloaded, true),
-        (answer(503, false), true, Outcome::Error, false),
-        (answer(504, false), false, Outcome::Error, false),
-        (answer(429, true), true, Outcome::Error, false),
+        (response(200, false), true, Outcome::Succeeded, false),
+        (response(200, true), true, Outcome::Succeeded, false),
+        (response(500, false), true, Outcome::Error, false),
+        (response(500, true), true, Outcome::Error, false),
+        (response(503, true), true, Outcome::Overloaded, true),
+        (response(504, true), true, Outcome::Overloaded, true),
+        (response(503, false), true, Outcome::Error, false),
+        (response(504, false), false, Outcome::Error, false),
+        (response(429, true), true, Outcome::Error, false),
         (AttemptEnd::ConnectionLost, false, Outcome::ConnectFailed, true),
         (AttemptEnd::ConnectionLost, true, Outcome::Reset, false),
         (AttemptEnd::MalformedResponse, true, Outcome::Reset, false),
@@ -24,7 +24,7 @@
         (AttemptEnd::Withdrawn, false, Outcome::DeadlineExceeded, true),
         (AttemptEnd::Withdrawn, true, Outcome::Cancelled, false),
     ] {
-        let found = end.outcome(written);
-        assert_eq!((found, found.never_ran()), (expected, never_ran), "{end:?}, written: {written}");
+        let actual = end.outcome(written);
+        assert_eq!((actual, actual.never_ran()), (expected, never_ran), "{end:?}, written: {written}");
     }
 }
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its input becomes a queue of requests, each of which leaves the queue once.
+//! Connection of one client: its input forms a queue of requests, each of which is taken from the queue once.
 
 use crate::client_policy::{ClientActivity, EvictionCandidate, MAX_DISCARDED_BYTES};
 use crate::reactor::ConnectionKey;
@@ -7,85 +7,85 @@
 use magpiewick_http1::{self as http1, CompleteRequest, Rejection};
 use magpiewick_transport::Stream;
 
-/// The response to a request that came behind more than is kept.
+/// Response to a request that exceeds the limit of pipelined bytes.
 const TOO_MANY_PIPELINED: Rejection =
     Rejection { status: 503, reason: "too many requests came before their answers" };
 
-/// The client broke or ended its connection.
+/// The client reset or closed its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Disconnected;
 
-/// What reading from a client came to.
+/// Result of reading from a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InputEvent {
-    /// The client broke or ended its connection.
+    /// The client reset or closed its connection.
     Disconnected,
-    /// Nothing is read as requests any more, and the input was discarded.
+    /// The connection reads no further requests, and the input was discarded.
     Discarded,
-    /// So much was discarded that nothing more is read.
+    /// The limit of discarded bytes was exceeded, and reading stops.
     DiscardedTooMuch,
-    /// There is new input in the queue.
+    /// The queue has new input.
     Queued,
 }
 
-/// What writing to a client came to.
+/// Result of writing to a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum FlushEvent {
-    /// The client broke or ended its connection.
+    /// The client reset or closed its connection.
     Disconnected,
-    /// The system takes no more, and has taken nothing since this time.
+    /// The operating system accepts no more output, and has accepted none since this time.
     Blocked(Ms),
-    /// Everything is written, and a request is open.
+    /// All output is written, and a request is open.
     RequestOpen,
-    /// Everything is written, and the connection is to be closed.
+    /// All output is written, and the connection is to be closed.
     Closing,
-    /// Everything is written, and nothing is open.
+    /// All output is written, and no request is open.
     Idle,
 }
 
-/// The next step of a client's queue.
+/// Next step of a client's queue.
 pub(crate) enum QueueEvent {
-    /// It is not this connection's turn.
+    /// The connection is busy, closing, or has no input.
     None,
-    /// A complete request; how long ago its last bytes may have arrived.
+    /// Complete request. `waited`: upper bound of the time since its last bytes arrived.
     Request { request: CompleteRequest, waited: Ms },
-    /// What is next cannot be served; whether the connection is to be closed after the response.
+    /// The next input cannot be served. `close`: whether the connection is closed after the response.
     Rejected { rejection: Rejection, close: bool },
-    /// A part of a request, or nothing.
+    /// The queue holds only a part of a request, or no input.
     Incomplete,
 }
 
-/// Since when the system has taken nothing of the output, and how much it had taken by then.
+/// Time since which the operating system has accepted no output, and the number of bytes it had accepted until then.
 #[derive(Clone, Copy)]
 struct WriteBlocked {
     since: Ms,
     written: u64,
 }
 
-/// A client's connection.
+/// Connection of a client.
 pub(crate) struct ClientConnection {
     stream: Stream,
-    /// Input that has no response yet, apart from the open request.
+    /// Input without a response, except for the open request.
     queue: RequestQueue,
     serial: u64,
     idle_since: Ms,
     requests: u32,
-    /// When the first and the last byte of the next request may have arrived.
+    /// Earliest times at which the first and the last byte of the next request may have arrived.
     first_byte_at: Ms,
     last_byte_at: Ms,
     timer_armed: bool,
     open_request: Option<u64>,
-    /// No more requests are read: the output is written, then the connection ends.
+    /// True if the connection reads no further requests and closes once its output is written.
     closing: bool,
     discarded_bytes: usize,
     write_blocked: Option<WriteBlocked>,
     lingering_since: Option<Ms>,
-    /// The client asked to close after the response to the open request.
+    /// True if the client requested that the connection is closed after the response to the open request.
     close_requested: bool,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted, with its timer armed.
+    /// Creates the state of a newly accepted connection, whose timer is set.
     pub(crate) fn new(stream: Stream, serial: u64, now: Ms) -> ClientConnection {
         ClientConnection {
             stream,
@@ -105,79 +105,79 @@
         }
     }
 
-    /// The number by which the log names this connection.
+    /// Returns the number that identifies this connection in the log.
     pub(crate) fn serial(&self) -> u64 {
         self.serial
     }
 
-    /// How many complete requests it has sent.
+    /// Returns the number of complete requests that the client has sent.
     pub(crate) fn requests(&self) -> u32 {
         self.requests
     }
 
-    /// The request that waits for its response.
+    /// Returns the request that awaits its response.
     pub(crate) fn open_request(&self) -> Option<u64> {
         self.open_request
     }
 
-    /// Whether a request is open or a response is not written.
+    /// Returns whether a request is open or a response is not written completely.
     pub(crate) fn is_busy(&self) -> bool {
         self.open_request.is_some() || self.stream.pending() > 0
     }
 
-    /// Whether it ends as soon as its output is written.
+    /// Returns whether the connection closes as soon as its output is written.
     pub(crate) fn is_closing(&self) -> bool {
         self.closing
     }
 
-    /// Whether there is input without a response, apart from the open request.
+    /// Returns whether there is input without a response, except for the open request.
     pub(crate) fn has_pipelined_input(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// How much of that input there is.
+    /// Returns the number of bytes of input without a response, except for the open request.
     pub(crate) fn pipelined_bytes(&self) -> usize {
         self.queue.buffered()
     }
 
-    /// The memory that its buffers take, without the open request.
+    /// Returns the memory that the buffers take, except for the open request.
     pub(crate) fn memory_bytes(&self) -> usize {
         self.stream.held() + self.queue.memory_bytes()
     }
 
-    /// Whether there is input that was not read yet.
+    /// Returns whether the socket has unread input.
     pub(crate) fn has_unread_input(&self) -> bool {
         self.stream.has_unread()
     }
 
-    /// Whether the client has ended its connection, whatever was read of it.
+    /// Returns whether the client has closed its connection, even where input before the end is unread.
     pub(crate) fn has_disconnected(&self) -> bool {
         self.stream.peer_ended()
     }
 
-    /// Whether input is read.
+    /// Returns whether input is read.
     pub(crate) fn is_reading(&self) -> bool {
         self.stream.reading()
     }
 
-    /// Since when the first byte of the next request may be there.
+    /// Returns the earliest time at which the first byte of the next request may have arrived.
     pub(crate) fn first_byte_at(&self) -> Ms {
         self.first_byte_at
     }
 
-    /// Notes that a timer is set; false where one is set already.
+    /// Records that a timer is set; returns false where one was set already.
     #[must_use = "the timer has to be set"]
     pub(crate) fn arm_timer(&mut self) -> bool {
         !std::mem::replace(&mut self.timer_armed, true)
     }
 
-    /// Its timer is due. Whether input is to be read before anything is decided.
+    /// Handles the expiry of the timer. Returns whether input must be read before the timeout is evaluated.
     pub(crate) fn on_timer(&mut self) -> bool {
         self.timer_armed = false;
         !self.closing && self.stream.reading() && self.stream.has_unread()
     }
 
-    /// What it is doing, as far as its timer is concerned.
+    /// Returns the state that decides about the timeout.
     pub(crate) fn activity(&self) -> ClientActivity {
         ClientActivity {
             request_open: self.open_request.is_some(),
@@ -189,7 +189,7 @@
         }
     }
 
-    /// What eviction has to know of it.
+    /// Returns the state that decides about eviction.
     pub(crate) fn eviction_candidate(&self, key: ConnectionKey) -> EvictionCandidate {
         EvictionCandidate {
             key,
@@ -201,11 +201,11 @@
         }
     }
 
-    /// Reads what has arrived. `input_age`: how old it may be at most.
+    /// Reads the input that has arrived. `input_age`: upper bound of its age.
     pub(crate) fn receive(&mut self, now: Ms, input_age: Ms) -> InputEvent {
         let was_empty = !self.has_pipelined_input();
         let filled = self.stream.fill();
-        // An event on a connection that is not read says only that it has ended.
+        // The poller reports an event on a connection that is not read only when the connection has ended.
         if filled.is_err() || !self.stream.reading() {
             return InputEvent::Disconnected;
         }
@@ -227,14 +227,17 @@
         InputEvent::Queued
     }
 
-    /// Keeps at most so many bytes of pipelined requests; those behind them are counted and rejected in their turn.
+    /// Limits the pipelined requests to `limit` bytes. Requests beyond the limit are counted, and each is rejected in
+    /// order.
     pub(crate) fn bound_pipelined(&mut self, limit: usize) {
         self.queue.bound(limit);
     }
 
-    /// Takes the next step of the queue. `host_closed`: only what has already been read is served.
+    /// Takes the next step of the queue. `host_closed`: reading is not resumed, and only input that was already read is
+    /// served.
     pub(crate) fn next_request(&mut self, now: Ms, host_closed: bool) -> QueueEvent {
-        // A client that does not read its responses must not make the host keep one for each request that it sent.
+        // Serves one request at a time: otherwise a client that does not read its responses would make the host buffer
+        // one response for each request that the client sent.
         if self.is_busy() || self.closing || !self.has_pipelined_input() {
             return QueueEvent::None;
         }
@@ -244,7 +247,7 @@
         }
         match self.queue.take_next() {
             NextRequest::Complete(request) => {
-                // What is left was pipelined: it is as old as the last bytes at most.
+                // The remaining input was pipelined: it is no older than the last bytes.
                 self.first_byte_at = now;
                 QueueEvent::Request { request, waited }
             }
@@ -254,19 +257,20 @@
         }
     }
 
-    /// Counts a request whose head was good. `close`: the client wants the connection closed after its response.
+    /// Counts a request with a valid head. `close`: whether the client requested that the connection is closed after
+    /// the response.
     pub(crate) fn on_request_parsed(&mut self, now: Ms, close: bool) {
         self.requests = self.requests.saturating_add(1);
         self.idle_since = now;
         self.close_requested = close;
     }
 
-    /// The request is in the registry from now on.
+    /// Records the open request, which is now in the registry.
     pub(crate) fn on_request_opened(&mut self, number: u64) {
         self.open_request = Some(number);
     }
 
-    /// Tells a client to continue that waits for this before it sends a body.
+    /// Sends "100 Continue" to a client that awaits this response before sending a body.
     pub(crate) fn send_continue(&mut self) -> Result<(), Disconnected> {
         if !self.queue.expects_continue() {
             return Ok(());
@@ -275,10 +279,10 @@
         self.stream.flush().map_err(|_| Disconnected)
     }
 
-    /// Queues the response to the open request, or to a request that was not opened. Whether the connection ends with
-    /// it, and the request that was open.
+    /// Queues the response to the open request, or to a request that was not opened. Returns whether the connection
+    /// closes after the response, and the request that was open.
     ///
-    /// `host_closed`: it ends with this response, unless the client has already sent more.
+    /// `host_closed`: the connection closes after this response, unless the client has already sent more input.
     pub(crate) fn queue_response(
         &mut self,
         now: Ms,
@@ -292,7 +296,7 @@
         QueuedResponse { request: self.open_request.take(), close }
     }
 
-    /// Writes what is queued.
+    /// Writes the queued output.
     pub(crate) fn flush(&mut self, now: Ms) -> FlushEvent {
         if self.stream.flush().is_err() {
             return FlushEvent::Disconnected;
@@ -307,7 +311,7 @@
         }
     }
 
-    /// Since when the system has taken nothing of the output, where some is left.
+    /// Returns the time since which the operating system has accepted no output; none where no output is pending.
     fn note_written(&mut self, now: Ms) -> Option<Ms> {
         let written = self.stream.written_in_all();
         self.write_blocked = match self.write_blocked {
@@ -318,20 +322,20 @@
         self.write_blocked.map(|blocked| blocked.since)
     }
 
-    /// No more requests are read.
+    /// Stops reading further requests.
     pub(crate) fn begin_closing(&mut self) {
         self.closing = true;
     }
 
-    /// Ends this side of the connection. Input is still read and discarded for a while: closing a connection with
-    /// unread input would take the response away from a client that has not read it yet.
+    /// Shuts down the writing side of the connection. Input is still read and discarded for a while: closing a
+    /// connection with unread input resets it, and a client that has not yet read the response would lose it.
     pub(crate) fn linger(&mut self, now: Ms) {
         self.stream.end_writing();
         self.lingering_since.get_or_insert(now);
         _ = self.stream.set_reading(true);
     }
 
-    /// Reads no more; false where nothing was read before.
+    /// Stops reading; returns false where reading had already stopped.
     #[must_use = "a client that is not read has to be checked for a disconnect"]
     pub(crate) fn stop_reading(&mut self) -> bool {
         if !self.stream.reading() {
@@ -342,11 +346,11 @@
     }
 }
 
-/// What was done to queue a response.
+/// Result of queueing a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueuedResponse {
-    /// The request that was open.
+    /// Request that was open.
     pub request: Option<u64>,
-    /// The connection ends with this response.
+    /// True if the connection closes after this response.
     pub close: bool,
 }
--- a/crates/platform/src/client_pool.rs
+++ b/crates/platform/src/client_pool.rs
@@ -1,4 +1,4 @@
-//! All clients' connections: their limits, timers and pending output.
+//! Connections of all clients: their limits, timers and pending output.
 
 use crate::client_connection::{ClientConnection, FlushEvent, InputEvent, QueueEvent, QueuedResponse};
 use crate::client_policy::{
@@ -14,31 +14,31 @@
 use std::io;
 use std::net::TcpStream;
 
-/// What is kept of pipelined requests whatever else is in memory: one request of any size.
+/// Pipelined input that is always kept, whatever the memory use: one request of maximum size.
 const MIN_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + MAX_REQUEST_BODY_BYTES;
 
-/// What a check for a disconnect has found.
+/// Result of a check for a disconnect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DisconnectCheck {
-    /// The connection is gone, is read again, or is still there and will be checked again.
+    /// The connection is closed, is read again, or is still open and will be checked again.
     Connected,
     /// The client has disconnected.
     Disconnected,
 }
 
-/// All clients' connections.
+/// Connections of all clients.
 pub(crate) struct ClientPool {
     connections: ConnectionTable<ClientConnection>,
     max_connections: usize,
     max_served: usize,
-    /// Clients whose response was just queued.
+    /// Clients with a newly queued response.
     to_flush: Vec<ConnectionKey>,
-    /// Clients that were found disconnected while an attempt was to be written for them.
+    /// Clients that were found disconnected when an attempt was about to be written for them.
     disconnected: Vec<ConnectionKey>,
 }
 
 impl ClientPool {
-    /// `max_served`: how many clients that have sent a request may stay connected.
+    /// Creates an empty pool. `max_served`: limit of the connected clients that have sent a request.
     pub(crate) fn new(max_connections: usize, max_served: usize) -> ClientPool {
         let (to_flush, disconnected) = (Vec::new(), Vec::new());
         ClientPool {
@@ -50,40 +50,40 @@
         }
     }
 
-    /// A connection.
+    /// Returns a connection.
     pub(crate) fn get(&self, key: ConnectionKey) -> Option<&ClientConnection> {
         self.connections.get(key)
     }
 
-    /// All connections, in the order of their keys.
+    /// Returns all connections in the order of their keys.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &ClientConnection)> + '_ {
         self.connections.iter()
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether another connection may only take the place of one that is open.
+    /// Returns whether a further connection requires the eviction of an open one.
     pub(crate) fn is_full(&self) -> bool {
         self.connections.len() >= self.max_connections
     }
 
-    /// Whether too many clients that have sent a request stay connected.
+    /// Returns whether the number of connected clients that have sent a request exceeds the limit.
     pub(crate) fn has_too_many_served(&self) -> bool {
         self.connections.iter().filter(|(_, client)| client.requests() > 0).count() > self.max_served
     }
 
-    /// The connection that is closed for a new one, among those that `of` accepts. One with unread input is passed
-    /// over: its request would be lost, and closing it would be a reset.
+    /// Selects the connection to close for a new one among those that `is_candidate` accepts. A connection with unread
+    /// input is skipped: its request would be lost, and closing it would reset the connection.
     pub(crate) fn select_for_eviction(
         &self,
         now: Ms,
-        of: impl Fn(&EvictionCandidate) -> bool,
+        is_candidate: impl Fn(&EvictionCandidate) -> bool,
     ) -> Option<ConnectionKey> {
         let candidates = self.connections.iter().map(|(key, client)| client.eviction_candidate(key));
-        let mut candidates: Vec<EvictionCandidate> = candidates.filter(of).collect();
+        let mut candidates: Vec<EvictionCandidate> = candidates.filter(is_candidate).collect();
         while let Some(key) = client_policy::select_for_eviction(now, candidates.iter().copied()) {
             if !self.get(key).is_some_and(ClientConnection::has_unread_input) {
                 return Some(key);
@@ -93,7 +93,7 @@
         None
     }
 
-    /// Adds a connection that was just accepted.
+    /// Adds a newly accepted connection.
     pub(crate) fn insert(&mut self, reactor: &mut Reactor, stream: TcpStream, serial: u64) -> io::Result<()> {
         let (key, stream) =
             reactor.register(ConnectionKind::Client, |poll, key| Stream::accepted(poll, stream, key))?;
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Takes a connection out, which closes it as soon as it is dropped.
+    /// Removes a connection, which closes when it is dropped.
     #[must_use = "the request that is open on the connection has to be ended"]
     pub(crate) fn remove(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<ClientConnection> {
         let client = self.connections.remove(key)?;
@@ -110,22 +110,22 @@
         Some(client)
     }
 
-    /// Connections that are not being closed yet.
+    /// Returns the connections that are not closing.
     pub(crate) fn not_closing(&self) -> Vec<ConnectionKey> {
         self.connections.iter().filter(|(_, client)| !client.is_closing()).map(|(key, _)| key).collect()
     }
 
-    /// Whether no connection waits for anything but its end.
+    /// Returns whether no connection has an open request or pending output.
     pub(crate) fn none_busy(&self) -> bool {
         self.connections.iter().all(|(_, client)| !client.is_busy())
     }
 
-    /// Whether there is no connection.
+    /// Returns whether the pool is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.connections.len() == 0
     }
 
-    /// Reads what has arrived.
+    /// Reads the input that has arrived.
     pub(crate) fn receive(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> InputEvent {
         let Some(client) = self.connections.get_mut(key) else { return InputEvent::Discarded };
         let event = client.receive(reactor.now(), reactor.input_age());
@@ -135,18 +135,18 @@
         event
     }
 
-    /// Whether more is pipelined on a connection than is always kept.
+    /// Returns whether a connection has more pipelined input than is always kept.
     pub(crate) fn has_many_pipelined(&self, key: ConnectionKey) -> bool {
-        let many = |client: &ClientConnection| client.pipelined_bytes() > MIN_PIPELINED_BYTES;
-        self.get(key).is_some_and(|client| client.is_busy() && many(client))
+        let exceeds_minimum = |client: &ClientConnection| client.pipelined_bytes() > MIN_PIPELINED_BYTES;
+        self.get(key).is_some_and(|client| client.is_busy() && exceeds_minimum(client))
     }
 
-    /// Bounds what is pipelined on a connection: one request always, a burst of them while there is memory. All input
-    /// is read and no request is forgotten: the client's end would otherwise stay unseen behind it.
+    /// Limits the pipelined input of a connection: one request always, a burst of requests while memory is available.
+    /// All input is read and each request is counted: otherwise unread input would hide the client's disconnect.
     pub(crate) fn bound_pipelined(&mut self, key: ConnectionKey, limit: &MemoryLimit, buffered: usize) {
-        let most = if limit.is_half_used(buffered) { MIN_PIPELINED_BYTES } else { MAX_PIPELINED_BYTES };
+        let max_bytes = if limit.is_half_used(buffered) { MIN_PIPELINED_BYTES } else { MAX_PIPELINED_BYTES };
         if let Some(client) = self.connections.get_mut(key) {
-            client.bound_pipelined(most);
+            client.bound_pipelined(max_bytes);
         }
     }
 
@@ -158,21 +158,21 @@
         }
     }
 
-    /// Counts a request whose head was good.
+    /// Counts a request with a valid head.
     pub(crate) fn on_request_parsed(&mut self, now: Ms, key: ConnectionKey, close: bool) {
         if let Some(client) = self.connections.get_mut(key) {
             client.on_request_parsed(now, close);
         }
     }
 
-    /// The request is in the registry from now on.
+    /// Records the open request, which is now in the registry.
     pub(crate) fn on_request_opened(&mut self, key: ConnectionKey, number: u64) {
         if let Some(client) = self.connections.get_mut(key) {
             client.on_request_opened(number);
         }
     }
 
-    /// Waits for the rest of a request. Whether the client has disconnected.
+    /// Waits for the remainder of a request. Returns whether the client has disconnected.
     pub(crate) fn await_rest_of_request(
         &mut self,
         reactor: &mut Reactor,
@@ -189,7 +189,7 @@
         DisconnectCheck::Connected
     }
 
-    /// Queues a response; none where the connection is closed.
+    /// Queues a response; returns none where the connection is closed.
     pub(crate) fn queue_response(
         &mut self,
         now: Ms,
@@ -202,12 +202,12 @@
         Some(queued)
     }
 
-    /// Clients whose response was just queued.
+    /// Returns and clears the clients with a newly queued response.
     pub(crate) fn take_to_flush(&mut self) -> Vec<ConnectionKey> {
         std::mem::take(&mut self.to_flush)
     }
 
-    /// Writes what is queued.
+    /// Writes the queued output.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<FlushEvent> {
         let event = self.connections.get_mut(key)?.flush(reactor.now());
         if let FlushEvent::Blocked(since) = event {
@@ -216,14 +216,14 @@
         Some(event)
     }
 
-    /// Reads no more requests from a connection; it ends when its output is written.
+    /// Stops reading requests from a connection, which closes when its output is written.
     pub(crate) fn begin_closing(&mut self, key: ConnectionKey) {
         if let Some(client) = self.connections.get_mut(key) {
             client.begin_closing();
         }
     }
 
-    /// Ends a connection on which nothing is owed, and gives the client time to read.
+    /// Shuts down the writing side of a connection without pending responses, and gives the client time to read.
     pub(crate) fn linger(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
         let now = reactor.now();
         let Some(client) = self.connections.get_mut(key) else { return };
@@ -231,7 +231,7 @@
         reactor.set_timer(now + LINGER_MS, Timer::ClientTimeout(key, client.serial()));
     }
 
-    /// Reads no more from a client, and checks from time to time whether it has disconnected.
+    /// Stops reading from a client, and checks at intervals whether it has disconnected.
     pub(crate) fn stop_reading(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
         let Some(client) = self.connections.get_mut(key) else { return };
         if client.stop_reading() {
@@ -239,15 +239,15 @@
         }
     }
 
-    /// A client whose input is not read may have disconnected.
+    /// Checks whether a client whose input is not read has disconnected.
     pub(crate) fn check_disconnect(
         &self,
         reactor: &mut Reactor,
         key: ConnectionKey,
         serial: u64,
     ) -> DisconnectCheck {
-        let unread = |client: &&ClientConnection| client.serial() == serial && !client.is_reading();
-        let Some(client) = self.get(key).filter(unread) else { return DisconnectCheck::Connected };
+        let is_unread = |client: &&ClientConnection| client.serial() == serial && !client.is_reading();
+        let Some(client) = self.get(key).filter(is_unread) else { return DisconnectCheck::Connected };
         if client.has_disconnected() {
             return DisconnectCheck::Disconnected;
         }
@@ -255,7 +255,8 @@
         DisconnectCheck::Connected
     }
 
-    /// Whether a client has ended its connection. If so, it is closed with the next turn of the event loop.
+    /// Returns whether a client has closed its connection. If so, the connection is closed in the next iteration of the
+    /// event loop.
     pub(crate) fn note_disconnect(&mut self, key: ConnectionKey) -> bool {
         let disconnected = self.get(key).is_some_and(ClientConnection::has_disconnected);
         if disconnected {
@@ -264,23 +265,24 @@
         disconnected
     }
 
-    /// Clients that were found disconnected since the last call.
+    /// Returns and clears the clients that were found disconnected.
     pub(crate) fn take_disconnected(&mut self) -> Vec<ConnectionKey> {
         std::mem::take(&mut self.disconnected)
     }
 
-    /// Whether there are clients to flush or to close.
+    /// Returns whether there are clients to flush or to close.
     pub(crate) fn has_pending_work(&self) -> bool {
         !self.to_flush.is_empty() || !self.disconnected.is_empty()
     }
 
-    /// A client's timer is due. Whether its input is to be read before [`ClientPool::timeout_action`] decides.
+    /// Handles the expiry of a client's timer. Returns whether input must be read before [`ClientPool::timeout_action`]
+    /// is called.
     pub(crate) fn on_timer(&mut self, key: ConnectionKey, serial: u64) -> bool {
-        let same = |client: &&mut ClientConnection| client.serial() == serial;
-        self.connections.get_mut(key).filter(same).is_some_and(ClientConnection::on_timer)
+        let has_serial = |client: &&mut ClientConnection| client.serial() == serial;
+        self.connections.get_mut(key).filter(has_serial).is_some_and(ClientConnection::on_timer)
     }
 
-    /// What is done about a client whose timer was due; its timer is set again where that is all.
+    /// Returns the action for a client whose timer is due; [`TimeoutAction::RearmFrom`] is carried out here.
     pub(crate) fn timeout_action(
         &mut self,
         reactor: &mut Reactor,
@@ -297,7 +299,7 @@
         action
     }
 
-    /// A request has begun to arrive, or a response to be written: it must make progress in time.
+    /// Sets the timer within which an incoming request or an outgoing response must make progress.
     fn arm_timer(&mut self, reactor: &mut Reactor, key: ConnectionKey, since: Ms) {
         let Some(client) = self.connections.get_mut(key) else { return };
         if client.arm_timer() {
--- a/crates/platform/src/connection_table.rs
+++ b/crates/platform/src/connection_table.rs
@@ -1,8 +1,8 @@
-//! Connections of one kind by their keys.
+//! Table of connections of one kind by key.
 
 use crate::reactor::ConnectionKey;
 
-/// Connections of one kind. Keys are shared by all kinds, so the table has gaps.
+/// Connections of one kind. All kinds share one key space, so the table has gaps.
 pub(crate) struct ConnectionTable<T> {
     slots: Vec<Option<Box<T>>>,
     count: usize,
@@ -15,12 +15,12 @@
 }
 
 impl<T> ConnectionTable<T> {
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub(crate) fn len(&self) -> usize {
         self.count
     }
 
-    /// Adds a connection under a key that the reactor has just handed out.
+    /// Adds a connection under a key that the reactor has just allocated.
     pub(crate) fn insert(&mut self, key: ConnectionKey, connection: T) {
         if self.slots.len() <= key {
             self.slots.resize_with(key + 1, || None);
@@ -30,24 +30,24 @@
         self.count += 1;
     }
 
-    /// The connection of a key.
+    /// Returns the connection of a key.
     pub(crate) fn get(&self, key: ConnectionKey) -> Option<&T> {
         self.slots.get(key)?.as_deref()
     }
 
-    /// The connection of a key, to be changed.
+    /// Returns the connection of a key for modification.
     pub(crate) fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut T> {
         self.slots.get_mut(key)?.as_deref_mut()
     }
 
-    /// Takes a connection out.
+    /// Removes a connection.
     pub(crate) fn remove(&mut self, key: ConnectionKey) -> Option<T> {
         let connection = self.slots.get_mut(key)?.take()?;
         self.count -= 1;
         Some(*connection)
     }
 
-    /// All connections, in the order of their keys.
+    /// Returns all connections in the order of their keys.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &T)> + '_ {
         self.slots.iter().enumerate().filter_map(|(key, slot)| Some((key, slot.as_deref()?)))
     }
--- a/crates/platform/src/connection_table/tests.rs
+++ b/crates/platform/src/connection_table/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 quickcheck! {
-    /// A plain model: an ordered map.
+    /// Reference model: an ordered map.
     fn the_table_behaves_like_an_ordered_map(steps: Vec<(u8, u8)>) -> bool {
         let (mut table, mut model) = (ConnectionTable::default(), BTreeMap::new());
         steps.into_iter().all(|(key, value)| {
--- a/crates/platform/src/incoming_request.rs
+++ b/crates/platform/src/incoming_request.rs
@@ -1,22 +1,22 @@
-//! The headers of a client's request, checked and read; free of I/O.
+//! Validation and parsing of the headers of a client's request; free of I/O.
 
 use magpiewick::Ms;
 use magpiewick_engine::IncomingRequest;
 use magpiewick_http1::{self as http1, Rejection, RequestHead};
 use magpiewick_instance_settings::PlatformSettings;
 
-/// No client waits longer.
+/// Limit of a client timeout.
 const MAX_CLIENT_TIMEOUT_MS: Ms = 3_600_000.0;
-/// No volume is used through more hosts.
+/// Limit of the hosts through which a volume is used.
 const MAX_HOSTS: f64 = 65_536.0;
-/// The longest id of a request.
+/// Limit of the length of a request id.
 const MAX_ID_BYTES: usize = 64;
-/// The longest decimal number in a header.
+/// Limit of the length of a decimal number in a header.
 const MAX_NUMBER_BYTES: usize = 15;
-/// The length of an id of a volume or of a piece, in hex digits.
+/// Length of the id of a volume or of a piece in hexadecimal digits.
 const PATH_ID_DIGITS: usize = 16;
 
-/// Headers that are passed on to an endpoint as they are.
+/// Headers that are forwarded to an endpoint unchanged.
 const FORWARDED_HEADERS: [&str; 5] = ["Host", "X-Request-Id", "X-Class", "X-Qos-Policy", "X-Placement"];
 
 const STATUS_BAD_REQUEST: u16 = 400;
@@ -27,13 +27,13 @@
     Rejection { status: STATUS_BAD_REQUEST, reason }
 }
 
-/// The value of a header that must be there once.
+/// Returns the value of a header that is required exactly once.
 fn required<'a>(head: &RequestHead<'a>, name: &str, reason: &'static str) -> Result<&'a str, Rejection> {
     let Ok(Some(value)) = head.headers.single(name) else { return Err(bad_request(reason)) };
     std::str::from_utf8(value).map_err(|_| bad_request(reason))
 }
 
-/// The id that the client has given a request, byte for byte.
+/// Returns the id that the client assigned to a request, byte for byte.
 pub(crate) fn id<'a>(head: &RequestHead<'a>) -> Result<&'a str, Rejection> {
     let id = required(head, "x-request-id", "there must be one X-Request-Id")?;
     let is_id_byte = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
@@ -43,7 +43,7 @@
     }
 }
 
-/// The volume and the piece of it that a path names.
+/// Volume and piece named by a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PathIds {
     volume: u64,
@@ -51,7 +51,7 @@
 }
 
 impl PathIds {
-    /// A path ends with both, behind at least its first slash.
+    /// Parses a path, whose last two segments are the volume and the piece, after at least one slash.
     fn parse(target: &str) -> Option<PathIds> {
         let path = target.split('?').next()?;
         let mut segments = path.rsplit('/');
@@ -67,13 +67,13 @@
     is_hex.then(|| u64::from_str_radix(segment, 16).ok())?
 }
 
-/// Digits with at most one point, so that no sign, exponent or word passes for a number.
+/// Parses digits with at most one decimal point; signs, exponents and words are rejected.
 fn decimal(text: &str) -> Option<f64> {
     let is_decimal = text.len() <= MAX_NUMBER_BYTES && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     is_decimal.then(|| text.parse().ok())?
 }
 
-/// A time with its unit: `m` for milliseconds, `u` for microseconds.
+/// Parses a time with its unit: `m` for milliseconds, `u` for microseconds.
 fn time(text: &str) -> Option<Ms> {
     let (digits, unit) = match text.as_bytes().last()? {
         b'm' => (&text[..text.len() - 1], 1.0),
@@ -83,13 +83,13 @@
     decimal(digits).map(|number| number * unit).filter(|time| *time <= MAX_CLIENT_TIMEOUT_MS)
 }
 
-/// Where a request goes, and how large it is.
+/// Target and size of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Placement {
     units: f64,
-    /// None for a new object.
+    /// Shard; none for a new object.
     shard: Option<usize>,
-    /// Through how many hosts the volume is used.
+    /// Number of hosts through which the volume is used.
     hosts: f64,
 }
 
@@ -104,7 +104,7 @@
                 "shard" if value == "-1" => shard.replace(None).is_some(),
                 "shard" => shard.replace(Some(parse_shard(value, settings)?)).is_some(),
                 "hosts" => hosts.replace(parse_hosts(value)?).is_some(),
-                // What later versions of the platform add is ignored.
+                // Unknown names are ignored, because later versions of the platform may add some.
                 _ => false,
             };
             if repeated {
@@ -129,7 +129,8 @@
     Some(shard).filter(|shard| settings.shards.is_none_or(|shards| *shard < shards))
 }
 
-/// The request of a head and a body of `body_length` bytes. `waited`: how much of its time is over already.
+/// Parses a request from its head and a body of `body_length` bytes. `waited`: part of the client timeout that has
+/// already elapsed.
 pub(crate) fn parse(
     head: &RequestHead<'_>,
     body_length: usize,
@@ -172,8 +173,8 @@
         units: placement.units,
         shard: placement.shard,
         hosts: placement.hosts,
-        // Some clients name a little more than their class's timeout. The scheduler, which recognises retries by
-        // their shorter time, would take every other first try for a retry.
+        // Some clients send a deadline slightly above their class's timeout. The scheduler recognises retries by their
+        // shorter timeout, and without this limit would take every other first request for a retry.
         client_timeout: client_timeout.min(class_settings.client_timeout) - waited,
         budget_weight: 1.0,
         coalesce_with: None,
@@ -181,7 +182,7 @@
     Ok(IncomingRequest { id: number, key: ids.piece, volume: ids.volume, request })
 }
 
-/// The head that an endpoint is sent, up to the deadline, which is known when it is written.
+/// Returns the head for an endpoint without the deadline, which is added when the request is written.
 pub(crate) fn upstream_head(head: &RequestHead<'_>, body_length: usize) -> Result<Vec<u8>, Rejection> {
     let single = |name, reason| head.headers.single(name).map_err(|_| bad_request(reason));
     let idempotency_key = single("idempotency-key", "there may be one Idempotency-Key")?;
--- a/crates/platform/src/incoming_request/tests.rs
+++ b/crates/platform/src/incoming_request/tests.rs
@@ -17,47 +17,50 @@
     }
 }
 
-const GOOD: &str = "PUT /api/00000003b4d60021/7f3a9c21e0b4d655?v=1 HTTP/1.1\r\nHost: h\r\n\
+const VALID_HEAD: &str = "PUT /api/00000003b4d60021/7f3a9c21e0b4d655?v=1 HTTP/1.1\r\nHost: h\r\n\
     X-Request-Id: 9b1f03aa5c7e2d41\r\nX-Class: write\r\nX-Qos-Policy: gold\r\nX-Deadline: 480m\r\n\
     Content-Length: 3\r\nX-Placement: units=2,shard=5,hosts=3\r\n\r\n";
 
-/// How long the body is that a request's head names.
-fn bytes(request: &RequestHead<'_>) -> usize {
-    match request.framing {
+/// Returns the body length that a request's head declares.
+fn body_length(head: &RequestHead<'_>) -> usize {
+    match head.framing {
         BodyFraming::Length(length) => length,
-        BodyFraming::Chunked => panic!("of unknown length"),
+        BodyFraming::Chunked => panic!("the length is unknown"),
     }
 }
 
-/// The status that a head is rejected with; 0: it is a request.
+/// Returns the status with which a head is rejected; 0 for a valid request.
 fn status(head: &str) -> u16 {
-    let read = magpiewick_http1::parse_request_head(head.as_bytes())
+    let parsed = magpiewick_http1::parse_request_head(head.as_bytes())
         .unwrap_or_else(|r| panic!("{head}: {}", r.reason));
-    let request = id(&read).and_then(|_| parse(&read, bytes(&read), &settings(), 0.0, 1));
-    request.map_or_else(|refused| refused.status, |_| 0)
+    let request = id(&parsed).and_then(|_| parse(&parsed, body_length(&parsed), &settings(), 0.0, 1));
+    request.map_or_else(|rejection| rejection.status, |_| 0)
 }
 
 #[test]
-fn a_request_is_what_its_headers_say() {
-    let read = magpiewick_http1::parse_request_head(GOOD.as_bytes()).unwrap();
-    assert_eq!(id(&read), Ok("9b1f03aa5c7e2d41"));
-    let taken = parse(&read, bytes(&read), &settings(), 30.0, 9).unwrap();
-    assert_eq!((taken.id, taken.volume, taken.key), (9, 0x3b4d60021, 0x7f3a9c21e0b4d655));
-    let c = taken.request;
-    assert_eq!((c.class, c.policy, c.units, c.shard, c.hosts), (1, 1, 2.0, Some(5), 3.0));
-    assert_eq!(c.client_timeout, 450.0, "what the client has waited is gone");
-    let new = GOOD.replace("shard=5", "shard=-1").replace("480m", "480000u");
-    let read = magpiewick_http1::parse_request_head(new.as_bytes()).unwrap();
-    let c = parse(&read, bytes(&read), &settings(), 0.0, 9).unwrap().request;
-    assert_eq!((c.shard, c.client_timeout), (None, 480.0));
-    let long = GOOD.replace("480m", "1009m");
-    let read = magpiewick_http1::parse_request_head(long.as_bytes()).unwrap();
-    let c = parse(&read, bytes(&read), &settings(), 20.0, 9).unwrap().request;
-    assert_eq!(c.client_timeout, 980.0, "no client waits longer than its class's timeout");
+fn a_request_is_parsed_from_its_headers() {
+    let parsed = magpiewick_http1::parse_request_head(VALID_HEAD.as_bytes()).unwrap();
+    assert_eq!(id(&parsed), Ok("9b1f03aa5c7e2d41"));
+    let incoming = parse(&parsed, body_length(&parsed), &settings(), 30.0, 9).unwrap();
+    assert_eq!((incoming.id, incoming.volume, incoming.key), (9, 0x3b4d60021, 0x7f3a9c21e0b4d655));
+    let request = incoming.request;
+    assert_eq!(
+        (request.class, request.policy, request.units, request.shard, request.hosts),
+        (1, 1, 2.0, Some(5), 3.0)
+    );
+    assert_eq!(request.client_timeout, 450.0, "the time that the client has waited is deducted");
+    let new = VALID_HEAD.replace("shard=5", "shard=-1").replace("480m", "480000u");
+    let parsed = magpiewick_http1::parse_request_head(new.as_bytes()).unwrap();
+    let request = parse(&parsed, body_length(&parsed), &settings(), 0.0, 9).unwrap().request;
+    assert_eq!((request.shard, request.client_timeout), (None, 480.0));
+    let long = VALID_HEAD.replace("480m", "1009m");
+    let parsed = magpiewick_http1::parse_request_head(long.as_bytes()).unwrap();
+    let request = parse(&parsed, body_length(&parsed), &settings(), 20.0, 9).unwrap().request;
+    assert_eq!(request.client_timeout, 980.0, "no client waits longer than its class's timeout");
 }
 
 #[test]
-fn what_is_no_request_is_refused_and_never_as_a_rejection() {
+fn invalid_requests_are_refused_with_a_client_error_below_429() {
     for (from, to) in [
         ("X-Request-Id: 9b1f03aa5c7e2d41\r\n", ""),
         ("9b1f03aa5c7e2d41", ""),
@@ -94,26 +97,26 @@
         ("/7f3a9c21e0b4d655", ""),
         ("PUT", "POST"),
     ] {
-        let head = GOOD.replace(from, to);
+        let head = VALID_HEAD.replace(from, to);
         assert!(matches!(status(&head), 400..=428), "{to:?} for {from:?}: {}", status(&head));
     }
-    assert_eq!(status(GOOD), 0);
+    assert_eq!(status(VALID_HEAD), 0);
 }
 
 #[test]
-fn a_read_has_no_body() {
-    let read = GOOD.replace("PUT", "GET").replace("X-Class: write", "X-Class: read");
+fn a_read_with_a_body_is_refused() {
+    let read = VALID_HEAD.replace("PUT", "GET").replace("X-Class: write", "X-Class: read");
     assert_eq!(status(&read), 405);
     assert_eq!(status(&read.replace("Content-Length: 3\r\n", "")), 0);
     assert_eq!(status(&read.replace("Content-Length: 3", "Content-Length: 0")), 0);
 }
 
 quickcheck! {
-    fn no_text_makes_an_impossible_time_or_placement(text: String) -> bool {
-        let good = |t: f64| (0.0..=MAX_CLIENT_TIMEOUT_MS).contains(&t);
-        let possible = |p: Placement| p.units > 0.0 && p.shard.is_none_or(|s| s < 8) && p.hosts >= 1.0;
-        time(&text).is_none_or(good) && time(&format!("{text}m")).is_none_or(good)
-            && Placement::parse(&text, &settings()).is_none_or(possible)
+    fn parsed_times_and_placements_are_within_their_limits(text: String) -> bool {
+        let is_valid_time = |t: f64| (0.0..=MAX_CLIENT_TIMEOUT_MS).contains(&t);
+        let is_valid_placement = |p: Placement| p.units > 0.0 && p.shard.is_none_or(|s| s < 8) && p.hosts >= 1.0;
+        time(&text).is_none_or(is_valid_time) && time(&format!("{text}m")).is_none_or(is_valid_time)
+            && Placement::parse(&text, &settings()).is_none_or(is_valid_placement)
             && (PathIds::parse(&text).is_none() || text.starts_with('/'))
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,10 @@
 //! A host on the operators' platform: HTTP/1.1 with clients, endpoints and the discovery service, configured by the
-//! environment and a JSON file. One event loop on one thread drives the engine, which makes every decision on
-//! requests.
+//! environment and a JSON file. One event loop on one thread drives the engine, which makes every decision on requests.
 //!
-//! A request passes the `listener`, a `client_connection`, the `request_registry`, the engine, the
-//! `upstream_pool` and an `upstream_connection`; its response comes back the same way. `proxy` is what passes it
-//! on, and `event_loop` what tells each owner what has happened. What can be decided without I/O is decided in
-//! modules of its own, which say so.
+//! A request passes through the `listener`, a `client_connection`, the `request_registry`, the engine, the
+//! `upstream_pool` and an `upstream_connection`; its response takes the same path in reverse. `proxy` forwards both,
+//! and `event_loop` notifies each owner of its events. Decisions that need no I/O are made in modules that are marked
+//! as free of I/O.
 
 mod attempt_end;
 mod client_connection;
@@ -44,13 +43,13 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a host does not run.
+/// Reason why a host does not run.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// There is no usable configuration.
+    /// The configuration is missing or unusable.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The system refused what the host cannot do without.
+    /// A system call failed without which the host cannot run.
     #[error(transparent)]
     System(#[from] io::Error),
 }
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -1,4 +1,4 @@
-//! The socket on which clients connect.
+//! Listening socket for clients.
 
 use magpiewick::Ms;
 use magpiewick_engine::AcceptBackoff;
@@ -6,22 +6,22 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// What came of accepting one connection.
+/// Result of accepting a connection.
 #[derive(Debug)]
 pub(crate) enum Accepted {
-    /// A connection.
+    /// A connection was accepted.
     Connection(TcpStream),
     /// No connection is waiting, or the listener is closed.
     NoneWaiting,
-    /// This connection failed; the next one may be good.
+    /// The connection failed; the next one may succeed.
     ConnectionFailed,
-    /// There is no descriptor left.
+    /// The process has no descriptor available.
     OutOfDescriptors(io::Error),
-    /// The system has no other resource for it.
+    /// The operating system lacks another resource for the connection.
     OutOfResources(io::Error),
 }
 
-/// The listening socket until the host closes it.
+/// Listening socket until the host closes it.
 pub(crate) struct Listener {
     socket: Option<Registered<TcpListener>>,
     resumes_at: Ms,
@@ -35,7 +35,7 @@
         Ok(Listener { socket: Some(socket), resumes_at: now, backoff: AcceptBackoff::default() })
     }
 
-    /// Accepts a connection that is waiting.
+    /// Accepts a waiting connection.
     pub(crate) fn accept(&mut self) -> Accepted {
         let Some(socket) = &mut self.socket else { return Accepted::NoneWaiting };
         match socket.accept() {
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The system refused to accept a connection. Accepts nothing for a while if it has done so several times in a row;
-    /// whether it does.
+    /// Handles a refusal by the operating system to accept a connection. After several refusals in a row, accepting is
+    /// paused; returns whether it is.
     pub(crate) fn on_refused(&mut self, now: Ms) -> bool {
         let Some(pause) = self.backoff.next_pause() else { return false };
         self.resumes_at = now + pause;
@@ -66,7 +66,7 @@
         true
     }
 
-    /// Accepts again once a pause is over.
+    /// Resumes accepting once a pause is over.
     pub(crate) fn resume_if_due(&mut self, now: Ms) {
         if now < self.resumes_at {
             return;
@@ -76,12 +76,12 @@
         }
     }
 
-    /// When a pause is over; none where nothing is paused.
+    /// Returns the end of a pause; none where accepting is not paused.
     pub(crate) fn resumes_at(&self, now: Ms) -> Option<Ms> {
         self.socket.as_ref().filter(|_| self.resumes_at > now).map(|_| self.resumes_at)
     }
 
-    /// Whether the socket is still open.
+    /// Returns whether the socket is open.
     pub(crate) fn is_open(&self) -> bool {
         self.socket.is_some()
     }
--- a/crates/platform/src/proxy/clients.rs
+++ b/crates/platform/src/proxy/clients.rs
@@ -1,4 +1,4 @@
-//! The side of the clients: connections, their requests and their responses.
+//! Client side of the proxy: connections, requests and responses.
 
 use super::{Proxy, RESERVED_DESCRIPTORS};
 use crate::client_connection::{FlushEvent as ClientFlushEvent, InputEvent, QueueEvent};
@@ -16,25 +16,25 @@
 use std::io;
 use std::net::TcpStream;
 
-/// The response to a client that began a request and did not complete it.
+/// Response to a client that did not complete a request in time.
 const INCOMPLETE: Rejection = Rejection { status: 408, reason: "the request did not come whole" };
-/// The response to a request for which a host that shuts down has no time left.
+/// Response to a request for which a host that is shutting down has no time left.
 const SHUTTING_DOWN: Rejection = Rejection { status: 503, reason: "this host has ended" };
-/// The response to a request whose id is that of an open one.
+/// Response to a request with the id of an open request.
 const DUPLICATE_ID: Rejection = Rejection { status: 409, reason: "the X-Request-Id is open already" };
 
-/// What the event loop has to do about a client.
+/// Action of the event loop on a client.
 pub(crate) enum ClientEvent {
-    /// Nothing.
+    /// No action.
     None,
-    /// Close the connection: the client has disconnected.
+    /// The connection is to be closed: the client has disconnected.
     Disconnected,
-    /// Give this request to the engine.
+    /// The request is to be submitted to the engine.
     Request(IncomingRequest),
 }
 
 impl Proxy {
-    /// Takes in a connection that was just accepted, where there is room for it.
+    /// Accepts the connection of a client if it is within the limits or replaces another.
     pub(crate) fn accept_client(&mut self, stream: TcpStream) {
         if self.clients.is_full() && !self.evict_client() {
             return;
@@ -43,31 +43,32 @@
             self.evict_client_where(|candidate| candidate.requests > 0);
         }
         let serial = self.reactor.next_serial();
-        // A connection that cannot be registered is closed again.
+        // A connection that cannot be registered is closed by dropping its stream.
         _ = self.clients.insert(&mut self.reactor, stream, serial);
     }
 
-    /// Closes the connection of the client that is best spared; false where there is none.
+    /// Closes the client connection that is first in the order of eviction; returns false where no connection can be
+    /// evicted.
     pub(crate) fn evict_client(&mut self) -> bool {
         self.evict_client_where(|_| true)
     }
 
-    /// Closes the connection of the client that is best spared where a call failed for want of a descriptor and the
-    /// process has about as many as it may. A call that fails by chance costs no client its connection.
+    /// Evicts a client connection if a call failed for lack of a descriptor and the process has used nearly all of its
+    /// descriptors. A failure for another reason evicts no client.
     pub(crate) fn evict_client_for_descriptor(&mut self, error: &io::Error) -> bool {
         let descriptors = self.reactor.connection_count() + RESERVED_DESCRIPTORS;
-        let has_all = client_policy::has_all_descriptors(descriptors, self.max_descriptors);
-        out_of_own_descriptors(error) && has_all && self.evict_client()
+        let is_exhausted = client_policy::has_exhausted_descriptors(descriptors, self.max_descriptors);
+        out_of_own_descriptors(error) && is_exhausted && self.evict_client()
     }
 
-    fn evict_client_where(&mut self, of: impl Fn(&EvictionCandidate) -> bool) -> bool {
-        let Some(key) = self.clients.select_for_eviction(self.reactor.now(), of) else { return false };
+    fn evict_client_where(&mut self, filter: impl Fn(&EvictionCandidate) -> bool) -> bool {
+        let Some(key) = self.clients.select_for_eviction(self.reactor.now(), filter) else { return false };
         self.metrics.clients_evicted += 1;
         self.close_client(key, ClientCloseReason::Evicted);
         true
     }
 
-    /// Closes a client's connection; the request that was open on it, of which the engine has to be told.
+    /// Closes a client's connection, and returns its open request, which the caller must report to the engine.
     pub(crate) fn close_client(&mut self, key: ConnectionKey, reason: ClientCloseReason) -> Option<u64> {
         let client = self.clients.remove(&mut self.reactor, key)?;
         let request = client.open_request();
@@ -78,17 +79,18 @@
             let now = self.reactor.now();
             self.log.client_disconnected(now, &request.labels(&self.endpoints, now));
         }
-        self.requests.forget_client(number);
+        self.requests.clear_client(number);
         Some(number)
     }
 
-    /// The engine was told that the client of a request has disconnected: nothing of it starts any more.
+    /// Withdraws the attempt of a request whose client has disconnected, after the engine was notified, so that no work
+    /// for the request starts later.
     pub(crate) fn end_abandoned_request(&mut self, number: u64) {
         self.withdraw_if_unwritten(number);
         self.requests.release_if_done(number);
     }
 
-    /// Reads what a client has sent. `discovery` counts towards the memory in use.
+    /// Reads input from a client. The buffers of `discovery` count towards the memory in use.
     pub(crate) fn read_client(&mut self, key: ConnectionKey, discovery: &EndpointDiscovery) -> ClientEvent {
         match self.clients.receive(&mut self.reactor, key) {
             InputEvent::Disconnected => ClientEvent::Disconnected,
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Writes what is queued for a client, and goes on with its queue.
+    /// Writes the queued output of a client, and continues with its queue.
     pub(crate) fn flush_client(&mut self, key: ConnectionKey) -> ClientEvent {
         match self.clients.flush(&mut self.reactor, key) {
             None | Some(ClientFlushEvent::Blocked(_) | ClientFlushEvent::RequestOpen) => ClientEvent::None,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Takes the next request of a client, if it is complete and none is open.
+    /// Takes the next request of a client if it is complete and no request is open.
     fn next_request(&mut self, key: ConnectionKey) -> ClientEvent {
         let now = self.reactor.now();
         let (request, waited) = match self.clients.next_request(now, key, self.shutdown.is_closed(now)) {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Waits for the rest of a request, unless the host has closed.
+    /// Waits for the remainder of a request, unless the host has closed.
     fn await_rest_of_request(&mut self, key: ConnectionKey) -> ClientEvent {
         if self.shutdown.is_closed(self.reactor.now()) {
             self.clients.begin_closing(key);
@@ -157,8 +159,8 @@
         }
     }
 
-    /// Adds a request to the registry, or answers it where it asks about this host. `waited`: how long ago its last
-    /// bytes may have arrived.
+    /// Adds a request to the registry, or answers it directly if it queries the readiness of this host. `waited`: upper
+    /// bound of the time since its last bytes arrived.
     fn open_request(
         &mut self,
         key: ConnectionKey,
@@ -200,7 +202,7 @@
         self.send_response(key, &OutgoingResponse { status, headers: &[], body, close: false });
     }
 
-    /// Queues a response for a client, which gets no other one to this request.
+    /// Queues a response for a client, which is the only one to its request.
     pub(super) fn send_response(&mut self, key: ConnectionKey, response: &OutgoingResponse<'_>) {
         let now = self.reactor.now();
         let host_closed = self.shutdown.is_closed(now);
@@ -209,7 +211,7 @@
         self.log.response_queued(serial, queued.request, response.status, queued.close);
     }
 
-    /// Answers what a client has sent with an error; nothing of it goes further.
+    /// Rejects a client's input with an error response; the input is not processed further.
     fn reject(&mut self, key: ConnectionKey, rejection: Rejection, close: bool) {
         *self.metrics.requests_refused.entry(rejection.reason).or_default() += 1;
         let serial = self.clients.get(key).map_or(0, |client| client.serial());
@@ -220,12 +222,12 @@
         self.send_response(key, &OutgoingResponse { status, headers, body, close });
     }
 
-    /// A client's timer is due. Whether its input is to be read before [`Proxy::expire_client`].
+    /// Handles a client's timer. Returns whether input must be read before [`Proxy::expire_client`] is called.
     pub(crate) fn on_client_timer(&mut self, key: ConnectionKey, serial: u64) -> bool {
         self.clients.on_timer(key, serial)
     }
 
-    /// Decides about a client whose timer was due; why its connection is to be closed, if it is.
+    /// Evaluates the timeout of a client whose timer was due, and returns the reason to close its connection, if any.
     pub(crate) fn expire_client(&mut self, key: ConnectionKey, serial: u64) -> Option<ClientCloseReason> {
         match self.clients.timeout_action(&mut self.reactor, key, serial) {
             TimeoutAction::None | TimeoutAction::RearmFrom(_) => None,
@@ -239,29 +241,29 @@
         }
     }
 
-    /// Whether a client whose input is not read has disconnected.
+    /// Checks whether a client whose input is not read has disconnected.
     pub(crate) fn check_disconnect(&mut self, key: ConnectionKey, serial: u64) -> DisconnectCheck {
         self.clients.check_disconnect(&mut self.reactor, key, serial)
     }
 
-    /// Clients whose response was just queued.
+    /// Returns and clears the clients with a newly queued response.
     pub(crate) fn take_clients_to_flush(&mut self) -> Vec<ConnectionKey> {
         self.clients.take_to_flush()
     }
 
-    /// Clients that were found disconnected while an attempt was to be written for them.
+    /// Returns the clients that were found disconnected when an attempt was about to be written for them.
     pub(crate) fn take_disconnected_clients(&mut self) -> Vec<ConnectionKey> {
         let mut found = self.clients.take_disconnected();
         found.retain(|key| self.clients.get(*key).is_some_and(|client| client.has_disconnected()));
         found
     }
 
-    /// Connections of clients that are not being closed yet.
+    /// Returns the client connections that are not closing.
     pub(crate) fn open_clients(&self) -> Vec<ConnectionKey> {
         self.clients.not_closing()
     }
 
-    /// Begins to close a client's connection: at once where nothing is owed, else with its last response.
+    /// Begins to close a client's connection: at once where no response is pending, otherwise after its last response.
     pub(crate) fn begin_closing_client(&mut self, key: ConnectionKey) -> ClientEvent {
         let Some(client) = self.clients.get(key).filter(|client| !client.is_closing()) else {
             return ClientEvent::None;
--- a/crates/platform/src/request_log.rs
+++ b/crates/platform/src/request_log.rs
@@ -1,4 +1,4 @@
-//! Log lines of requests and connections, and their counters by reason.
+//! Log lines for requests and connections, and their counters by reason.
 
 use crate::attempt_end::AttemptEnd;
 use crate::log_limit::LogLimit;
@@ -8,31 +8,32 @@
 use magpiewick_http1::Rejection;
 use std::collections::BTreeMap;
 
-/// Lines of each kind at the default level: as many at once, and so many a second in the long run.
+/// Limits of the log lines of each kind at the default level: burst and long-term rate per second.
 const BURST: u32 = 8;
 const PER_SECOND: f64 = 0.5;
-/// How many endpoints are counted by name, so that the counters do not grow with every endpoint there ever was.
+/// Limit of the endpoints that are counted by name, so that the counters do not grow with every endpoint that was ever
+/// listed.
 const MAX_NAMED_ENDPOINTS: usize = 256;
 
-/// Why a client's connection was closed.
+/// Reason why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientCloseReason {
-    /// The client ended or broke it.
+    /// The client closed or reset the connection.
     Disconnected,
-    /// It made room for another client.
+    /// The connection was evicted for another client.
     Evicted,
-    /// Buffers took too much memory.
+    /// Buffers exceeded the memory limit.
     MemoryLimit,
     /// The client did not read its response.
     ResponseNotRead,
-    /// The client sent nothing complete in time.
+    /// The client sent no complete request in time.
     Idle,
-    /// Its last response was written, and the client had time to read it.
+    /// The last response was written, and the client had time to read it.
     Finished,
 }
 
 impl ClientCloseReason {
-    /// The name under which it is logged and counted.
+    /// Returns the name used in log lines and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             ClientCloseReason::Disconnected => "client_disconnected",
@@ -44,35 +45,36 @@
         }
     }
 
-    /// Whether it is part of ordinary service.
+    /// Returns whether the reason is part of normal operation.
     fn is_ordinary(self) -> bool {
         matches!(self, ClientCloseReason::Disconnected | ClientCloseReason::Finished)
     }
 }
 
-/// Why a connection to an endpoint was closed.
+/// Reason why a connection to an endpoint was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpstreamCloseReason {
-    /// It was idle for too long.
+    /// The connection was idle for too long.
     Expired,
-    /// It made room for another connection.
+    /// The connection was evicted for another connection.
     Evicted,
-    /// Its endpoint drains, was removed, or has another address.
+    /// The endpoint is draining, was removed, or has another address.
     EndpointRemoved,
-    /// Its endpoint once sent more than was requested, or its last response was a refusal or an error.
+    /// The endpoint has sent unrequested bytes before, or the last response was a rejection or an error.
     NotReusable,
-    /// Bytes arrived on it while it was idle.
+    /// Bytes arrived while the connection was idle.
     UnsolicitedBytes,
-    /// Its endpoint closed it while it was idle.
+    /// The endpoint closed the connection while it was idle.
     ClosedWhileIdle,
-    /// Its response said so, ended with it, came with bytes behind it or before its request was written completely.
+    /// The response requested it, ended with the connection, was followed by further bytes, or arrived before its
+    /// request was written completely.
     AfterResponse,
-    /// The attempt on it ended without a complete response.
+    /// The attempt on the connection ended without a complete response.
     Attempt(AttemptEnd),
 }
 
 impl UpstreamCloseReason {
-    /// The name under which it is logged and counted.
+    /// Returns the name used in log lines and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             UpstreamCloseReason::Expired => "expired",
@@ -87,32 +89,32 @@
     }
 }
 
-/// Counters of requests and connections since the start, by reason.
+/// Counters of requests and connections since the start of the process, by reason.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestCounts {
-    /// Requests that this host answered itself.
+    /// Requests that this host answered without an endpoint's response.
     pub not_served: BTreeMap<&'static str, u64>,
-    /// Attempts after the first, by the outcome of the one before.
+    /// Attempts after the first, by the outcome of the previous attempt.
     pub retried: BTreeMap<&'static str, u64>,
-    /// Connections of clients that were closed.
+    /// Closed connections of clients.
     pub clients_closed: BTreeMap<&'static str, u64>,
-    /// Connections to endpoints that were closed.
+    /// Closed connections to endpoints.
     pub upstreams_closed: BTreeMap<&'static str, u64>,
-    /// How often bytes arrived from an endpoint outside an exchange, by endpoint.
+    /// Number of times that bytes arrived outside an exchange, by endpoint.
     pub unsolicited_bytes: BTreeMap<String, u64>,
-    /// Responses that nobody was given, as they may belong to another request.
+    /// Responses that were discarded because they may belong to another request.
     pub mismatched: BTreeMap<&'static str, u64>,
 }
 
-/// A request as the log names it.
+/// Labels of a request in the log.
 pub(crate) struct RequestLabels<'a> {
-    /// The id that the client has given it.
+    /// Id assigned by the client.
     pub id: &'a str,
-    /// How many attempts were started.
+    /// Number of attempts started.
     pub attempts: u32,
-    /// How long ago it was received.
+    /// Time since the request was received.
     pub age: Ms,
-    /// The endpoint of the latest attempt.
+    /// Endpoint of the latest attempt.
     pub endpoint: Option<&'a str>,
 }
 
@@ -145,12 +147,12 @@
 }
 
 impl RequestLog {
-    /// The counters.
+    /// Returns the counters.
     pub(crate) fn counts(&self) -> &RequestCounts {
         &self.counts
     }
 
-    /// What a client sent was not accepted as a request.
+    /// Logs that a client's input was not accepted as a request.
     pub(crate) fn request_refused(&mut self, now: Ms, client: u64, rejection: Rejection) {
         if let Some(suppressed) = self.refused.admit(now) {
             let Rejection { status, reason } = rejection;
@@ -158,7 +160,7 @@
         }
     }
 
-    /// This host gave the response itself.
+    /// Logs that this host answered a request without an endpoint's response.
     pub(crate) fn request_not_served(
         &mut self,
         now: Ms,
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Another attempt of a request starts at `next`; `outcome`: that of the one before.
+    /// Logs that a further attempt starts at the endpoint `next`; `outcome`: outcome of the previous attempt.
     pub(crate) fn request_retried(
         &mut self,
         now: Ms,
@@ -208,7 +210,7 @@
         }
     }
 
-    /// The client disconnected while its request was open.
+    /// Logs that a client disconnected while its request was open.
     pub(crate) fn client_disconnected(&mut self, now: Ms, request: &RequestLabels<'_>) {
         if let Some(suppressed) = self.disconnected.admit(now) {
             let RequestLabels { id: request_id, attempts, age: elapsed_ms, endpoint } = *request;
@@ -216,14 +218,14 @@
         }
     }
 
-    /// No connection can be accepted, and none is for a while.
+    /// Logs that accepting connections is paused.
     pub(crate) fn accept_paused(&mut self, now: Ms, error: &std::io::Error) {
         if let Some(suppressed) = self.refused.admit(now) {
             tracing::warn!(%error, suppressed, "accept_paused");
         }
     }
 
-    /// A client's connection was closed; `open_request`: its request that had no response yet.
+    /// Logs a closed client connection; `open_request`: its request without a response.
     pub(crate) fn client_closed(
         &mut self,
         now: Ms,
@@ -244,17 +246,17 @@
         }
     }
 
-    /// A request was accepted; `number` names it in other lines.
+    /// Logs an accepted request; `number` identifies the request in other lines.
     pub(crate) fn request_received(&self, client: u64, request_id: &str, number: u64, requests_before: u32) {
         tracing::debug!(client, request_id, number, requests_before, "request_received");
     }
 
-    /// A response was queued for a client.
+    /// Logs a response that was queued for a client.
     pub(crate) fn response_queued(&self, client: u64, number: Option<u64>, status: u16, close: bool) {
         tracing::debug!(client, number, status, close, "response_queued");
     }
 
-    /// An attempt was written to a connection.
+    /// Logs an attempt that was written to a connection.
     pub(crate) fn attempt_started(
         &self,
         request: &RequestLabels<'_>,
@@ -266,14 +268,14 @@
         tracing::debug!(request_id, attempt, endpoint, connection, exchanges, deadline_ms, "attempt_started");
     }
 
-    /// An attempt has ended.
+    /// Logs the end of an attempt.
     pub(crate) fn attempt_finished(&self, request: &RequestLabels<'_>, outcome: Outcome, elapsed_ms: Ms) {
         let RequestLabels { id: request_id, attempts: attempt, endpoint, .. } = *request;
         let outcome = Reason::After(outcome).as_str();
         tracing::debug!(request_id, attempt, endpoint, outcome, elapsed_ms, "attempt_finished");
     }
 
-    /// A connection to an endpoint was closed.
+    /// Logs a closed connection to an endpoint.
     pub(crate) fn upstream_closed(
         &mut self,
         now: Ms,
@@ -290,7 +292,7 @@
         }
     }
 
-    /// A response may belong to another request than the open one, and nobody was given it.
+    /// Logs a response that was discarded because it may belong to a request other than the open one.
     pub(crate) fn response_mismatched(
         &mut self,
         now: Ms,
@@ -305,7 +307,8 @@
         }
     }
 
-    /// Bytes arrived from an endpoint outside an exchange, so long after the last one on their connection ended.
+    /// Logs bytes that arrived from an endpoint outside an exchange; `idle_ms`: time since the last exchange on their
+    /// connection ended.
     pub(crate) fn unsolicited_bytes_received(
         &mut self,
         now: Ms,
--- a/crates/platform/src/request_registry.rs
+++ b/crates/platform/src/request_registry.rs
@@ -1,4 +1,4 @@
-//! The requests of clients, each until its response is given and none of its attempts is in flight.
+//! Requests of clients, each until it has been answered and none of its attempts is in flight.
 
 use crate::endpoint_table::EndpointTable;
 use crate::reactor::ConnectionKey;
@@ -6,27 +6,27 @@
 use magpiewick::{Ms, Outcome};
 use std::collections::HashMap;
 
-/// The attempt of a request that is in flight.
+/// Attempt of a request that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct InFlightAttempt {
-    /// The number of the attempt, counted from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
-    /// The connection that carries it; none where none could be opened.
+    /// Connection that carries the attempt; none where none could be opened.
     pub connection: Option<ConnectionKey>,
-    /// When it was started.
+    /// Start time of the attempt.
     pub started_at: Ms,
 }
 
-/// The endpoint of the latest attempt, and its outcome once it has ended.
+/// Endpoint of the latest attempt, and its outcome once the attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LatestAttempt {
-    /// The endpoint's number.
+    /// Number of the endpoint.
     pub endpoint: u32,
-    /// None while it is in flight.
+    /// Outcome; none while the attempt is in flight.
     pub outcome: Option<Outcome>,
 }
 
-/// A request.
+/// Open request.
 pub(crate) struct OpenRequest {
     client: Option<ConnectionKey>,
     id: String,
@@ -39,7 +39,7 @@
 }
 
 impl OpenRequest {
-    /// A request that a client has just sent. `head` and `body` are what an endpoint is sent.
+    /// Creates a request that was just received. `head` and `body` are sent to endpoints.
     pub(crate) fn new(client: ConnectionKey, id: &str, head: Vec<u8>, body: Vec<u8>, now: Ms) -> OpenRequest {
         OpenRequest {
             client: Some(client),
@@ -53,37 +53,37 @@
         }
     }
 
-    /// The connection of the client that waits for the response.
+    /// Returns the connection of the client that awaits the response.
     pub(crate) fn client(&self) -> Option<ConnectionKey> {
         self.client
     }
 
-    /// The id that the client has given it.
+    /// Returns the id that the client assigned.
     pub(crate) fn id(&self) -> &str {
         &self.id
     }
 
-    /// The head that endpoints are sent, up to the deadline.
+    /// Returns the head for endpoints, without the deadline.
     pub(crate) fn head(&self) -> &[u8] {
         &self.head
     }
 
-    /// The body that endpoints are sent.
+    /// Returns the body for endpoints.
     pub(crate) fn body(&self) -> &[u8] {
         &self.body
     }
 
-    /// The attempt in flight.
+    /// Returns the attempt in flight.
     pub(crate) fn in_flight(&self) -> Option<InFlightAttempt> {
         self.in_flight
     }
 
-    /// The latest attempt.
+    /// Returns the latest attempt.
     pub(crate) fn latest(&self) -> Option<LatestAttempt> {
         self.latest
     }
 
-    /// The request as the log names it.
+    /// Returns the labels of the request for the log.
     pub(crate) fn labels<'a>(&'a self, endpoints: &'a EndpointTable, now: Ms) -> RequestLabels<'a> {
         RequestLabels {
             id: &self.id,
@@ -94,7 +94,7 @@
     }
 }
 
-/// All requests by the numbers under which the engine knows them.
+/// All requests by the numbers that the engine uses.
 #[derive(Default)]
 pub(crate) struct RequestRegistry {
     requests: HashMap<u64, OpenRequest>,
@@ -103,7 +103,7 @@
 }
 
 impl RequestRegistry {
-    /// A number that no other request of this process has.
+    /// Returns a number that no other request of this process has.
     pub(crate) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
@@ -115,58 +115,58 @@
         self.requests.insert(number, request);
     }
 
-    /// A request.
+    /// Returns a request.
     pub(crate) fn get(&self, number: u64) -> Option<&OpenRequest> {
         self.requests.get(&number)
     }
 
-    /// How many requests there are.
+    /// Returns the number of requests.
     pub(crate) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether the registry is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether a request with this id of a client's is open.
+    /// Returns whether a request with this client-assigned id is open.
     pub(crate) fn contains_id(&self, id: &str) -> bool {
         self.numbers.contains_key(id)
     }
 
-    /// The memory that a request takes.
+    /// Returns the memory that a request takes.
     pub(crate) fn memory_bytes(&self, number: u64) -> usize {
         self.requests.get(&number).map_or(0, |request| request.head.len() + request.body.len())
     }
 
-    /// All requests, in order.
+    /// Returns the numbers of all requests in order.
     pub(crate) fn numbers(&self) -> Vec<u64> {
         let mut numbers: Vec<u64> = self.requests.keys().copied().collect();
         numbers.sort_unstable();
         numbers
     }
 
-    /// All attempts in flight.
+    /// Returns all attempts in flight.
     pub(crate) fn attempts_in_flight(&self) -> Vec<(u64, u32)> {
         let in_flight = |(number, request): (&u64, &OpenRequest)| Some((*number, request.in_flight?.attempt));
         self.requests.iter().filter_map(in_flight).collect()
     }
 
-    /// The client that is to be given the response now; nobody waits for it any more.
+    /// Returns the client that awaits the response, and removes it from the request.
     #[must_use = "the client is owed its response"]
     pub(crate) fn take_client(&mut self, number: u64) -> Option<ConnectionKey> {
         self.requests.get_mut(&number)?.client.take()
     }
 
-    /// The client has disconnected.
-    pub(crate) fn forget_client(&mut self, number: u64) {
+    /// Removes the disconnected client from its request.
+    pub(crate) fn clear_client(&mut self, number: u64) {
         if let Some(request) = self.requests.get_mut(&number) {
             request.client = None;
         }
     }
 
-    /// An attempt has started; false where the request is not known.
+    /// Records the start of an attempt; returns false where the request is not in the registry.
     pub(crate) fn on_attempt_started(
         &mut self,
         number: u64,
@@ -180,7 +180,7 @@
         true
     }
 
-    /// The attempt in flight has ended; what was known of it.
+    /// Records the end of the attempt in flight, and returns its record.
     pub(crate) fn on_attempt_finished(&mut self, number: u64, outcome: Outcome) -> Option<InFlightAttempt> {
         let request = self.requests.get_mut(&number)?;
         let attempt = request.in_flight.take()?;
@@ -190,10 +190,10 @@
         Some(attempt)
     }
 
-    /// Forgets a request that has its response and no attempt in flight.
+    /// Removes a request that has been answered and has no attempt in flight.
     pub(crate) fn release_if_done(&mut self, number: u64) {
-        let done = |request: &OpenRequest| request.client.is_none() && request.in_flight.is_none();
-        if !self.requests.get(&number).is_some_and(done) {
+        let is_done = |request: &OpenRequest| request.client.is_none() && request.in_flight.is_none();
+        if !self.requests.get(&number).is_some_and(is_done) {
             return;
         }
         if let Some(request) = self.requests.remove(&number) {
--- a/crates/platform/src/request_registry/tests.rs
+++ b/crates/platform/src/request_registry/tests.rs
@@ -21,21 +21,21 @@
     assert_eq!(registry.attempts_in_flight(), [(number, 0)]);
     registry.release_if_done(number);
     assert_eq!(registry.take_client(number), Some(CLIENT));
-    assert_eq!(registry.take_client(number), None, "the response is given once");
+    assert_eq!(registry.take_client(number), None, "the client is returned once");
     registry.release_if_done(number);
-    assert!(registry.contains_id("id-1"), "its attempt is still in flight");
+    assert!(registry.contains_id("id-1"), "the attempt is still in flight");
     assert_eq!(registry.on_attempt_finished(number, Outcome::Succeeded), Some(attempt(0)));
-    assert_eq!(registry.on_attempt_finished(number, Outcome::Succeeded), None, "it ends once");
+    assert_eq!(registry.on_attempt_finished(number, Outcome::Succeeded), None, "an attempt ends once");
     registry.release_if_done(number);
     assert!(registry.is_empty() && !registry.contains_id("id-1"));
-    assert!(!registry.on_attempt_started(number, ENDPOINT, attempt(1)), "it is not known any more");
+    assert!(!registry.on_attempt_started(number, ENDPOINT, attempt(1)), "the request was removed");
 }
 
 #[test]
 fn a_request_whose_client_has_disconnected_is_kept_for_its_attempt_alone() {
     let (mut registry, number) = registry_with_request();
     assert!(registry.on_attempt_started(number, ENDPOINT, attempt(0)));
-    registry.forget_client(number);
+    registry.clear_client(number);
     registry.release_if_done(number);
     assert_eq!((registry.numbers(), registry.take_client(number)), (vec![number], None));
     assert!(registry.on_attempt_finished(number, Outcome::Cancelled).is_some());
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_latest_attempt_is_known_with_its_outcome() {
+fn the_latest_attempt_is_returned_with_its_outcome() {
     let (mut registry, number) = registry_with_request();
     let latest = |registry: &RequestRegistry| registry.get(number).and_then(OpenRequest::latest);
     assert_eq!(latest(&registry), None);
