--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a host, which `PROXY_CONFIG` names. It is read as a whole or not at all.
+//! Configuration file of a host, named by `PROXY_CONFIG`. The file is accepted as a whole or rejected.
 
 use crate::endpoint_list::{self, EndpointList, ListError};
 use magpiewick::{EndpointClient, Ms, SchedulerConfig};
@@ -11,66 +11,66 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The variable that names the file.
+/// Environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
-/// Far more than any list and settings take.
+/// Limit of the file size, far above the size of any endpoint list with settings.
 const MAX_FILE_BYTES: u64 = 8 << 20;
-/// What the program itself needs.
+/// Memory that the program itself requires.
 const MIN_MEMORY_MB: f64 = 8.0;
-/// Fewer descriptors leave no room for clients, endpoints and discovery together.
+/// Lower limit of descriptors: fewer do not suffice for clients, endpoints and discovery together.
 const MIN_SOCKETS: usize = 64;
-/// How many settings that differ are named in the log.
+/// Limit of the changed settings that are named in the log.
 const MAX_NAMED_SETTINGS: usize = 12;
 
-/// Why a host has no configuration.
+/// Reason why a host has no configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// The environment variable is unset or empty.
     #[error("the variable {CONFIG_VARIABLE} is not set: it must name the configuration file")]
     VariableNotSet,
     /// The file cannot be used.
     #[error("{path}: {source}", path = path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Cause.
         source: FileError,
     },
 }
 
-/// Why a configuration file cannot be used.
+/// Reason why a configuration file cannot be used.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// It is too long.
-    #[error("{0} bytes are more than a configuration has")]
+    /// The file is too long.
+    #[error("the file has {0} bytes; the limit is {MAX_FILE_BYTES}")]
     TooLong(u64),
-    /// It is no JSON of this shape.
+    /// The file is not JSON, or has another structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The seed is no number.
+    /// The seed is not a hexadecimal number.
     #[error("seed: {0:?} is not a number of up to 16 hex digits")]
     InvalidSeed(String),
-    /// There are too few descriptors.
-    #[error("limits.sockets: {0} are too few, {MIN_SOCKETS} are needed")]
+    /// The descriptor limit is too low.
+    #[error("limits.sockets is {0}; at least {MIN_SOCKETS} are required")]
     TooFewSockets(usize),
-    /// There is too little memory.
-    #[error("limits.memory_mb: {0} are too few, {MIN_MEMORY_MB} are needed")]
+    /// The memory limit is too low.
+    #[error("limits.memory_mb is {0}; at least {MIN_MEMORY_MB} is required")]
     TooLittleMemory(f64),
-    /// A setting is wrong.
+    /// A setting is invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// There is no request class or no QoS policy.
-    #[error("settings: there must be a band and a plan")]
+    /// The settings define no request class or no QoS policy.
+    #[error("settings: profiles and service_levels must each have at least one entry")]
     NoClassOrPolicy,
-    /// The endpoint list that the host starts with is wrong.
+    /// The cached endpoint list is invalid.
     #[error("known: {0}")]
-    KnownList(#[from] ListError),
+    CachedList(#[from] ListError),
 }
 
-/// The file as it is written.
+/// Structure of the configuration file.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
@@ -89,39 +89,40 @@
     memory_mb: f64,
 }
 
-/// A checked configuration.
+/// Validated configuration.
 #[derive(Debug)]
 pub(crate) struct HostConfig {
-    /// The host's name.
+    /// Name of the host.
     pub name: String,
-    /// Where it listens for clients.
+    /// Address on which the host listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// How many descriptors the process may have.
+    /// Limit of the descriptors of the process.
     pub sockets: usize,
-    /// How much memory the process may take.
+    /// Limit of the memory of the process.
     pub memory_mb: f64,
-    /// What is taken in at a start only: all but discovery's address and what each start has anew.
+    /// Settings that are applied only at a start: all except discovery's address, the cached endpoint list and the
+    /// seed.
     pub startup_settings: Value,
-    /// The endpoint list as the host last had it.
-    pub known_list: Option<EndpointList>,
-    /// The scheduler's settings.
+    /// Endpoint list that the host last received.
+    pub cached_list: Option<EndpointList>,
+    /// Settings of the scheduler.
     pub scheduler: SchedulerConfig,
-    /// The settings of connections and requests.
+    /// Settings of connections and requests.
     pub settings: PlatformSettings,
-    /// How long the host may go without polling the endpoint list; none where it is pushed.
+    /// Limit of the time between polls of the endpoint list; none where the list is pushed.
     pub max_poll_interval: Option<Ms>,
 }
 
 impl HostConfig {
-    /// Reads and checks a file.
+    /// Reads and validates a configuration file.
     pub(crate) fn read(path: &Path) -> Result<HostConfig, ConfigError> {
         let config = read_text(path).and_then(|text| HostConfig::parse(&text));
         config.map_err(|source| ConfigError::File { path: path.to_path_buf(), source })
     }
 
-    /// Checks the text of a file.
+    /// Validates the text of a configuration file.
     fn parse(text: &str) -> Result<HostConfig, FileError> {
         let mut startup_settings: Value = serde_json::from_str(text)?;
         let file = ConfigFile::deserialize(&startup_settings)?;
@@ -138,16 +139,16 @@
         if file.limits.memory_mb < MIN_MEMORY_MB {
             return Err(FileError::TooLittleMemory(file.limits.memory_mb));
         }
-        let instance = InstanceSettings::from_json(&file.settings)?;
-        let mut scheduler = instance.scheduler_config(seed)?;
-        let settings = instance.platform_settings()?;
-        // The endpoint client alone decides when the list is polled.
+        let instance_settings = InstanceSettings::from_json(&file.settings)?;
+        let mut scheduler = instance_settings.scheduler_config(seed)?;
+        let settings = instance_settings.platform_settings()?;
+        // Only the endpoint client decides when the list is polled.
         let max_poll_interval = scheduler.max_poll_interval.take();
         if scheduler.classes.is_empty() || scheduler.policies.is_empty() {
             return Err(FileError::NoClassOrPolicy);
         }
-        let known = file.known.filter(|known| !known.is_null());
-        let known_list = known.map(|known| EndpointList::from_json(&known)).transpose()?;
+        let cached = file.known.filter(|list| !list.is_null());
+        let cached_list = cached.map(|list| EndpointList::from_json(&list)).transpose()?;
         Ok(HostConfig {
             name: file.name,
             listen: file.listen,
@@ -155,30 +156,30 @@
             sockets: file.limits.sockets,
             memory_mb: file.limits.memory_mb,
             startup_settings,
-            known_list,
+            cached_list,
             scheduler,
             settings,
             max_poll_interval,
         })
     }
 
-    /// Whether the host's own agent has the list, and answers polls with it.
+    /// Returns whether the endpoint list is pushed to the host's own agent, which answers polls with its copy.
     pub(crate) fn is_list_pushed(&self) -> bool {
         self.max_poll_interval.is_none()
     }
 
-    /// The client of discovery, which begins with the list that the host starts with.
+    /// Creates the discovery client, which starts from the cached endpoint list.
     pub(crate) fn endpoint_client(&self, now: Ms) -> EndpointClient {
         let pace = endpoint_list::pace(self.max_poll_interval, self.settings.drain_grace);
         let rules = endpoint_list::freshness_rules(self.settings.drain_grace);
-        let known = self.known_list.as_ref().filter(|list| !list.records.is_empty());
+        let cached = self.cached_list.as_ref().filter(|list| !list.records.is_empty());
         let as_of = endpoint_list::cached_list_as_of(now, self.is_list_pushed());
-        let generation = known.map(|list| list.generation);
+        let generation = cached.map(|list| list.generation);
         EndpointClient::new(pace, rules, self.scheduler.seed, now, as_of, generation)
     }
 }
 
-/// The file that the environment names.
+/// Returns the path of the configuration file from the environment.
 pub(crate) fn path() -> Result<PathBuf, ConfigError> {
     match std::env::var_os(CONFIG_VARIABLE) {
         Some(path) if !path.is_empty() => Ok(path.into()),
@@ -194,14 +195,14 @@
     Ok(std::fs::read_to_string(path)?)
 }
 
-/// The settings in which two files differ, by their dotted names, and how many more there are.
+/// Returns the dotted names of the settings that differ between two files, and the number of those beyond the limit.
 pub(crate) fn changed_settings(before: &Value, after: &Value) -> Vec<String> {
     let mut names = Vec::new();
     collect_changes(String::new(), before, after, &mut names);
-    let more = names.len().saturating_sub(MAX_NAMED_SETTINGS);
+    let omitted = names.len().saturating_sub(MAX_NAMED_SETTINGS);
     names.truncate(MAX_NAMED_SETTINGS);
-    if more > 0 {
-        names.push(format!("{more} more"));
+    if omitted > 0 {
+        names.push(format!("{omitted} more"));
     }
     names
 }
--- a/crates/platform/src/discovery_log.rs
+++ b/crates/platform/src/discovery_log.rs
@@ -1,4 +1,4 @@
-//! Log lines of the discovery client's state changes, and its counters.
+//! Log lines for state changes of the discovery client, and its counters.
 
 use crate::log_limit::LogLimit;
 use magpiewick::{Ms, Validity};
@@ -6,44 +6,44 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Lines at the default level: as many at once, and so many a second in the long run.
+/// Limits of the log lines at the default level: burst and long-term rate per second.
 const BURST: u32 = 24;
 const PER_SECOND: f64 = 2.0;
 
-/// Why a poll ended without an endpoint list that could be used.
+/// Reason why a poll ended without a usable endpoint list.
 #[derive(Debug, Error)]
 pub(crate) enum PollError {
-    /// No connection could be begun.
-    #[error("no connection: {0}")]
+    /// The connection could not be opened.
+    #[error("cannot connect: {0}")]
     Connect(#[source] std::io::Error),
     /// The connection failed before a response was complete.
-    #[error("the connection ended before an answer was whole: {0}")]
+    #[error("the connection failed before the response was complete: {0}")]
     ConnectionFailed(#[source] std::io::Error),
     /// The connection ended before a response was complete.
-    #[error("the connection ended before an answer was whole: closed")]
+    #[error("the connection was closed before the response was complete")]
     ConnectionClosed,
-    /// A status that is no success.
-    #[error("status {0}")]
+    /// The response has an error status.
+    #[error("unexpected HTTP status {0}")]
     Status(u16),
-    /// Bytes that are no HTTP response, or that nobody requested.
-    #[error("the answer is not HTTP")]
+    /// The bytes received are not an HTTP response, or were not requested.
+    #[error("the response is not valid HTTP, or was not requested")]
     MalformedResponse,
-    /// A body that is no endpoint list.
-    #[error("the body is not a list: {0}")]
+    /// The body is not an endpoint list.
+    #[error("the body is not an endpoint list: {0}")]
     MalformedList(#[source] crate::endpoint_list::ListError),
-    /// Changes that do not follow the known list.
-    #[error("changes to a list that is not known")]
+    /// The changes do not follow the generation of the current list.
+    #[error("the changes do not follow the current list")]
     GenerationGap,
-    /// The known list is newer.
-    #[error("a list older than the known one")]
+    /// The current list is newer.
+    #[error("the list is older than the current one")]
     Outdated,
-    /// Buffers take too much memory.
-    #[error("the answer is too large for the memory")]
+    /// The buffers exceed the memory limit.
+    #[error("the buffers exceed the memory limit")]
     TooLarge,
 }
 
 impl PollError {
-    /// The name under which it is counted.
+    /// Returns the name used in metrics.
     pub(crate) fn kind(&self) -> &'static str {
         match self {
             PollError::Connect(_) => "connect_failed",
@@ -58,41 +58,41 @@
     }
 }
 
-/// What a reload of the configuration file changed.
+/// Result of a successful reload of the configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReloadResult {
-    /// Discovery has another address.
+    /// The address of discovery changed.
     AddressChanged,
-    /// Nothing that is taken in without a restart.
+    /// No setting changed that can be applied without a restart.
     Unchanged,
 }
 
 /// Counters of the discovery client since the start.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DiscoveryCounts {
-    /// Polls.
+    /// Number of polls.
     pub polls: u64,
-    /// Lists from the current address.
+    /// Number of lists from the current address.
     pub lists: u64,
-    /// Lists from an address before the last reload.
+    /// Number of lists from an address before the last reload.
     pub lists_from_former_address: u64,
-    /// Lists from any address that were taken in.
+    /// Number of lists from any address that were applied.
     pub lists_applied: u64,
-    /// Polls at the current address that failed.
+    /// Number of failed polls at the current address.
     pub polls_failed: u64,
-    /// The same, by kind.
+    /// Number of failed polls at the current address by kind.
     pub failures: BTreeMap<&'static str, u64>,
-    /// Reloads that changed the address.
+    /// Number of reloads that changed the address.
     pub reloads_applied: u64,
-    /// Reloads that changed nothing.
+    /// Number of reloads that changed no address.
     pub reloads_unchanged: u64,
-    /// Reloads that failed.
+    /// Number of failed reloads.
     pub reloads_failed: u64,
-    /// Polls whose answer was not wanted any more.
+    /// Number of cancelled polls.
     pub polls_cancelled: u64,
-    /// How often the list expired.
+    /// Number of times that the list expired.
     pub expired: u64,
-    /// How often the list was kept in use while discovery was down.
+    /// Number of times that the list stayed in use while discovery was down.
     pub service_down: u64,
 }
 
@@ -100,7 +100,7 @@
 pub(crate) struct DiscoveryLog {
     limit: LogLimit,
     counts: DiscoveryCounts,
-    /// The last poll failed: the next list is logged at the default level.
+    /// True if the last poll failed; the next list is then logged at the default level.
     failing: bool,
 }
 
@@ -122,12 +122,12 @@
 }
 
 impl DiscoveryLog {
-    /// The counters.
+    /// Returns the counters.
     pub(crate) fn counts(&self) -> &DiscoveryCounts {
         &self.counts
     }
 
-    /// A poll begins, beside `late` others that are late. Routine polls are logged at debug level alone.
+    /// Records the start of a poll while `late` other polls are overdue. Routine polls are logged only at debug level.
     pub(crate) fn poll_started(
         &mut self,
         now: Ms,
@@ -144,12 +144,12 @@
         }
     }
 
-    /// The connection of a poll is established.
+    /// Records that the connection of a poll is established.
     pub(crate) fn connected(&self, poll: u64, address: SocketAddr, elapsed_ms: Ms) {
         tracing::debug!(poll, %address, elapsed_ms, "discovery_connected");
     }
 
-    /// A list from the current address was taken in.
+    /// Records a list from the current address that was applied.
     pub(crate) fn list_received(
         &mut self,
         now: Ms,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// A list from an address before the last reload was taken in.
+    /// Records a list from an address before the last reload that was applied.
     pub(crate) fn former_list_received(
         &mut self,
         now: Ms,
@@ -181,18 +181,18 @@
         limited!(self, now, poll, generation, records, elapsed_ms, "former_discovery_answered");
     }
 
-    /// A poll at an address before the last reload ended without a list that was taken in.
+    /// Records that a poll at an address before the last reload ended without a list that was applied.
     pub(crate) fn former_poll_failed(&mut self, now: Ms, poll: u64, error: &PollError) {
         limited!(self, now, poll, %error, "former_discovery_poll_failed");
     }
 
-    /// A poll was ended as its answer is not wanted any more.
+    /// Records that a poll was cancelled because its response is no longer needed.
     pub(crate) fn poll_cancelled(&mut self, now: Ms, poll: u64) {
         self.counts.polls_cancelled += 1;
         limited!(self, now, poll, "endpoint_list_poll_cancelled");
     }
 
-    /// A poll failed; the next one is due after `next_in_ms`.
+    /// Records a failed poll; the next one is due after `next_in_ms`.
     pub(crate) fn poll_failed(&mut self, now: Ms, poll: u64, error: &PollError, next_in_ms: Ms) {
         self.counts.polls_failed += 1;
         *self.counts.failures.entry(error.kind()).or_default() += 1;
@@ -200,7 +200,7 @@
         limited!(self, now, poll, %error, next_in_ms, "endpoint_list_poll_failed");
     }
 
-    /// The configuration file was read again.
+    /// Records that the configuration file was read again.
     pub(crate) fn reloaded(&mut self, result: ReloadResult) {
         match result {
             ReloadResult::AddressChanged => self.counts.reloads_applied += 1,
@@ -209,7 +209,7 @@
         self.failing = true;
     }
 
-    /// The configuration file could not be used: the current address stays until it can be.
+    /// Records that the configuration file could not be used: the current address is kept until a reload succeeds.
     pub(crate) fn reload_failed(
         &mut self,
         now: Ms,
@@ -223,7 +223,7 @@
         }
     }
 
-    /// The validity of the list has changed.
+    /// Records a change of the validity of the list.
     pub(crate) fn validity_changed(&mut self, before: Validity, after: Validity, age_ms: Ms) {
         match after {
             Validity::Valid => tracing::info!(?before, age_ms, "endpoint_list_valid"),
--- a/crates/platform/src/endpoint_discovery.rs
+++ b/crates/platform/src/endpoint_discovery.rs
@@ -1,4 +1,5 @@
-//! Polls of the endpoint list: carries out on sockets what the endpoint client decides, and reports what came of it.
+//! Polling of the endpoint list: performs on sockets what the endpoint client decides, and reports the results to the
+//! client.
 
 use crate::config::{ConfigError, HostConfig};
 use crate::connection_table::ConnectionTable;
@@ -16,10 +17,10 @@
 
 const LIST_PATH: &str = "/v1/endpoints";
 const STATUS_OK: u16 = 200;
-/// A poll that ends without changes does so when this share of its wait is over at the earliest.
+/// Minimum share of its wait that a poll without changes takes.
 const MIN_WATCH_SHARE: f64 = 0.5;
 
-/// The request target of a poll.
+/// Returns the request target of a poll.
 fn poll_path(target: Target) -> String {
     match target {
         Target::Whole => LIST_PATH.to_string(),
@@ -27,7 +28,7 @@
     }
 }
 
-/// How long discovery may hold a poll while nothing changes.
+/// Returns the time for which discovery may hold a poll while nothing changes.
 fn poll_wait(target: Target) -> Ms {
     match target {
         Target::Whole => 0.0,
@@ -35,7 +36,7 @@
     }
 }
 
-/// What an error on a connection says of discovery.
+/// Returns the class of failure that an error on a connection means for discovery.
 fn failure_of(error: &io::Error) -> Failure {
     match (error_origin(error), error.kind()) {
         (ErrorOrigin::Local, _) => Failure::Local,
@@ -46,15 +47,15 @@
     }
 }
 
-/// Why a poll failed, and what that says of discovery.
+/// Reason of a failed poll, and the class of failure it means for discovery.
 struct PollFailure {
     error: PollError,
-    meaning: Failure,
+    class: Failure,
 }
 
 impl PollFailure {
     fn unusable(error: PollError) -> PollFailure {
-        PollFailure { error, meaning: Failure::Unusable }
+        PollFailure { error, class: Failure::Unusable }
     }
 }
 
@@ -62,37 +63,35 @@
     fn from(ended: Ended) -> PollFailure {
         match ended {
             Ended::Closed => {
-                PollFailure { error: PollError::ConnectionClosed, meaning: Failure::ConnectionLost }
+                PollFailure { error: PollError::ConnectionClosed, class: Failure::ConnectionLost }
             }
             Ended::Failed(error) => {
-                PollFailure { meaning: failure_of(&error), error: PollError::ConnectionFailed(error) }
+                PollFailure { class: failure_of(&error), error: PollError::ConnectionFailed(error) }
             }
         }
     }
 }
 
-/// What a response says.
+/// Parses a response as an endpoint list.
 fn parse_list_response(response: &Response) -> Result<EndpointList, PollFailure> {
     match response.status {
         STATUS_OK => EndpointList::from_slice(&response.body)
             .map_err(|error| PollFailure::unusable(PollError::MalformedList(error))),
-        status @ 500..=599 => {
-            Err(PollFailure { error: PollError::Status(status), meaning: Failure::Rejected })
-        }
+        status @ 500..=599 => Err(PollFailure { error: PollError::Status(status), class: Failure::Rejected }),
         status => Err(PollFailure::unusable(PollError::Status(status))),
     }
 }
 
-/// The poll that is in flight on a connection.
+/// Poll that is in flight on a connection.
 #[derive(Clone, Copy)]
 struct PollInFlight {
     poll: u64,
     started_at: Ms,
-    /// How long discovery may hold it.
+    /// Time for which discovery may hold the poll.
     wait: Ms,
 }
 
-/// A connection to discovery.
+/// Connection to the discovery service.
 struct DiscoveryConnection {
     responses: ResponseStream,
     address: SocketAddr,
@@ -110,47 +109,47 @@
         }
     }
 
-    /// Whether a response repeats that of an earlier poll: it is the same, and arrived long before discovery would
-    /// have stopped to wait for changes.
+    /// Returns whether a response is a repetition of an earlier poll's response: it has the same content, and arrived
+    /// long before discovery would have ended its wait for changes.
     fn is_repeated(&self, response: &Response, poll: PollInFlight, now: Ms) -> bool {
         let received =
             ReceivedResponse { status: response.status, body: &response.body, trailing: &[], names: None };
-        let same = self.history.verify(&received, "") == Err(ResponseMismatch::DuplicateResponse);
-        same && now - poll.started_at < poll.wait * MIN_WATCH_SHARE
+        let is_duplicate = self.history.verify(&received, "") == Err(ResponseMismatch::DuplicateResponse);
+        is_duplicate && now - poll.started_at < poll.wait * MIN_WATCH_SHARE
     }
 }
 
-/// A list that was taken in.
+/// List that was applied.
 pub(crate) struct ReceivedList {
-    /// The list.
+    /// Endpoint list.
     pub list: EndpointList,
-    /// How the engine is told of it.
+    /// Kind of update that is reported to the engine.
     pub update: EndpointUpdate,
-    /// It came from the address that the configuration names now.
+    /// True if the list came from the address in the current configuration.
     pub from_current_address: bool,
 }
 
-/// A change of what the list may be relied on for.
+/// Change of the validity of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ValidityChange {
-    /// Whether it has expired.
+    /// True if the list has expired.
     pub expired: bool,
 }
 
-/// Polls the endpoint list, and knows until when the list may be relied on.
+/// Client of the discovery service, which polls the endpoint list and tracks its validity.
 pub(crate) struct EndpointDiscovery {
     client: EndpointClient,
     address: SocketAddr,
     connections: ConnectionTable<DiscoveryConnection>,
-    /// The connection on which the last poll was answered.
+    /// Connection on which the last poll was answered.
     idle_connection: Option<ConnectionKey>,
-    /// What the list was good for when it was last checked.
+    /// Validity of the list at the last check.
     validity: Validity,
     log: DiscoveryLog,
 }
 
 impl EndpointDiscovery {
-    /// Begins with the list of the configuration.
+    /// Creates a client that starts from the endpoint list of the configuration.
     pub(crate) fn new(config: &HostConfig, now: Ms) -> EndpointDiscovery {
         EndpointDiscovery {
             client: config.endpoint_client(now),
@@ -162,17 +161,18 @@
         }
     }
 
-    /// The next step that is due, until there is none.
+    /// Returns the next step that is due; none where no step is due.
     pub(crate) fn next_step(&mut self, now: Ms) -> Option<Step> {
         self.client.due(now)
     }
 
-    /// When [`EndpointDiscovery::next_step`] is to be called at the latest, and the validity to be checked.
+    /// Returns the latest time for the next call of [`EndpointDiscovery::next_step`] and the next check of the
+    /// validity.
     pub(crate) fn wake_at(&self, now: Ms) -> Ms {
         self.client.wakes_at(now)
     }
 
-    /// Checks whether the list may still be relied on.
+    /// Checks the validity of the list, and returns a change.
     pub(crate) fn check_validity(&mut self, now: Ms) -> Option<ValidityChange> {
         let validity = self.client.validity(now);
         if validity == self.validity {
@@ -183,12 +183,12 @@
         Some(ValidityChange { expired: validity == Validity::Expired })
     }
 
-    /// The memory that its buffers take.
+    /// Returns the memory that the buffers take.
     pub(crate) fn memory_bytes(&self) -> usize {
         self.buffers().map(|buffers| buffers.bytes).sum()
     }
 
-    /// Its buffers.
+    /// Returns the buffers of all connections to discovery.
     pub(crate) fn buffers(&self) -> impl Iterator<Item = BufferUse> + '_ {
         self.connections.iter().map(|(key, connection)| BufferUse {
             owner: BufferOwner::Upstream,
@@ -197,19 +197,19 @@
         })
     }
 
-    /// The memory that a connection's buffers take.
+    /// Returns the memory that a connection's buffers take.
     pub(crate) fn memory_of(&self, key: ConnectionKey) -> usize {
         self.connections.get(key).map_or(0, |connection| connection.responses.memory_bytes())
     }
 
-    /// Notes that a poll starts. [`EndpointDiscovery::open_connection`] and then [`EndpointDiscovery::send_poll`] are
-    /// next.
+    /// Records the start of a poll. [`EndpointDiscovery::open_connection`] and then [`EndpointDiscovery::send_poll`]
+    /// follow.
     pub(crate) fn begin_poll(&mut self, now: Ms, poll: u64, target: Target) {
         let late = self.client.calls_out() - 1;
         self.log.poll_started(now, poll, late, self.address, &poll_path(target));
     }
 
-    /// A connection for a poll: the one on which the last poll was answered, or a new one.
+    /// Returns a connection for a poll: the one on which the last poll was answered, or a new one.
     pub(crate) fn open_connection(&mut self, reactor: &mut Reactor) -> io::Result<ConnectionKey> {
         if let Some(key) = self.take_idle_connection(reactor) {
             return Ok(key);
@@ -221,7 +221,7 @@
         Ok(key)
     }
 
-    /// The connection on which the last poll was answered, where nothing has arrived on it since.
+    /// Returns the connection on which the last poll was answered, where nothing has arrived on it since then.
     fn take_idle_connection(&mut self, reactor: &mut Reactor) -> Option<ConnectionKey> {
         let key = self.idle_connection.take()?;
         if self.connections.get_mut(key)?.responses.is_quiet() {
@@ -242,8 +242,8 @@
         let key = match connection {
             Ok(key) => key,
             Err(error) => {
-                let meaning = failure_of(&error);
-                let failure = PollFailure { error: PollError::Connect(error), meaning };
+                let class = failure_of(&error);
+                let failure = PollFailure { error: PollError::Connect(error), class };
                 return self.on_poll_failed(reactor.now(), poll, &failure);
             }
         };
@@ -257,19 +257,19 @@
         self.on_writable(reactor, key);
     }
 
-    /// Ends a poll whose answer is not wanted any more.
+    /// Cancels a poll whose response is no longer needed.
     pub(crate) fn cancel_poll(&mut self, reactor: &mut Reactor, poll: u64) {
-        let carries = |connection: &DiscoveryConnection| {
+        let carries_poll = |connection: &DiscoveryConnection| {
             connection.in_flight.is_some_and(|in_flight| in_flight.poll == poll)
         };
-        let found = self.connections.iter().find(|(_, connection)| carries(connection));
+        let found = self.connections.iter().find(|(_, connection)| carries_poll(connection));
         if let Some(key) = found.map(|(key, _)| key) {
             self.close(reactor, key);
             self.log.poll_cancelled(reactor.now(), poll);
         }
     }
 
-    /// Writes what a poll still has to write, and notes when its connection is established.
+    /// Writes the pending output of a poll, and records when its connection is established.
     pub(crate) fn on_writable(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         let was_connecting = connection.responses.stream().connecting();
@@ -285,7 +285,7 @@
         self.client.connected(in_flight.poll);
     }
 
-    /// Reads what discovery has sent; a list, if one was taken in.
+    /// Reads input from discovery; returns a list that was applied.
     pub(crate) fn on_readable(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<ReceivedList> {
         let connection = self.connections.get_mut(key)?;
         if connection.responses.stream().connecting() {
@@ -303,7 +303,7 @@
         }
     }
 
-    /// Checks what was received on a connection.
+    /// Validates a response that was received on a connection.
     fn check_response(
         &mut self,
         now: Ms,
@@ -318,10 +318,10 @@
                 return Err(PollFailure::unusable(PollError::MalformedResponse));
             }
             Err(ReceiveError::ConnectionLost) => {
-                // A part of a response shows that there is somebody who writes responses.
+                // A partial response shows that the peer is a server that sends responses.
                 let partial = connection.responses.has_partial_response();
-                let meaning = if partial { Failure::Unusable } else { Failure::ConnectionLost };
-                return Err(PollFailure { error: PollError::ConnectionClosed, meaning });
+                let class = if partial { Failure::Unusable } else { Failure::ConnectionLost };
+                return Err(PollFailure { error: PollError::ConnectionClosed, class });
             }
         };
         let Some(poll) = connection.in_flight else {
@@ -338,7 +338,7 @@
         Ok(Some(PollAnswer { poll, list, last }))
     }
 
-    /// A poll was answered with a list.
+    /// Handles a list that answers a poll.
     fn on_list(
         &mut self,
         reactor: &mut Reactor,
@@ -349,8 +349,8 @@
             (reactor.now(), answer);
         let from_current_address = self.client.is_present(poll);
         let (generation, records) = (list.generation, list.records.len());
-        let head = Answered { generation, whole: list.complete, lines: records };
-        let verdict = self.client.answered(now, poll, head);
+        let summary = Answered { generation, whole: list.complete, lines: records };
+        let verdict = self.client.answered(now, poll, summary);
         let reusable = from_current_address && !last && verdict != Verdict::Gap;
         if reusable && self.idle_connection.is_none() {
             self.idle_connection = Some(key);
@@ -377,12 +377,12 @@
         Some(ReceivedList { list, update, from_current_address })
     }
 
-    /// Closes a connection whose buffers take too much memory.
+    /// Closes a connection whose buffers exceed the memory limit.
     pub(crate) fn close_over_memory(&mut self, reactor: &mut Reactor, key: ConnectionKey) {
         self.fail(reactor, key, &PollFailure::unusable(PollError::TooLarge));
     }
 
-    /// A connection is of no more use.
+    /// Closes a connection that is no longer usable, and fails the poll in flight.
     fn fail(&mut self, reactor: &mut Reactor, key: ConnectionKey, failure: &PollFailure) {
         if self.idle_connection == Some(key) {
             self.idle_connection = None;
@@ -395,7 +395,7 @@
 
     fn on_poll_failed(&mut self, now: Ms, poll: u64, failure: &PollFailure) {
         let from_current_address = self.client.is_present(poll);
-        self.client.failed(now, poll, failure.meaning);
+        self.client.failed(now, poll, failure.class);
         self.log_failure(now, poll, from_current_address, &failure.error);
     }
 
@@ -413,7 +413,7 @@
         Some(connection)
     }
 
-    /// The configuration file was read again. Where it names another address, that is polled at once.
+    /// Handles a reload of the configuration file. A changed address is polled at once.
     pub(crate) fn on_config_reloaded(&mut self, reactor: &mut Reactor, address: SocketAddr) -> ReloadResult {
         let former = self.address;
         if address == former {
@@ -434,7 +434,8 @@
         ReloadResult::AddressChanged
     }
 
-    /// The configuration file could not be used. `first`: since its reload was requested.
+    /// Handles a reload whose file could not be used. `first`: whether this is the first failure since the reload was
+    /// requested.
     pub(crate) fn on_reload_failed(
         &mut self,
         now: Ms,
@@ -448,7 +449,7 @@
         self.log.reload_failed(now, error, self.address, retry_in);
     }
 
-    /// Reports its state and counters.
+    /// Reports the state and the counters.
     pub(crate) fn log_metrics(&self, now: Ms) {
         tracing::info!(
             address = %self.address, generation = self.client.generation(), validity = ?self.validity,
@@ -461,10 +462,10 @@
     }
 }
 
-/// A list that answers a poll.
+/// List that answers a poll.
 struct PollAnswer {
     poll: PollInFlight,
     list: EndpointList,
-    /// The connection cannot carry another poll.
+    /// True if the connection cannot carry another poll.
     last: bool,
 }
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in discovery's format, and how discovery is polled; free of I/O.
+//! Endpoint list in discovery's format, and the timing of polls; free of I/O.
 
 use magpiewick::{EndpointState, FreshnessRules, Ms, Pace};
 use serde::Deserialize;
@@ -7,37 +7,39 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// How long discovery may hold a poll while nothing changes. What a silent discovery has to say binds this host 2 s
-/// after that, so it must notice within that time.
+/// Time for which discovery may hold a poll while nothing changes. A change in an unresponsive discovery service binds
+/// this host 2 s after this time, so the host must detect the failure within those 2 s.
 const WATCH_WAIT_MS: Ms = 2000.0;
-/// How long over its wait a poll may take before another one is made beside it, and how long the first one after a
-/// failure may: a discovery with many callers queues them for up to 2 s, and giving up loses the place in that queue.
+/// Time by which a poll may exceed its wait before a concurrent poll starts, in general and for the first poll after a
+/// failure: a discovery service with many callers queues them for up to 2 s, and cancelling a poll loses its place in
+/// that queue.
 const WATCH_LATE_MS: Ms = 900.0;
 const FIRST_POLL_LATE_MS: Ms = 2000.0;
-/// How long the first poll after a failure waits: it shows soon that discovery answers. A busy discovery rejects
-/// callers that would not wait at all.
+/// Wait of the first poll after a failure: its response soon shows that discovery answers. A busy discovery service
+/// rejects callers that do not wait at all.
 const FIRST_POLL_WAIT_MS: Ms = 500.0;
-/// How many polls may be in flight at once, so that answers that are almost too late are not given up.
+/// Limit of concurrent polls, so that responses that arrive slightly late are still accepted.
 const MAX_POLLS: usize = 3;
-/// Where lists are pushed: the shares of the drain grace that a poll waits and may be late.
+/// Shares of the drain grace for the wait and the permitted lateness of a poll, where lists are pushed.
 const PUSHED_WAIT_SHARE: f64 = 0.4;
 const PUSHED_LATE_SHARE: f64 = 0.25;
-/// The least drain grace, whatever the settings say.
+/// Lower limit of the drain grace, whatever the settings define.
 const MIN_DRAIN_GRACE_MS: Ms = 100.0;
-/// How long after discovery had a change it binds this host, and how long after a reload, whatever fails.
+/// Times after which a change in discovery binds this host, and after which it binds following a reload, even if every
+/// poll fails.
 const BINDING_DELAY_MS: Ms = 6000.0;
 const BINDING_DELAY_AFTER_RELOAD_MS: Ms = 4000.0;
-/// How old the list may be that a process starts with.
+/// Assumed maximum age of the endpoint list with which a process starts.
 const CACHED_LIST_AGE_MS: Ms = 3000.0;
-/// How long the process may be stalled between reading its clock and writing.
+/// Limit of a stall of the process between reading its clock and writing.
 const MAX_PROCESS_STALL_MS: Ms = 150.0;
-/// The longest id of an endpoint.
+/// Limit of the length of an endpoint's id.
 const MAX_ID_BYTES: usize = 128;
 
-/// How discovery is polled. `max_poll_interval`: how long the host may go without polling, where it has to;
-/// `drain_grace`: for how long an endpoint may still be sent requests after its drain was announced, where lists are
-/// pushed. There the host's own agent answers the polls, and a change binds whether or not it was read, so a broken
-/// poll must be noticed and made again within that grace.
+/// Returns the timing of polls. `max_poll_interval`: limit of the time between polls, where polling is required;
+/// `drain_grace`: time for which an endpoint may still receive requests after its drain was announced, where lists are
+/// pushed. Pushed lists are polled from the host's own agent, and a change binds whether or not the host has read it,
+/// so a failed poll must be detected and repeated within the drain grace.
 pub(crate) fn pace(max_poll_interval: Option<Ms>, drain_grace: Option<Ms>) -> Pace {
     let Some(max_poll_interval) = max_poll_interval else {
         let grace = drain_grace.unwrap_or(0.0).max(MIN_DRAIN_GRACE_MS);
@@ -60,8 +62,8 @@
     }
 }
 
-/// As of when a list that a process starts with counts as complete. Where lists are pushed, what the agent has binds
-/// from the first moment of a process.
+/// Returns the time as of which a cached list counts as complete. Where lists are pushed, the agent's list binds from
+/// the start of the process.
 pub(crate) fn cached_list_as_of(now: Ms, pushed: bool) -> Ms {
     match pushed {
         true => f64::NEG_INFINITY,
@@ -69,10 +71,11 @@
     }
 }
 
-/// When a change binds this host although it has not received it. `drain_grace`: set where lists are pushed.
+/// Returns the rules by which a change binds this host before the host receives it. `drain_grace`: set where lists are
+/// pushed.
 pub(crate) fn freshness_rules(drain_grace: Option<Ms>) -> FreshnessRules {
     match drain_grace {
-        // It binds at once, and the grace covers a stall of the process.
+        // A pushed change binds at once, and the grace covers a stall of the process.
         Some(grace) => FreshnessRules {
             binds_after: grace.max(MIN_DRAIN_GRACE_MS),
             binds_after_reload: BINDING_DELAY_AFTER_RELOAD_MS,
@@ -88,81 +91,81 @@
     }
 }
 
-/// Why a body is no endpoint list.
+/// Reason why a body is not an endpoint list.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// It is no JSON of this shape.
+    /// The body is not JSON, or has another structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// An endpoint's lifecycle is unknown.
-    #[error("{id}: impossible lifecycle {lifecycle:?}")]
+    /// The lifecycle of an endpoint is unknown.
+    #[error("{id}: unknown lifecycle {lifecycle:?}")]
     UnknownLifecycle {
-        /// The endpoint.
+        /// Id of the endpoint.
         id: String,
-        /// What it says.
+        /// Lifecycle in the record.
         lifecycle: String,
     },
-    /// An endpoint's id is empty or too long.
-    #[error("an instanceId that is none")]
+    /// The id of an endpoint is empty or too long.
+    #[error("an instanceId is empty or longer than {MAX_ID_BYTES} bytes")]
     InvalidId,
-    /// An endpoint's address cannot be read.
-    #[error("{id}: {text:?} is no address")]
+    /// The address of an endpoint cannot be parsed.
+    #[error("{id}: hostPort {text:?} is not an IP address with a port")]
     InvalidAddress {
-        /// The endpoint.
+        /// Id of the endpoint.
         id: String,
-        /// What it says.
+        /// Address in the record.
         text: String,
     },
-    /// An endpoint lacks a field.
+    /// A record lacks a field.
     #[error("{id}: {field} is missing")]
     MissingField {
-        /// The endpoint.
+        /// Id of the endpoint.
         id: String,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
     },
-    /// An endpoint's start lies outside any calendar.
-    #[error("{id}: impossible startedAtMs {at}")]
-    ImpossibleStart {
-        /// The endpoint.
+    /// The start time of an endpoint is out of range.
+    #[error("{id}: startedAtMs {ms} is out of range")]
+    StartOutOfRange {
+        /// Id of the endpoint.
         id: String,
-        /// What it says.
-        at: f64,
+        /// Start time in the record, in Unix milliseconds.
+        ms: f64,
     },
-    /// A complete list names an endpoint more than once.
-    #[error("a node is listed twice")]
+    /// A complete list has several records with the same id.
+    #[error("a complete list has several records with the same instanceId")]
     DuplicateEndpoint,
 }
 
-/// A record of the list.
+/// Record of an endpoint in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EndpointRecord {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub id: String,
-    /// Its address; none where it was removed.
+    /// Address of the endpoint; none where the endpoint was removed.
     pub address: Option<SocketAddr>,
-    /// The name of its zone.
+    /// Name of the endpoint's zone.
     pub zone: String,
-    /// The shard that it serves.
+    /// Shard that the endpoint serves.
     pub shard: usize,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// When it started, in Unix milliseconds; none: long ago.
+    /// Start time in Unix milliseconds; none where the endpoint started long ago.
     pub started_unix: Option<u64>,
 }
 
-/// An endpoint list, or the changes since an earlier one.
+/// Endpoint list, or the changes since an earlier one.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EndpointList {
-    /// The number of its state.
+    /// Generation of the list.
     pub generation: u64,
-    /// Whether it is complete; if not, it names what has changed.
+    /// True if the list is complete; otherwise it contains only the changes.
     pub complete: bool,
-    /// Its records, in the order of their ids.
+    /// Records in the order of their ids.
     pub records: Vec<EndpointRecord>,
 }
 
-/// The list in discovery's format.
+/// Endpoint list in discovery's format.
 #[derive(Deserialize)]
 struct ListDocument {
     generation: u64,
@@ -170,7 +173,7 @@
     instances: Vec<InstanceDocument>,
 }
 
-/// An endpoint in discovery's format.
+/// Endpoint in discovery's format.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct InstanceDocument {
@@ -216,8 +219,8 @@
             None => return Err(ListError::MissingField { id, field: "cell" }),
         };
         let started_unix = match instance.started_at_ms {
-            Some(at) if !(0.0..1e15).contains(&at) => return Err(ListError::ImpossibleStart { id, at }),
-            at => at.map(|at| at as u64).filter(|at| *at > 0),
+            Some(ms) if !(0.0..1e15).contains(&ms) => return Err(ListError::StartOutOfRange { id, ms }),
+            started_at_ms => started_at_ms.map(|ms| ms as u64).filter(|ms| *ms > 0),
         };
         Ok(EndpointRecord { id, address, zone: instance.zone, shard, state, started_unix })
     }
@@ -240,12 +243,12 @@
 }
 
 impl EndpointList {
-    /// Reads a list; one record that cannot be read fails it as a whole.
+    /// Parses a list; one invalid record invalidates the whole list.
     pub(crate) fn from_json(value: &Value) -> Result<EndpointList, ListError> {
         ListDocument::deserialize(value)?.try_into()
     }
 
-    /// The same, from text.
+    /// Parses a list from text.
     pub(crate) fn from_slice(body: &[u8]) -> Result<EndpointList, ListError> {
         EndpointList::from_json(&serde_json::from_slice(body)?)
     }
--- a/crates/platform/src/endpoint_table/tests.rs
+++ b/crates/platform/src/endpoint_table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn numbers_of_a_fleet_that_is_always_new_stay_few() {
+fn numbers_are_reused_when_all_endpoints_are_replaced() {
     let mut numbers = EndpointNumbers::default();
     let mut highest = 0;
     for second in 0..10_000 {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_update_says_what_it_means_for_connections() {
+fn an_update_reports_its_effect_on_connections() {
     let mut table = table();
     for (state, port, change) in [
         (EndpointState::Ready, 1, EndpointChange::None),
@@ -43,19 +43,19 @@
 }
 
 #[test]
-fn an_endpoint_that_was_never_known_cannot_be_removed() {
+fn removal_of_an_unlisted_endpoint_is_ignored() {
     let mut table = table();
     assert!(table.update(0.0, &record("s-1", EndpointState::Removed, 1)).is_none());
     assert_eq!(table.len(), 0);
 }
 
 #[test]
-fn only_a_complete_list_removes_what_it_does_not_name() {
+fn only_a_complete_list_removes_absent_endpoints() {
     let mut table = table();
-    let known = record("s-1", EndpointState::Ready, 1);
-    let number = table.update(0.0, &known).map(|update| update.number);
+    let listed = record("s-1", EndpointState::Ready, 1);
+    let number = table.update(0.0, &listed).map(|update| update.number);
     let list = |complete, records| EndpointList { generation: 1, complete, records };
     assert!(table.missing_from(&list(false, Vec::new())).is_empty());
-    assert!(table.missing_from(&list(true, vec![known])).is_empty());
+    assert!(table.missing_from(&list(true, vec![listed])).is_empty());
     assert_eq!(Some(table.missing_from(&list(true, Vec::new()))), number.map(|number| vec![number]));
 }
--- a/crates/platform/src/event_loop.rs
+++ b/crates/platform/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for events and passes each to the owner of the state that it concerns.
+//! Event loop: waits for events and dispatches each to the owner of the state concerned.
 
 use crate::attempt_end::AttemptEnd;
 use crate::client_pool::DisconnectCheck;
@@ -20,27 +20,28 @@
 const LISTENER_KEY: usize = 0;
 const SIGTERM_KEY: usize = 1;
 const SIGHUP_KEY: usize = 2;
-/// Connections accepted in a turn.
-const ACCEPTS_PER_TURN: usize = 64;
-/// So often that many are accepted when the host closes: the system queues no more than some hundreds.
-const MAX_ACCEPT_TURNS_AT_CLOSE: usize = 64;
-/// Buffers of a connection that call for a check of the memory limit.
+/// Limit of the connections accepted in one iteration of the event loop.
+const ACCEPT_BATCH_SIZE: usize = 64;
+/// Limit of the batches accepted when the host closes its listener: the operating system queues at most some hundreds
+/// of connections.
+const MAX_ACCEPT_BATCHES_AT_CLOSE: usize = 64;
+/// Buffer size of a connection from which on the memory limit is checked.
 const MEMORY_CHECK_BYTES: usize = 32 << 10;
-/// How often the counters are reported.
+/// Interval between reports of the counters.
 const METRICS_INTERVAL_MS: Ms = 5000.0;
-/// When a host is ready that knows no endpoint list and that discovery does not answer.
+/// Time after the start when a host without an endpoint list is ready even if discovery does not answer.
 const READY_WITHOUT_LIST_MS: Ms = 1500.0;
 
-/// What a turn of accepting connections came to.
+/// Result of accepting a batch of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AcceptTurn {
+enum AcceptBatch {
     /// No connection is waiting.
-    NoneLeft,
+    QueueEmpty,
     /// Connections may be waiting.
-    SomeLeft,
+    MayHaveMore,
 }
 
-/// A running host.
+/// Running host.
 pub(crate) struct EventLoop {
     engine: Engine,
     proxy: Proxy,
@@ -53,7 +54,7 @@
 }
 
 impl EventLoop {
-    /// Opens the sockets of a host, and takes in the endpoint list that it starts with.
+    /// Opens the sockets of a host, and applies the cached endpoint list.
     pub(crate) fn new(config: HostConfig, path: &Path) -> io::Result<EventLoop> {
         let (poll, clock) = (Poll::new()?, Clock::start());
         let now = clock.now();
@@ -78,10 +79,10 @@
         Ok(event_loop)
     }
 
-    /// Takes in the endpoint list that the host starts with. Clients wait for a host that has come back, so it is ready
-    /// at once, unless lists are pushed: what the agent has binds from the first moment, so its answer is waited for.
+    /// Applies the cached endpoint list. Clients wait for a restarted host, so the host is ready at once, unless lists
+    /// are pushed: the agent's list binds from the start of the process, so the host waits for the agent's response.
     fn restore_endpoint_list(&mut self, config: &HostConfig) {
-        let Some(list) = &config.known_list else { return };
+        let Some(list) = &config.cached_list else { return };
         let endpoints = self.proxy.apply_endpoint_list(list);
         self.engine.on_endpoint_update(self.proxy.now(), EndpointUpdate::Restored, &endpoints);
         if !endpoints.is_empty() && !config.is_list_pushed() {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Serves until the host has shut down.
+    /// Runs the event loop until the host has shut down.
     pub(crate) fn run(&mut self) -> io::Result<()> {
         let mut poll_events = PollEvents::default();
         loop {
@@ -100,7 +101,7 @@
             }
             let wake_at = self.wake_at();
             self.proxy.reactor_mut().wait(&mut poll_events, wake_at)?;
-            // Before anything is sent: the process may have been stalled for long.
+            // Runs before anything is sent, because the process may have been stalled for long.
             self.check_list_validity();
             self.dispatch_readable(&poll_events.readable);
             for key in poll_events.writable.drain(..) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// When the loop has something to do although nothing happens.
+    /// Returns the time at which the loop must run even if no event occurs.
     fn wake_at(&self) -> Ms {
         let (now, shutdown) = (self.proxy.now(), self.proxy.shutdown());
         let times = [
@@ -122,15 +123,15 @@
             Some(self.next_metrics_at),
             shutdown.close_at().filter(|_| self.listener.is_open()),
             shutdown.answer_by().filter(|_| self.proxy.has_requests()),
-            // Past it a client that does not read its response has its own timer.
+            // After the exit time, a client that does not read its response has its own timer.
             shutdown.exit_at().filter(|at| *at > now),
             self.listener.resumes_at(now),
         ];
         times.into_iter().flatten().fold(self.proxy.engine_wake_at(), f64::min)
     }
 
-    /// Whether the host has closed and nothing is owed any more. Clients are waited for as long as there is time: the
-    /// end of the process would break their connections, and take away what they have not read.
+    /// Returns whether the host has closed its listener and no response is pending. The process waits for clients while
+    /// time remains: its exit would reset their connections, and responses that are not read yet would be lost.
     fn is_finished(&self) -> bool {
         let (now, shutdown) = (self.proxy.now(), self.proxy.shutdown());
         if self.listener.is_open() || !shutdown.is_closed(now) || self.proxy.has_requests() {
@@ -139,10 +140,10 @@
         self.proxy.clients_are_done(shutdown.exit_at().is_some_and(|at| now >= at))
     }
 
-    /// Reads whatever can be read: discovery first, then clients, then endpoints, so that nothing is decided on old
-    /// information, and nothing is written for a client whose disconnect can be seen.
+    /// Reads all readable sources: discovery first, then clients, then endpoints. This order avoids decisions on
+    /// outdated information and responses to clients that have already disconnected.
     fn dispatch_readable(&mut self, readable: &[usize]) {
-        // Connections in the order of their kinds, then what is no open connection.
+        // Open connections in the order of their kinds, then all other sources.
         let order = |key: &usize| match Source::from(*key) {
             Source::Connection(key) => {
                 self.proxy.reactor().kind(key).map_or((true, None), |k| (false, Some(k)))
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Runs everything that is due.
+    /// Runs all actions that are due.
     fn run_timers(&mut self) {
         while let Some(timer) = self.proxy.reactor_mut().due_timer() {
             self.on_timer(timer);
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Tells the engine what has happened and carries out what it decides, until nothing is left to do now.
+    /// Reports events to the engine and carries out its decisions until no immediate work remains.
     fn run_engine(&mut self) {
         self.run_discovery();
         loop {
@@ -247,26 +248,26 @@
     }
 }
 
-/// Clients.
+/// Client connections.
 impl EventLoop {
-    /// Accepts some of the connections that are waiting.
-    fn accept(&mut self) -> AcceptTurn {
-        for _ in 0..ACCEPTS_PER_TURN {
+    /// Accepts a limited number of the waiting connections.
+    fn accept(&mut self) -> AcceptBatch {
+        for _ in 0..ACCEPT_BATCH_SIZE {
             match self.listener.accept() {
                 Accepted::Connection(stream) => self.proxy.accept_client(stream),
                 Accepted::ConnectionFailed => {}
-                Accepted::NoneWaiting => return AcceptTurn::NoneLeft,
-                // The new client takes the place of another.
+                Accepted::NoneWaiting => return AcceptBatch::QueueEmpty,
+                // The new client replaces an evicted one.
                 Accepted::OutOfDescriptors(error) if self.proxy.evict_client_for_descriptor(&error) => {}
                 Accepted::OutOfDescriptors(error) | Accepted::OutOfResources(error) => {
                     if self.listener.on_refused(self.proxy.now()) {
                         self.proxy.log_accept_paused(&error);
-                        return AcceptTurn::SomeLeft;
+                        return AcceptBatch::MayHaveMore;
                     }
                 }
             }
         }
-        AcceptTurn::SomeLeft
+        AcceptBatch::MayHaveMore
     }
 
     fn on_client_event(&mut self, key: ConnectionKey, event: ClientEvent) {
@@ -289,21 +290,21 @@
         self.on_client_event(key, event);
     }
 
-    /// Writes the responses that were queued, and takes what their clients have pipelined.
+    /// Writes the queued responses, and takes the next pipelined requests of their clients.
     fn flush_clients(&mut self) {
         for key in self.proxy.take_clients_to_flush() {
             self.flush_client(key);
         }
     }
 
-    /// Closes a client's connection. Nobody is left to be given the response to the request that is open on it.
+    /// Closes a client's connection and cancels its open request, whose response has no recipient any more.
     fn close_client(&mut self, key: ConnectionKey, reason: ClientCloseReason) {
         let Some(request) = self.proxy.close_client(key, reason) else { return };
         self.engine.on_client_disconnect(self.proxy.now(), request);
         self.proxy.end_abandoned_request(request);
     }
 
-    /// A client's time may be over. What has arrived from it in this very moment is read before that is decided.
+    /// Handles a client's timer. Input that has just arrived is read before the timeout is evaluated.
     fn on_client_timeout(&mut self, key: ConnectionKey, serial: u64) {
         if self.proxy.on_client_timer(key, serial) {
             self.read_client(key);
@@ -313,13 +314,13 @@
         }
     }
 
-    /// Keeps buffers within the memory limit, where a connection that was just read holds more than usual.
+    /// Enforces the memory limit of buffers after reading a connection with large buffers.
     fn enforce_memory_limit(&mut self, key: ConnectionKey) {
         let bytes = self.proxy.memory_of(key).max(self.discovery.memory_of(key));
         if bytes < MEMORY_CHECK_BYTES || self.connections_over_memory_limit().is_empty() {
             return;
         }
-        // What was queued in this turn has not been offered to its client yet.
+        // Responses queued in this iteration have not been written yet.
         self.flush_clients();
         for key in self.connections_over_memory_limit() {
             self.proxy.count_closed_over_memory();
@@ -341,9 +342,9 @@
     }
 }
 
-/// Discovery.
+/// Discovery and configuration.
 impl EventLoop {
-    /// Does what the endpoint client wants now.
+    /// Performs the steps that the endpoint client requests.
     fn run_discovery(&mut self) {
         while let Some(step) = self.discovery.next_step(self.proxy.now()) {
             match step {
@@ -365,8 +366,8 @@
         self.discovery.send_poll(self.proxy.reactor_mut(), poll, target, opened);
     }
 
-    /// Tells the engine whether the endpoint list may be relied on. Where it has expired, attempts of which no byte
-    /// was written are withdrawn.
+    /// Reports a change of the list's validity to the engine. When the list expires, attempts without a written byte
+    /// are withdrawn.
     fn check_list_validity(&mut self) {
         let Some(change) = self.discovery.check_validity(self.proxy.now()) else { return };
         self.engine.set_endpoint_list_expired(change.expired);
@@ -381,7 +382,7 @@
         if received.from_current_address {
             self.proxy.mark_ready();
         }
-        // The next poll follows the last answer at once.
+        // The next poll follows a response at once.
         self.run_discovery();
     }
 
@@ -411,7 +412,7 @@
     }
 }
 
-/// Shutdown.
+/// Graceful shutdown.
 impl EventLoop {
     fn on_sigterm(&mut self) {
         if self.sigterm.take() {
@@ -420,24 +421,24 @@
         }
     }
 
-    /// Accepts nothing more, and closes the connections of all clients that are owed nothing.
+    /// Stops accepting connections, and closes the connections of all clients without a pending response.
     fn close(&mut self) {
-        // Those that the system has accepted for this host already are its own.
-        for _ in 0..MAX_ACCEPT_TURNS_AT_CLOSE {
-            if self.accept() == AcceptTurn::NoneLeft {
+        // The operating system has already accepted the waiting connections for this host, so the host serves them.
+        for _ in 0..MAX_ACCEPT_BATCHES_AT_CLOSE {
+            if self.accept() == AcceptBatch::QueueEmpty {
                 break;
             }
         }
         self.listener.close();
         for key in self.proxy.open_clients() {
-            // What has arrived by now is still served; nothing is after that.
+            // Input that has already arrived is still served; later input is not.
             self.read_client(key);
             let event = self.proxy.begin_closing_client(key);
             self.on_client_event(key, event);
         }
     }
 
-    /// Answers everything that is owed now, as the process is killed soon.
+    /// Answers all pending requests now, because the process is about to be killed.
     fn answer_all(&mut self) {
         self.proxy.time_out_all_attempts();
         self.run_engine();
--- a/crates/platform/src/graceful_shutdown.rs
+++ b/crates/platform/src/graceful_shutdown.rs
@@ -1,19 +1,20 @@
-//! The steps of a graceful shutdown; free of I/O.
+//! Schedule of a graceful shutdown; free of I/O.
 
 use magpiewick::Ms;
 
-/// The process is killed no sooner than so long after the longest client timeout that the platform takes into account.
+/// Minimum time after the longest client timeout before the platform kills the process, and the limit of the client
+/// timeout that the platform takes into account.
 const KILL_DELAY_MS: Ms = 700.0;
 const MAX_CLIENT_TIMEOUT_MS: Ms = 3000.0;
-/// How long before it is killed everything must be answered: the process may be stalled for 0.15 s just then.
+/// Time before the kill by which every request must be answered: the process may be stalled for 0.15 s at that point.
 const ANSWER_MARGIN_MS: Ms = 180.0;
-/// How long before everything must be answered connections begin to be closed.
+/// Time before the answer deadline at which the host begins to close connections.
 const CLOSE_LEAD_MS: Ms = 200.0;
-/// How long before it is killed the process exits, so that clients can read their last response until then.
+/// Time before the kill at which the process exits, so that clients can read their last responses until then.
 const EXIT_MARGIN_MS: Ms = 20.0;
 
-/// How far a host has come with its shutdown. Clients keep using the connections that they have for as long as these
-/// stay open, so it accepts requests for as long as it can still answer them, and then closes everything at once.
+/// Progress of a host's shutdown. Clients reuse their connections while these are open, so the host accepts requests
+/// for as long as it can still answer them, and then closes all connections together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GracefulShutdown {
     begun_at: Option<Ms>,
@@ -21,38 +22,39 @@
 }
 
 impl GracefulShutdown {
-    /// `longest`: the longest client timeout of any request class.
-    pub(crate) fn new(longest: Ms) -> GracefulShutdown {
-        let duration = longest.min(MAX_CLIENT_TIMEOUT_MS) + KILL_DELAY_MS - ANSWER_MARGIN_MS;
+    /// Creates the schedule. `longest_timeout`: longest client timeout of any request class.
+    pub(crate) fn new(longest_timeout: Ms) -> GracefulShutdown {
+        let duration = longest_timeout.min(MAX_CLIENT_TIMEOUT_MS) + KILL_DELAY_MS - ANSWER_MARGIN_MS;
         GracefulShutdown { begun_at: None, duration }
     }
 
-    /// The host was asked to stop. Asking again changes nothing: an early exit would take responses away.
+    /// Begins the shutdown. A repeated call has no effect: an earlier exit would lose responses.
     pub(crate) fn begin(&mut self, now: Ms) {
         self.begun_at.get_or_insert(now);
     }
 
-    /// Whether the host is no longer ready for clients that have not found it yet.
+    /// Returns whether the shutdown has begun; the host is then no longer ready for new clients.
     pub(crate) fn has_begun(&self) -> bool {
         self.begun_at.is_some()
     }
 
-    /// When the host stops to accept connections, closes idle ones, and others with their response.
+    /// Returns the time at which the host stops accepting connections, closes idle ones, and closes each other one
+    /// after its response.
     pub(crate) fn close_at(&self) -> Option<Ms> {
         self.answer_by().map(|at| at - CLOSE_LEAD_MS)
     }
 
-    /// Whether that time has come.
+    /// Returns whether the closing time has been reached.
     pub(crate) fn is_closed(&self, now: Ms) -> bool {
         self.close_at().is_some_and(|at| now >= at)
     }
 
-    /// By when every request must be answered.
+    /// Returns the time by which every request must be answered.
     pub(crate) fn answer_by(&self) -> Option<Ms> {
         self.begun_at.map(|begun_at| begun_at + self.duration)
     }
 
-    /// When the process exits even where clients have not read their responses.
+    /// Returns the time at which the process exits even if clients have not read their responses.
     pub(crate) fn exit_at(&self) -> Option<Ms> {
         self.answer_by().map(|at| at + ANSWER_MARGIN_MS - EXIT_MARGIN_MS)
     }
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -1,4 +1,4 @@
-//! When the configuration file is read again, and what of it is taken in.
+//! Reloads of the configuration file, and the settings that a reload applies.
 
 use crate::config::{changed_settings, ConfigError, HostConfig};
 use magpiewick::{Backoff, Ms, RandomSource};
@@ -6,42 +6,42 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Waits before a file that could not be used is read again: it may have been half written.
+/// First and longest wait before an unusable file is read again: the file may have been only half written.
 const FIRST_RETRY_MS: Ms = 50.0;
 const MAX_RETRY_MS: Ms = 1000.0;
 
-/// What came of reading the file again.
+/// Result of reading the configuration file again.
 #[derive(Debug)]
 pub(crate) enum ReloadEvent {
-    /// It could not be used, and is read again after a while.
+    /// The file could not be used, and is read again after a wait.
     Failed {
-        /// Why.
+        /// Cause.
         error: ConfigError,
-        /// Whether it is the first failure since the reload was requested.
+        /// True if this is the first failure since the reload was requested.
         first: bool,
     },
-    /// It was read.
+    /// The file was read.
     Loaded {
-        /// The address of discovery.
+        /// Address of discovery.
         discovery: SocketAddr,
-        /// Settings that have changed and are taken in at the next start only.
+        /// Changed settings that are applied only at the next start.
         needs_restart: Vec<String>,
     },
 }
 
-/// The configuration file, and whether it has to be read again.
+/// Configuration file with the state of its reload.
 pub(crate) struct ConfigReload {
     path: PathBuf,
     startup_settings: Value,
     retry_at: Option<Ms>,
-    /// The latest request was not tried yet.
+    /// True if the latest request has not been attempted yet.
     requested: bool,
     backoff: Backoff,
     rng: RandomSource,
 }
 
 impl ConfigReload {
-    /// `config`: what the host has started with.
+    /// Creates the state of a host that started with `config`.
     pub(crate) fn new(path: PathBuf, config: &HostConfig) -> ConfigReload {
         ConfigReload {
             path,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// The operator has replaced the file and requested a reload.
+    /// Records that the operator has requested a reload.
     pub(crate) fn request(&mut self) {
         self.requested = true;
         self.backoff.reset();
     }
 
-    /// Reads the file. One that cannot be used changes nothing, and is read again without another request.
+    /// Reads the file. An unusable file changes nothing, and is read again without another request.
     pub(crate) fn read(&mut self, now: Ms) -> ReloadEvent {
         match HostConfig::read(&self.path) {
             Ok(config) => {
@@ -74,12 +74,12 @@
         }
     }
 
-    /// When the file is read again.
+    /// Returns the time at which the file is read again.
     pub(crate) fn retry_at(&self) -> Option<Ms> {
         self.retry_at
     }
 
-    /// Whether that time has come.
+    /// Returns whether a retry is due.
     pub(crate) fn is_due(&self, now: Ms) -> bool {
         self.retry_at.is_some_and(|at| now >= at)
     }
--- a/crates/platform/src/signals.rs
+++ b/crates/platform/src/signals.rs
@@ -4,11 +4,11 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
-/// A signal whose handler writes to a socket that the poller watches.
+/// Signal whose handler writes to a socket that the poller watches.
 pub(crate) struct SignalSource(Registered<UnixStream>);
 
 impl SignalSource {
-    /// Handles a signal from now on, and registers it under a key.
+    /// Installs a handler for a signal, and registers the signal under a key.
     pub(crate) fn register(poll: &Poll, signal: i32, key: usize) -> io::Result<SignalSource> {
         let (receiver, sender) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
@@ -16,7 +16,7 @@
         Ok(SignalSource(poll.register(receiver, key)?))
     }
 
-    /// Whether the signal was received since the last call.
+    /// Returns whether the signal was received since the last call.
     pub(crate) fn take(&mut self) -> bool {
         let mut bytes = [0; 64];
         let mut received = false;
--- a/crates/platform/src/wall_clock.rs
+++ b/crates/platform/src/wall_clock.rs
@@ -1,35 +1,35 @@
-//! Times of the wall clock on the loop's monotonic clock.
+//! Conversion of wall-clock times to the event loop's monotonic clock.
 
 use magpiewick::Ms;
 use std::time::SystemTime;
 
-/// The wall clock as the loop's clock sees it. It may step forward or back while the host runs, and a time may have
-/// been read before or after such a step.
+/// Offset of the wall clock from the event loop's clock. The wall clock may step forward or back while the host runs,
+/// and a time may have been read before or after such a step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WallClock {
-    /// The least Unix time in milliseconds at which the loop's clock was 0, by any reading so far.
+    /// Lowest Unix time in milliseconds that corresponds to 0 on the loop's clock, by all readings so far.
     epoch: f64,
 }
 
 impl WallClock {
-    /// `unix`: the wall clock read at `now`.
+    /// Creates the offset from a reading `unix` of the wall clock at `now`.
     pub(crate) fn new(unix: f64, now: Ms) -> WallClock {
         WallClock { epoch: unix - now }
     }
 
-    /// The wall clock was read again.
-    pub(crate) fn read(&mut self, unix: f64, now: Ms) {
+    /// Records another reading of the wall clock.
+    pub(crate) fn record(&mut self, unix: f64, now: Ms) {
         self.epoch = self.epoch.min(unix - now);
     }
 
-    /// The latest time on the loop's clock that a Unix time in the past can mean. An endpoint that has just started
-    /// must not seem warm because a clock was set back; a needless slow start costs less.
-    pub(crate) fn latest(&self, unix: f64, now: Ms) -> Ms {
+    /// Returns the latest time on the loop's clock that a Unix time in the past can denote. An endpoint that has just
+    /// started must not be treated as warm because a clock was set back; an unnecessary slow start costs less.
+    pub(crate) fn latest_loop_time(&self, unix: f64, now: Ms) -> Ms {
         (unix - self.epoch).min(now)
     }
 }
 
-/// The wall clock's Unix time in milliseconds.
+/// Returns the Unix time of the wall clock in milliseconds.
 pub(crate) fn unix_time() -> f64 {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since_epoch.map_or(0.0, |time| time.as_secs_f64() * 1000.0)
