--- a/crates/platform/src/idle_pool.rs
+++ b/crates/platform/src/idle_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to endpoints: which one an attempt takes, and which are closed; free of I/O.
+//! Pool of idle connections to endpoints: selection for attempts, eviction and expiry; free of I/O.
 //!
 //! A connection is in the pool from the end of its last exchange until it is taken, evicted or expired.
 
@@ -6,31 +6,32 @@
 use magpiewick::Ms;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The share of an endpoint's idle timeout after which a connection is closed here: a process that stalls meanwhile
-/// must not write into a connection that is about to end.
+/// Share of an endpoint's idle timeout after which a connection is closed here: a process that stalls in the meantime
+/// must not write to a connection that is about to be closed by the endpoint.
 const MAX_IDLE_SHARE: f64 = 0.7;
 
 /// Idle connections by endpoint.
 pub(crate) struct IdlePool {
-    /// By endpoint: the keys of its idle connections, each with the time since when; the latest is the last.
+    /// Keys of the idle connections by endpoint, each with the time at which the connection became idle; the latest is
+    /// last.
     idle: BTreeMap<u32, VecDeque<(ConnectionKey, Ms)>>,
     max_idle: Option<Ms>,
 }
 
 impl IdlePool {
-    /// `idle_timeout`: after how long an endpoint closes an idle connection; none: never.
+    /// Creates an empty pool. `idle_timeout`: time after which an endpoint closes an idle connection; none: never.
     pub(crate) fn new(idle_timeout: Option<Ms>) -> IdlePool {
         IdlePool { idle: BTreeMap::new(), max_idle: idle_timeout.map(|timeout| timeout * MAX_IDLE_SHARE) }
     }
 
-    /// A connection has become idle.
+    /// Adds a connection that has become idle.
     pub(crate) fn put(&mut self, now: Ms, endpoint: u32, key: ConnectionKey) {
         self.idle.entry(endpoint).or_default().push_back((key, now));
     }
 
-    /// Takes the connection that became idle last among those that have been idle for `min_idle`, so that surplus
-    /// connections expire unused. One that has been idle for less is never taken: what is left of its last exchange
-    /// may still arrive, and would be read as the response to the next request.
+    /// Takes the most recently idle connection among those that have been idle for at least `min_idle`, so that surplus
+    /// connections expire unused. A connection with a shorter idle time is never taken: the remainder of its last
+    /// exchange may still arrive, and would be read as the response to the next request.
     pub(crate) fn take(&mut self, now: Ms, endpoint: u32, min_idle: Ms) -> Option<ConnectionKey> {
         let idle = self.idle.get_mut(&endpoint)?;
         let position = idle.iter().rposition(|(_, since)| now - since >= min_idle)?;
@@ -39,19 +40,19 @@
         taken
     }
 
-    /// Takes a connection out that was closed while it was idle.
+    /// Removes a connection that was closed while it was idle.
     pub(crate) fn remove(&mut self, endpoint: u32, key: ConnectionKey) {
         let Some(idle) = self.idle.get_mut(&endpoint) else { return };
         idle.retain(|(idle_key, _)| *idle_key != key);
         self.drop_if_empty(endpoint);
     }
 
-    /// Takes out all connections of an endpoint, to which nothing more is sent.
+    /// Removes all connections of an endpoint that receives no further requests.
     pub(crate) fn remove_endpoint(&mut self, endpoint: u32) -> Vec<ConnectionKey> {
         self.idle.remove(&endpoint).into_iter().flatten().map(|(key, _)| key).collect()
     }
 
-    /// Takes out the connection that has been idle for longest, to make room for another.
+    /// Removes the longest idle connection, to free its slot for another.
     pub(crate) fn evict_oldest(&mut self) -> Option<ConnectionKey> {
         let oldest = self.idle.iter().filter_map(|(endpoint, idle)| Some((idle.front()?.1, *endpoint)));
         let (_, endpoint) = oldest.min_by(|a, b| a.0.total_cmp(&b.0))?;
@@ -60,7 +61,7 @@
         key
     }
 
-    /// Takes out those that have been idle for too long.
+    /// Removes the connections that have been idle for too long.
     pub(crate) fn take_expired(&mut self, now: Ms) -> Vec<ConnectionKey> {
         let Some(max_idle) = self.max_idle else { return Vec::new() };
         let mut expired = Vec::new();
--- a/crates/platform/src/memory_limit.rs
+++ b/crates/platform/src/memory_limit.rs
@@ -1,52 +1,54 @@
-//! Which connections are closed where buffers take too much memory; free of I/O.
+//! Selection of the connections to close when buffers exceed the memory limit; free of I/O.
 
 use crate::reactor::ConnectionKey;
 
-/// The share of the memory limit that buffers may take. The rest is for the program, its tables, the endpoint list,
-/// copies while a response is passed on, and what the allocator does not give back.
+/// Share of the memory limit that buffers may take. The remainder is for the program, its tables, the endpoint list,
+/// copies of a response that is being forwarded, and memory that the allocator does not return to the operating system.
 const BUFFERED_SHARE: f64 = 0.4;
 
-/// Whose buffers they are. A client that is owed a response is never closed; a connection to an endpoint is closed
-/// before a client that is being sent its response, as the attempt on it can still be answered in another way.
+/// Owner of buffers. A client that awaits a response is never closed. A connection to an endpoint is closed before a
+/// client that is being sent its response, because the request of a failed attempt can still be answered in another
+/// way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum BufferOwner {
-    /// A connection on which this host sends requests.
+    /// Connection on which this host sends requests.
     Upstream,
-    /// A client that is being sent its response.
+    /// Client that is being sent its response.
     SendingResponse,
-    /// A client that is owed a response.
+    /// Client that awaits a response.
     AwaitingResponse,
 }
 
-/// The buffers of one connection.
+/// Buffers of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BufferUse {
-    /// Whose they are.
+    /// Owner of the buffers.
     pub owner: BufferOwner,
-    /// Their size.
+    /// Size of the buffers in bytes.
     pub bytes: usize,
-    /// The connection.
+    /// Key of the connection.
     pub key: ConnectionKey,
 }
 
-/// How much memory all buffers together may take.
+/// Limit of the memory that all buffers together may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MemoryLimit {
     bytes: usize,
 }
 
 impl MemoryLimit {
-    /// `limit_mb`: the memory limit of the process.
+    /// Derives the limit. `limit_mb`: memory limit of the process.
     pub(crate) fn new(limit_mb: f64) -> MemoryLimit {
         MemoryLimit { bytes: (limit_mb * BUFFERED_SHARE * f64::from(1 << 20)) as usize }
     }
 
-    /// Whether so many bytes are more than half of what buffers may take.
+    /// Returns whether `bytes` exceeds half of the limit.
     pub(crate) fn is_half_used(self, bytes: usize) -> bool {
         bytes > self.bytes / 2
     }
 
-    /// The connections that are closed: of each kind of owner the largest first, until the rest is within the limit.
+    /// Selects the connections to close: by kind of owner, the largest first, until the remaining buffers are within
+    /// the limit.
     pub(crate) fn select_to_close(self, all: impl Iterator<Item = BufferUse>) -> Vec<ConnectionKey> {
         let mut all: Vec<BufferUse> = all.filter(|buffers| buffers.bytes > 0).collect();
         let mut total: usize = all.iter().map(|buffers| buffers.bytes).sum();
--- a/crates/platform/src/metrics.rs
+++ b/crates/platform/src/metrics.rs
@@ -1,30 +1,30 @@
-//! Counters of requests, connections and attempts since the start.
+//! Counters of requests, connections and attempts since the start of the process.
 
 use std::collections::BTreeMap;
 
-/// Counters since the start; the log reports them by these names.
+/// Counters since the start of the process; the log reports them by these names.
 #[derive(Debug, Default)]
 pub(crate) struct Metrics {
-    /// Requests that were accepted.
+    /// Number of accepted requests.
     pub requests_received: u64,
-    /// Requests that were answered with an endpoint's response.
+    /// Number of requests answered with an endpoint's response.
     pub requests_succeeded: u64,
-    /// Requests that were rejected with leave to retry.
+    /// Number of requests rejected with permission to retry.
     pub requests_rejected: u64,
-    /// Requests that failed.
+    /// Number of failed requests.
     pub requests_failed: u64,
-    /// Requests whose client disconnected.
+    /// Number of requests whose client disconnected.
     pub requests_abandoned: u64,
-    /// Requests that were not accepted, by reason.
+    /// Number of requests that were not accepted, by reason.
     pub requests_refused: BTreeMap<&'static str, u64>,
-    /// Connections of clients that were closed for new ones.
+    /// Number of client connections closed for new ones.
     pub clients_evicted: u64,
-    /// Connections that were closed as buffers took too much memory.
+    /// Number of connections closed because buffers exceeded the memory limit.
     pub closed_over_memory: u64,
-    /// Attempts that were written to an endpoint.
+    /// Number of attempts written to an endpoint.
     pub attempts_started: u64,
-    /// Connections to endpoints.
+    /// Number of connections opened to endpoints.
     pub upstreams_opened: u64,
-    /// Attempts by outcome.
+    /// Number of attempts by outcome.
     pub attempt_outcomes: BTreeMap<&'static str, u64>,
 }
--- a/crates/platform/src/proxy.rs
+++ b/crates/platform/src/proxy.rs
@@ -1,7 +1,7 @@
-//! The way of a request: from its client through the registry to an endpoint, and of the response back.
+//! Forwarding of a request from its client through the registry to an endpoint, and of the response back.
 //!
-//! The proxy carries out what the engine decides, and owns the state that this needs. It decides nothing itself. What
-//! the engine has to be told is returned to the event loop.
+//! The proxy carries out the engine's decisions, owns the state that this requires, and makes no decisions of its own.
+//! Events for the engine are returned to the event loop.
 
 mod attempts;
 mod clients;
@@ -29,11 +29,11 @@
 use magpiewick_transport::descriptor_limit;
 use std::io;
 
-/// Descriptors that are neither for clients nor for endpoints: the standard ones, the poller's, signals, the listener,
-/// discovery, and a file that is read again.
+/// Descriptors for other uses than clients and endpoints: the standard streams, the poller, signals, the listener,
+/// discovery, and the configuration file during a reload.
 const RESERVED_DESCRIPTORS: usize = 20;
 
-/// Carries requests between clients and endpoints.
+/// Proxy of requests between clients and endpoints.
 pub(crate) struct Proxy {
     reactor: Reactor,
     settings: PlatformSettings,
@@ -43,29 +43,30 @@
     upstreams: UpstreamPool,
     shutdown: GracefulShutdown,
     memory_limit: MemoryLimit,
-    /// Descriptors that the process may have.
+    /// Limit of the descriptors of the process.
     max_descriptors: usize,
     metrics: Metrics,
     log: RequestLog,
-    /// Outcomes that the engine has to be told.
+    /// Outcomes that are not reported to the engine yet.
     pending_outcomes: Vec<(u64, Answer)>,
     engine_wake_at: Ms,
     ready_at: Ms,
 }
 
 impl Proxy {
-    /// `ready_at`: when the host is ready for clients at the latest.
+    /// Creates the proxy of a host. `ready_at`: latest time at which the host becomes ready for clients.
     pub(crate) fn new(reactor: Reactor, config: &HostConfig, ready_at: Ms) -> Proxy {
         let settings = config.settings.clone();
         let limits = ConnectionLimits::new(config.sockets, config.sockets - RESERVED_DESCRIPTORS);
-        let longest = config.scheduler.classes.iter().map(|class| class.client_timeout).fold(0.0, f64::max);
+        let longest_timeout =
+            config.scheduler.classes.iter().map(|class| class.client_timeout).fold(0.0, f64::max);
         let wall_clock = WallClock::new(unix_time(), reactor.now());
         Proxy {
             clients: ClientPool::new(limits.clients, limits.served_clients),
             requests: RequestRegistry::default(),
             endpoints: EndpointTable::new(wall_clock, settings.zones.clone()),
             upstreams: UpstreamPool::new(limits.upstreams, settings.connect_timeout, settings.idle_timeout),
-            shutdown: GracefulShutdown::new(longest),
+            shutdown: GracefulShutdown::new(longest_timeout),
             memory_limit: MemoryLimit::new(config.memory_mb),
             max_descriptors: config.sockets.min(descriptor_limit()),
             metrics: Metrics::default(),
@@ -78,27 +79,27 @@
         }
     }
 
-    /// The time at which the current turn of the event loop began.
+    /// Returns the time at which the current iteration of the event loop began.
     pub(crate) fn now(&self) -> Ms {
         self.reactor.now()
     }
 
-    /// The reactor, for the event loop and for connections to discovery.
+    /// Returns the reactor, for the event loop and for connections to discovery.
     pub(crate) fn reactor(&self) -> &Reactor {
         &self.reactor
     }
 
-    /// The reactor, for the event loop and for connections to discovery.
+    /// Returns the reactor for modification, for the event loop and for connections to discovery.
     pub(crate) fn reactor_mut(&mut self) -> &mut Reactor {
         &mut self.reactor
     }
 
-    /// Logs that no connection can be accepted for a while.
+    /// Logs that accepting connections is paused.
     pub(crate) fn log_accept_paused(&mut self, error: &io::Error) {
         self.log.accept_paused(self.reactor.now(), error);
     }
 
-    /// How far a shutdown has come.
+    /// Returns the progress of a graceful shutdown.
     pub(crate) fn shutdown(&self) -> &GracefulShutdown {
         &self.shutdown
     }
@@ -108,33 +109,33 @@
         self.shutdown.begin(self.reactor.now());
     }
 
-    /// When the engine is to be run at the latest.
+    /// Returns the latest time for the next run of the engine.
     pub(crate) fn engine_wake_at(&self) -> Ms {
         self.engine_wake_at
     }
 
-    /// The host is ready for clients from now on, if it was not before.
+    /// Marks the host as ready for clients.
     pub(crate) fn mark_ready(&mut self) {
         self.ready_at = self.ready_at.min(self.reactor.now());
     }
 
-    /// Whether a request is open or an attempt is in flight.
+    /// Returns whether a request is open or an attempt is in flight.
     pub(crate) fn has_requests(&self) -> bool {
         !self.requests.is_empty()
     }
 
-    /// Whether clients need this process no more: they have disconnected or, once the process is to exit, are owed
-    /// nothing.
+    /// Returns whether all clients have disconnected or, once the process is due to exit, no client awaits a response
+    /// or has unwritten output.
     pub(crate) fn clients_are_done(&self, exit_due: bool) -> bool {
         self.clients.is_empty() || exit_due && self.clients.none_busy()
     }
 
-    /// Whether there is anything for the engine or for clients before the event loop may wait.
+    /// Returns whether work for the engine or for clients is pending before the event loop may wait.
     pub(crate) fn has_pending_work(&self) -> bool {
         !self.pending_outcomes.is_empty() || self.clients.has_pending_work()
     }
 
-    /// Reports the counters.
+    /// Logs the counters.
     pub(crate) fn log_metrics(&self) {
         tracing::info!(
             requests_pending = self.requests.len(), client_connections = self.clients.len(),
@@ -144,7 +145,7 @@
         tracing::info!(counts = ?self.log.counts(), "request_metrics_reported");
     }
 
-    /// Reports the counters as the host stops.
+    /// Logs the counters when the host stops.
     pub(crate) fn log_stopped(&self) {
         tracing::info!(metrics = ?self.metrics, "host_stopped");
     }
@@ -154,29 +155,29 @@
     }
 }
 
-/// Memory.
+/// Memory use.
 impl Proxy {
-    /// The memory that a connection's buffers take, without its open request.
+    /// Returns the memory that a connection's buffers take, without its open request.
     pub(crate) fn memory_of(&self, key: ConnectionKey) -> usize {
         let of_client = self.clients.get(key).map(|client| client.memory_bytes());
         of_client.or_else(|| self.upstreams.get(key).map(|u| u.memory_bytes())).unwrap_or(0)
     }
 
-    /// The memory of all buffers, without open requests.
+    /// Returns the memory that all buffers take, without open requests.
     fn buffered_bytes(&self) -> usize {
         let of_clients: usize = self.clients.iter().map(|(_, client)| client.memory_bytes()).sum();
         let of_upstreams: usize = self.upstreams.iter().map(|(_, upstream)| upstream.memory_bytes()).sum();
         of_clients + of_upstreams
     }
 
-    /// Connections that are to be closed as buffers take too much memory. `others`: those of connections that the
-    /// proxy does not own.
+    /// Returns the connections to close because buffers exceed the memory limit. `others`: buffers of connections that
+    /// the proxy does not own.
     pub(crate) fn connections_over_memory_limit(
         &self,
         others: impl Iterator<Item = BufferUse>,
     ) -> Vec<ConnectionKey> {
         let clients = self.clients.iter().map(|(key, client)| {
-            // A client is owed a response to whatever it has sent.
+            // A client awaits a response to all input that it has sent.
             let owed = client.open_request().is_some() || client.has_pipelined_input();
             let owner = if owed { BufferOwner::AwaitingResponse } else { BufferOwner::SendingResponse };
             let request = client.open_request().map_or(0, |number| self.requests.memory_bytes(number));
@@ -190,37 +191,37 @@
         self.memory_limit.select_to_close(clients.chain(upstreams).chain(others))
     }
 
-    /// Counts a connection that is closed as buffers take too much memory.
+    /// Counts a connection that is closed because buffers exceed the memory limit.
     pub(crate) fn count_closed_over_memory(&mut self) {
         self.metrics.closed_over_memory += 1;
     }
 }
 
-/// Requests.
+/// Open requests.
 impl Proxy {
-    /// Outcomes that the engine has to be told.
+    /// Returns and clears the outcomes that are not reported to the engine yet.
     pub(crate) fn take_pending_outcomes(&mut self) -> Vec<(u64, Answer)> {
         std::mem::take(&mut self.pending_outcomes)
     }
 
-    /// Forgets a request that has its response and no attempt in flight.
+    /// Removes a request that has been answered and has no attempt in flight.
     pub(crate) fn release_if_done(&mut self, number: u64) {
         self.requests.release_if_done(number);
     }
 
-    /// Ends all attempts in flight, as the host has no time left.
+    /// Ends all attempts in flight, because the host has no time left.
     pub(crate) fn time_out_all_attempts(&mut self) {
         for (number, attempt) in self.requests.attempts_in_flight() {
             self.end_attempt_early(number, attempt, AttemptEnd::TimedOut);
         }
     }
 
-    /// All requests, in order.
+    /// Returns the numbers of all requests in order.
     pub(crate) fn request_numbers(&self) -> Vec<u64> {
         self.requests.numbers()
     }
 
-    /// Passes an endpoint's response on to the client, if it still waits.
+    /// Forwards an endpoint's response to the client, if the client still awaits one.
     fn deliver_response(&mut self, number: u64, body: &[u8]) {
         if let Some(client) = self.end_request(number) {
             self.metrics.requests_succeeded += 1;
@@ -228,8 +229,8 @@
         }
     }
 
-    /// Ends a request: the client that is now given its one response, if it still waits. Nothing of the request
-    /// starts any more: an attempt that is not written completely is withdrawn.
+    /// Ends a request, and returns the client for its single response, if the client still awaits one. An attempt that
+    /// is not written completely is withdrawn, so that no work for the request starts later.
     #[must_use = "the client is owed its response"]
     fn end_request(&mut self, number: u64) -> Option<ConnectionKey> {
         let client = self.requests.take_client(number);
@@ -238,8 +239,8 @@
         client
     }
 
-    /// Whether a request has its response, or its client has disconnected by now. Such a client's connection is closed
-    /// with the next turn of the event loop.
+    /// Returns whether a request has been answered or its client has disconnected. The connection of a disconnected
+    /// client is closed in the next iteration of the event loop.
     fn is_request_over(&mut self, number: u64) -> bool {
         match self.requests.get(number).and_then(OpenRequest::client) {
             Some(key) => self.clients.note_disconnect(key),
--- a/crates/platform/src/proxy/attempts.rs
+++ b/crates/platform/src/proxy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from their start to their outcome, and what the engine commands.
+//! Attempts from their start to their outcome, and the implementation of the engine's environment.
 
 use super::Proxy;
 use crate::attempt_end::AttemptEnd;
@@ -10,7 +10,7 @@
 use magpiewick_http1::{self as http1, OutgoingResponse};
 
 impl Proxy {
-    /// Starts an attempt on an idle connection that is good, or on a new one.
+    /// Starts an attempt on a usable idle connection or on a new one.
     fn start_attempt(&mut self, endpoint: u32, part: &AttemptRef) {
         let now = self.reactor.now();
         let address = self.endpoints.address(endpoint);
@@ -47,7 +47,7 @@
         self.log.request_retried(now, &request.labels(&self.endpoints, now), next, outcome);
     }
 
-    /// Ends the attempt of a request that is in flight: the engine has to be told its outcome.
+    /// Ends the attempt in flight of a request, and queues its outcome for the engine.
     pub(super) fn end_attempt(
         &mut self,
         number: u64,
@@ -57,7 +57,7 @@
     ) {
         let now = self.reactor.now();
         let Some(attempt) = self.requests.on_attempt_finished(number, outcome) else { return };
-        // What the endpoint took: the time that a connection needed to be established is not its own.
+        // Time that the endpoint took, without the time to establish a connection.
         let latency = (now - written_at.unwrap_or(attempt.started_at)).max(0.0);
         if let Some(request) = self.requests.get(number) {
             self.log.attempt_finished(&request.labels(&self.endpoints, now), outcome, latency);
@@ -74,8 +74,8 @@
         self.pending_outcomes.push((number, answer));
     }
 
-    /// Withdraws an attempt that is not written completely, as its request has ended: its endpoint has not begun it,
-    /// and must not. That cancels no work, and needs no permission to cancel.
+    /// Withdraws an attempt that is not written completely when its request has ended: the endpoint has not started the
+    /// request, and must not start it. A withdrawal cancels no work, and requires no permission to cancel.
     pub(super) fn withdraw_if_unwritten(&mut self, number: u64) {
         let in_flight = self.requests.get(number).and_then(OpenRequest::in_flight);
         let Some(key) = in_flight.and_then(|attempt| attempt.connection) else { return };
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Ends an attempt that is in flight, as its time is over or nobody waits for it.
+    /// Ends an attempt in flight because its time is over or its result is no longer needed.
     pub(crate) fn end_attempt_early(&mut self, number: u64, attempt: u32, end: AttemptEnd) {
         let in_flight = self.requests.get(number).and_then(OpenRequest::in_flight);
         let same = in_flight.filter(|in_flight| in_flight.attempt == attempt);
@@ -94,7 +94,7 @@
     }
 }
 
-/// A number that an endpoint reports of its load.
+/// Returns a load value that an endpoint reports in a header.
 fn load_report(response: &http1::Response, name: &str) -> Option<f64> {
     let number: f64 = response.header(name)?.trim().parse().ok()?;
     Some(number).filter(|number| number.is_finite() && *number >= 0.0)
@@ -137,7 +137,7 @@
         self.send_response(client, &response);
     }
 
-    /// The scheduler judges endpoints by their responses alone.
+    /// The scheduler assesses endpoints by their responses only.
     fn check_health(&mut self, _: u32) {}
 
     /// The endpoint client decides when the list is polled.
--- a/crates/platform/src/proxy/upstreams.rs
+++ b/crates/platform/src/proxy/upstreams.rs
@@ -1,4 +1,4 @@
-//! The side of the endpoints: the endpoint list, connections, and responses that arrive on them.
+//! Endpoint side of the proxy: the endpoint list, connections, and responses.
 
 use super::Proxy;
 use crate::attempt_end::AttemptEnd;
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 
 impl Proxy {
-    /// Takes in an endpoint list; what the engine has to be told of it.
+    /// Applies an endpoint list, and returns the updates for the engine.
     pub(crate) fn apply_endpoint_list(&mut self, list: &EndpointList) -> Vec<(u32, Endpoint)> {
         self.endpoints.on_wall_clock(unix_time(), self.reactor.read_clock());
         for number in self.endpoints.missing_from(list) {
@@ -49,11 +49,11 @@
     fn remove_endpoint(&mut self, number: u32) {
         self.close_idle(number, UpstreamCloseReason::EndpointRemoved);
         self.withdraw_unwritten(|endpoint| endpoint == number);
-        self.upstreams.forget_endpoint(number);
+        self.upstreams.remove_endpoint(number);
         self.endpoints.remove(self.reactor.now(), number);
     }
 
-    /// Withdraws all attempts of which no byte was written, as the endpoint list has expired.
+    /// Withdraws all attempts of which no byte was written, because the endpoint list has expired.
     pub(crate) fn withdraw_all_unwritten(&mut self) {
         self.withdraw_unwritten(|_| true);
     }
@@ -64,17 +64,18 @@
         }
     }
 
-    /// An endpoint sent more than was requested: none of its connections is used again until it has behaved for long.
-    fn distrust(&mut self, endpoint: u32, serial: u64, bytes: usize, idle_ms: Ms) {
+    /// Records that an endpoint sent unrequested bytes: none of its connections is reused until its distrust period is
+    /// over.
+    fn on_unsolicited_bytes(&mut self, endpoint: u32, serial: u64, bytes: usize, idle_ms: Ms) {
         let id = self.endpoints.id(endpoint);
         self.log.unsolicited_bytes_received(self.reactor.now(), id, serial, bytes, idle_ms);
-        self.upstreams.distrust(endpoint, idle_ms);
+        self.upstreams.on_unsolicited_bytes(endpoint, idle_ms);
         self.close_idle(endpoint, UpstreamCloseReason::NotReusable);
     }
 }
 
 impl Proxy {
-    /// Closes a connection. The attempt that it carries is the caller's to end.
+    /// Closes a connection. The caller must end the attempt that the connection carries.
     fn close_upstream(
         &mut self,
         key: ConnectionKey,
@@ -93,14 +94,14 @@
         }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes the connections that have been idle for too long.
     pub(crate) fn close_expired_upstreams(&mut self) {
         for key in self.upstreams.take_expired_idle(self.reactor.now()) {
             self.close_upstream(key, UpstreamCloseReason::Expired);
         }
     }
 
-    /// Closes a connection on which bytes or an end arrived while it was idle.
+    /// Closes a connection on which bytes or the end of the stream arrived while it was idle.
     fn close_unsolicited(&mut self, key: ConnectionKey) {
         let Some(upstream) = self.upstreams.get(key) else { return };
         let (endpoint, serial, bytes) = (upstream.endpoint(), upstream.serial(), upstream.unread_bytes());
@@ -110,17 +111,17 @@
             return;
         }
         self.close_upstream(key, UpstreamCloseReason::UnsolicitedBytes);
-        self.distrust(endpoint, serial, bytes, idle_ms);
+        self.on_unsolicited_bytes(endpoint, serial, bytes, idle_ms);
     }
 
-    /// Closes a connection, and ends the attempt that it carries.
+    /// Closes a connection, and ends the attempt that the connection carries.
     pub(crate) fn fail_upstream(&mut self, key: ConnectionKey, end: AttemptEnd) {
         let Some(upstream) = self.close_upstream(key, UpstreamCloseReason::Attempt(end)) else { return };
         let Some(attempt) = upstream.attempt() else { return };
         self.end_attempt(attempt.request_id, end.outcome(attempt.written), attempt.written_at, None);
     }
 
-    /// Opens a connection to an endpoint, or what that makes of the attempt.
+    /// Opens a connection to an endpoint; an error is the outcome of the attempt.
     pub(super) fn connect_upstream(
         &mut self,
         endpoint: u32,
@@ -137,7 +138,7 @@
             }
             opened => opened,
         };
-        // Where this host is out of descriptors, ports or memory, that says nothing of the endpoint.
+        // A lack of descriptors, ports or memory on this host is no evidence about the endpoint.
         let key = opened.map_err(|error| match error_origin(&error) {
             ErrorOrigin::Remote => Outcome::ConnectFailed,
             ErrorOrigin::Local => Outcome::DeadlineExceeded,
@@ -147,7 +148,8 @@
         Ok(key)
     }
 
-    /// An idle connection on which nothing of an earlier exchange can arrive any more, as far as that can be known.
+    /// Takes an idle connection on which, as far as can be determined, no data of an earlier exchange can arrive any
+    /// more.
     pub(super) fn take_idle_upstream(&mut self, endpoint: u32) -> Option<ConnectionKey> {
         loop {
             let key = self.upstreams.take_idle(self.reactor.now(), endpoint)?;
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Writes to a connection, and the attempt that waits for it to be established.
+    /// Writes pending output to a connection, and the assigned attempt once the connection is established.
     pub(crate) fn flush_upstream(&mut self, key: ConnectionKey) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         match upstream.flush(|| self.reactor.read_clock()) {
@@ -172,8 +174,8 @@
         }
     }
 
-    /// Queues an attempt on an established connection. The endpoint is told what time is left to the client at this
-    /// very moment. An error ends the attempt: it is too late for it, or its client has disconnected.
+    /// Queues an attempt on an established connection. The endpoint receives the time that the client has left at this
+    /// moment. An error ends the attempt: its deadline for sending has passed, or its client has disconnected.
     fn write_attempt(&mut self, key: ConnectionKey, attempt: AssignedAttempt) -> Result<(), AttemptEnd> {
         let now = self.reactor.read_clock();
         if now > attempt.send_by {
@@ -192,7 +194,7 @@
         Ok(())
     }
 
-    /// Reads what an endpoint has sent.
+    /// Reads input from an endpoint.
     pub(crate) fn read_upstream(&mut self, key: ConnectionKey) {
         let now = self.reactor.now();
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
@@ -209,7 +211,7 @@
         }
     }
 
-    /// A complete response arrived on a connection with an attempt in flight.
+    /// Handles a complete response on a connection with an attempt in flight.
     fn on_response(&mut self, key: ConnectionKey, complete: &CompleteResponse) {
         let Some(upstream) = self.upstreams.get(key) else { return };
         let Some(attempt) = upstream.attempt() else { return };
@@ -227,7 +229,7 @@
         }
         self.finish_exchange(key, &received, *last || !attempt.written);
         if !trailing.is_empty() {
-            self.distrust(endpoint, serial, trailing.len(), 0.0);
+            self.on_unsolicited_bytes(endpoint, serial, trailing.len(), 0.0);
         }
         let end = AttemptEnd::from(response);
         let outcome = end.outcome(attempt.written);
@@ -237,7 +239,7 @@
         }
     }
 
-    /// A response may belong to another request: nobody is given it.
+    /// Handles a response that may belong to another request: the response is discarded.
     fn on_mismatch(
         &mut self,
         key: ConnectionKey,
@@ -253,11 +255,11 @@
             self.upstreams.suspect_copy(endpoint, received, idle_ms);
             self.close_idle(endpoint, UpstreamCloseReason::NotReusable);
         } else {
-            self.distrust(endpoint, serial, 0, idle_ms);
+            self.on_unsolicited_bytes(endpoint, serial, 0, idle_ms);
         }
     }
 
-    /// Keeps a connection after its exchange, or closes it where it may not carry another one.
+    /// Keeps a connection after its exchange, or closes a connection that must not be reused.
     fn finish_exchange(&mut self, key: ConnectionKey, received: &ReceivedResponse<'_>, last: bool) {
         let now = self.reactor.now();
         let Some(endpoint) = self.upstreams.get(key).map(UpstreamConnection::endpoint) else { return };
@@ -274,14 +276,14 @@
         self.close_upstream(key, reason);
     }
 
-    /// A connection must be established by now.
+    /// Fails a connection that has not been established in time.
     pub(crate) fn on_connect_timeout(&mut self, key: ConnectionKey, serial: u64) {
         if self.upstreams.is_connect_overdue(key, serial) {
             self.fail_upstream(key, AttemptEnd::TimedOut);
         }
     }
 
-    /// A response that has begun must have made progress by now.
+    /// Fails a connection whose partial response has made no progress in time.
     pub(crate) fn on_response_stall(&mut self, key: ConnectionKey, serial: u64) {
         let progress = self.upstreams.check_response_progress(&mut self.reactor, key, serial);
         if progress == ResponseProgress::Stalled {
--- a/crates/platform/src/reactor.rs
+++ b/crates/platform/src/reactor.rs
@@ -1,4 +1,4 @@
-//! The poller, the clock, the timers and the keys of all connections.
+//! Poller, clock, timers and keys of all connections.
 
 use magpiewick::Ms;
 use magpiewick_engine::StallDetector;
@@ -6,46 +6,47 @@
 use slab::Slab;
 use std::io;
 
-/// Keys below this one belong to the listener and the signals.
+/// Keys below this one are reserved for the listener and the signals.
 const FIRST_CONNECTION_KEY: usize = 8;
-/// The longest wait for events: input that arrived while the process was stalled is thereby told from fresh input.
+/// Limit of a wait for events. A longer gap shows that the process was stalled, and thereby distinguishes input that
+/// arrived during the stall from fresh input.
 const MAX_POLL_WAIT_MS: Ms = 25.0;
 
-/// Names a connection for as long as it is open; keys are used again.
+/// Identifies a connection while it is open; keys are reused.
 pub(crate) type ConnectionKey = usize;
 
-/// Whose connection a key names.
+/// Kind of the connection that a key identifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ConnectionKind {
-    /// A connection to the discovery service.
+    /// Connection to the discovery service.
     Discovery,
-    /// A connection that a client opened.
+    /// Connection opened by a client.
     Client,
-    /// A connection to an endpoint.
+    /// Connection to an endpoint.
     Upstream,
 }
 
-/// A timer. Connection timers carry the connection's serial number, as keys are used again.
+/// Timer. Timers of connections carry the connection's serial number, because keys are reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A connection to an endpoint must be established by now.
+    /// Deadline to establish a connection to an endpoint.
     UpstreamConnect(ConnectionKey, u64),
-    /// A response that has begun must have made progress by now.
+    /// Deadline for progress of a partial response.
     ResponseStall(ConnectionKey, u64),
-    /// The response to an attempt must be complete by now.
+    /// Deadline for the complete response to an attempt.
     AttemptTimeout(u64, u32),
-    /// A client must have made progress by now.
+    /// Deadline for progress of a client.
     ClientTimeout(ConnectionKey, u64),
-    /// A client whose input is not read may have disconnected.
+    /// Check whether a client whose input is not read has disconnected.
     DisconnectCheck(ConnectionKey, u64),
 }
 
-/// What the poller reported.
+/// Source of an event reported by the poller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// A source that was registered under a fixed key: the listener or a signal.
+    /// Source registered under a fixed key: the listener or a signal.
     Fixed(usize),
-    /// A connection.
+    /// Connection with this key.
     Connection(ConnectionKey),
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// Waits for events, keeps the time of the current turn of the event loop, and hands out connection keys.
+/// Waits for events, stores the time of the current iteration of the event loop, and allocates connection keys.
 pub(crate) struct Reactor {
     poll: Poll,
     clock: Clock,
@@ -71,7 +72,7 @@
 }
 
 impl Reactor {
-    /// `round`: the scheduler's round, by which stalls of the process are recognised.
+    /// Creates a reactor. `round`: round length of the scheduler, used to detect stalls of the process.
     pub(crate) fn new(poll: Poll, clock: Clock, round: Ms) -> Reactor {
         let now = clock.now();
         Reactor {
@@ -86,22 +87,22 @@
         }
     }
 
-    /// The time at which the current turn of the event loop began.
+    /// Returns the time at which the current iteration of the event loop began.
     pub(crate) fn now(&self) -> Ms {
         self.now
     }
 
-    /// The time at this very moment.
+    /// Returns the current time.
     pub(crate) fn read_clock(&self) -> Ms {
         self.clock.now()
     }
 
-    /// How old the input of this turn may be at most.
+    /// Returns the upper bound of the age of the input in this iteration.
     pub(crate) fn input_age(&self) -> Ms {
         self.input_age
     }
 
-    /// Waits for events until `wake_at`, and begins a new turn.
+    /// Waits for events until `wake_at`, and begins a new iteration.
     pub(crate) fn wait(&mut self, poll_events: &mut PollEvents, wake_at: Ms) -> io::Result<()> {
         let now = self.clock.now();
         let sleep = (wake_at - now).clamp(0.0, MAX_POLL_WAIT_MS);
@@ -113,13 +114,13 @@
         Ok(())
     }
 
-    /// A number that no other connection of this process has.
+    /// Returns a serial number that no other connection of this process has.
     pub(crate) fn next_serial(&mut self) -> u64 {
         self.last_serial += 1;
         self.last_serial
     }
 
-    /// Registers a connection; its stream is made under the key that it will have.
+    /// Registers a connection; `open` creates its stream under the new key.
     pub(crate) fn register(
         &mut self,
         kind: ConnectionKind,
@@ -132,17 +133,17 @@
         Ok((key, stream))
     }
 
-    /// Gives a key back. Its stream is dropped by its owner.
+    /// Releases a key. The owner drops the stream.
     pub(crate) fn release(&mut self, key: ConnectionKey) {
         self.connections.try_remove(key);
     }
 
-    /// Whose connection a key names; none where it is closed by now.
+    /// Returns the kind of the connection that a key identifies; none where the connection is closed.
     pub(crate) fn kind(&self, key: ConnectionKey) -> Option<ConnectionKind> {
         self.connections.get(key).copied()
     }
 
-    /// Open connections of all kinds.
+    /// Returns the number of open connections of all kinds.
     pub(crate) fn connection_count(&self) -> usize {
         self.connections.len()
     }
@@ -152,12 +153,12 @@
         self.timers.set(at, timer);
     }
 
-    /// When the next timer is due.
+    /// Returns the time at which the next timer is due.
     pub(crate) fn next_timer_at(&self) -> Option<Ms> {
         self.timers.next_at()
     }
 
-    /// The next timer that is due.
+    /// Removes and returns the next timer that is due.
     pub(crate) fn due_timer(&mut self) -> Option<Timer> {
         self.timers.due(self.now)
     }
--- a/crates/platform/src/response_stream.rs
+++ b/crates/platform/src/response_stream.rs
@@ -1,79 +1,79 @@
-//! Responses as they arrive on a connection on which this host sends requests.
+//! Stream of responses on a connection on which this host sends requests.
 
 use magpiewick_http1::{MalformedResponse, Response, ResponseReader};
 use magpiewick_transport::{Ended, Stream};
 use thiserror::Error;
 
-/// Why no response can be read from a connection any more.
+/// Reason why no further response can be read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum ReceiveError {
-    /// Bytes that are no response.
+    /// The bytes received are not an HTTP response.
     #[error(transparent)]
     Malformed(#[from] MalformedResponse),
-    /// The connection ended or broke before a response was complete.
+    /// The connection was closed or reset before a response was complete.
     #[error("the connection ended before a response was complete")]
     ConnectionLost,
 }
 
-/// A complete response.
+/// Complete response.
 pub(crate) struct CompleteResponse {
-    /// The response.
+    /// Response without the trailing bytes.
     pub response: Response,
-    /// What has arrived after it.
+    /// Returns the number of bytes that were read and belong to no response yet.
     pub trailing: Vec<u8>,
-    /// The connection cannot carry another exchange.
+    /// True if the connection cannot carry another exchange.
     pub last: bool,
 }
 
-/// A byte stream and the reader of its responses.
+/// Byte stream with the reader of its responses.
 pub(crate) struct ResponseStream {
     stream: Stream,
     reader: ResponseReader,
 }
 
 impl ResponseStream {
-    /// A stream on which nothing was exchanged yet.
+    /// Creates the state of a stream without exchanges.
     pub(crate) fn new(stream: Stream) -> ResponseStream {
         ResponseStream { stream, reader: ResponseReader::default() }
     }
 
-    /// The byte stream, for what is written to it.
+    /// Returns the byte stream.
     pub(crate) fn stream(&self) -> &Stream {
         &self.stream
     }
 
-    /// The byte stream, for what is written to it.
+    /// Returns the byte stream for writing.
     pub(crate) fn stream_mut(&mut self) -> &mut Stream {
         &mut self.stream
     }
 
-    /// The memory that its buffers take.
+    /// Returns the memory that the buffers take.
     pub(crate) fn memory_bytes(&self) -> usize {
         self.stream.held() + self.reader.memory_bytes()
     }
 
-    /// Whether neither bytes nor an end have arrived while nothing was requested.
+    /// Returns whether neither bytes nor the end of the stream have arrived since the last response.
     pub(crate) fn is_quiet(&mut self) -> bool {
         self.stream.is_reusable()
     }
 
-    /// Reads what arrived while nothing was requested; how many bytes that are.
+    /// Reads input that arrived without a request, and returns the number of bytes.
     pub(crate) fn read_unsolicited(&mut self) -> usize {
         _ = self.stream.fill();
         self.stream.input().len()
     }
 
-    /// Bytes that were read and belong to no response yet.
+    /// Returns the number of bytes that were read and belong to no response yet.
     pub(crate) fn buffered_bytes(&self) -> usize {
         self.stream.input().len()
     }
 
-    /// Whether a part of a response has arrived.
+    /// Returns whether a part of a response has arrived.
     pub(crate) fn has_partial_response(&self) -> bool {
         self.reader.in_progress() || !self.stream.input().is_empty()
     }
 
-    /// Reads what has arrived: a response, if it is complete.
+    /// Reads input, and returns a response if it is complete.
     pub(crate) fn receive(&mut self) -> Result<Option<CompleteResponse>, ReceiveError> {
         let ended = self.stream.fill().err();
         let input = self.stream.take_input();
--- a/crates/platform/src/upstream_connection.rs
+++ b/crates/platform/src/upstream_connection.rs
@@ -1,32 +1,33 @@
-//! One connection to an endpoint, which carries one exchange at a time.
+//! Connection to an endpoint, which carries one exchange at a time.
 
 use crate::response_stream::{CompleteResponse, ReceiveError, ResponseStream};
 use magpiewick::Ms;
 use magpiewick_exchange::{CommonResponses, ExchangeHistory, ReceivedResponse, ResponseMismatch};
 use magpiewick_transport::Stream;
 
-/// A response that has begun and made no progress for so long does not become complete any more. Endpoints write a
-/// response at once, and this is what the platform's protocol allows the network.
+/// Time after which a partial response without progress is considered stalled. Endpoints write a response at once, and
+/// this is the network delay that the platform's protocol permits.
 pub(crate) const RESPONSE_STALL_MS: Ms = 50.0;
 
-/// An attempt that is written as soon as its connection is established.
+/// Attempt that is written as soon as its connection is established.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AssignedAttempt {
-    /// The request.
+    /// Number of the request.
     pub request_id: u64,
-    /// Until when its client waits.
+    /// Time until which the client waits.
     pub deadline: Ms,
-    /// By when it must have left this host.
+    /// Latest time at which the attempt may be sent.
     pub send_by: Ms,
 }
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Clone, Copy)]
 enum UpstreamState {
     Idle,
     /// An attempt waits for the connection to be established.
     Assigned(AssignedAttempt),
-    /// An attempt was queued: up to which byte of the stream, and when the last of these was written.
+    /// An attempt was queued. `end_offset`: position of its end in the byte stream; `written_at`: time at which its
+    /// last byte was written.
     InFlight {
         request_id: u64,
         end_offset: u64,
@@ -34,55 +35,55 @@
     },
 }
 
-/// The attempt that a connection carries.
+/// Attempt that a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct CarriedAttempt {
-    /// The request.
+    /// Number of the request.
     pub request_id: u64,
-    /// Whether the system took its last byte.
+    /// True if the operating system accepted the last byte of the request.
     pub written: bool,
-    /// When that was noticed.
+    /// Time at which this was detected.
     pub written_at: Option<Ms>,
 }
 
-/// What writing to a connection came to.
+/// Result of writing to a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum FlushEvent {
-    /// Nothing is to be done.
+    /// No action is required.
     None,
-    /// The connection broke.
+    /// The connection failed.
     ConnectionLost,
-    /// It is established: the attempt is to be written now.
+    /// The connection is established: the attempt must be written now.
     ReadyToWrite(AssignedAttempt),
 }
 
-/// What has arrived on a connection.
+/// Result of reading from a connection.
 pub(crate) enum ReceiveEvent {
-    /// The connection may have been established, or failed; flushing tells.
+    /// The connection may have been established or may have failed; a flush shows which.
     MayBeEstablished,
-    /// Bytes or an end, although nothing was requested.
+    /// Bytes or the end of the stream arrived without a request.
     Unsolicited,
-    /// A part of a response; whether it is the first.
+    /// A part of a response arrived. `first`: whether this is the first part.
     Partial { first: bool },
-    /// A complete response.
+    /// A complete response arrived.
     Response(CompleteResponse),
-    /// No response will come.
+    /// No response can arrive any more.
     Failed(ReceiveError),
 }
 
-/// A connection to an endpoint.
+/// Connection to an endpoint.
 pub(crate) struct UpstreamConnection {
     responses: ResponseStream,
     endpoint: u32,
     serial: u64,
-    /// When the latest bytes of an incomplete response arrived.
+    /// Time at which the latest bytes of an incomplete response arrived.
     partial_since: Option<Ms>,
     state: UpstreamState,
     history: ExchangeHistory,
 }
 
 impl UpstreamConnection {
-    /// A connection that is being established.
+    /// Creates the state of a connection that is being established.
     pub(crate) fn new(stream: Stream, endpoint: u32, serial: u64) -> UpstreamConnection {
         UpstreamConnection {
             responses: ResponseStream::new(stream),
@@ -94,63 +95,63 @@
         }
     }
 
-    /// The endpoint's number.
+    /// Returns the number of the endpoint.
     pub(crate) fn endpoint(&self) -> u32 {
         self.endpoint
     }
 
-    /// The number by which the log names this connection.
+    /// Returns the number that identifies this connection in the log.
     pub(crate) fn serial(&self) -> u64 {
         self.serial
     }
 
-    /// Exchanges that ended with a complete response.
+    /// Returns the number of exchanges that ended with a complete response.
     pub(crate) fn exchanges(&self) -> u32 {
         self.history.exchanges()
     }
 
-    /// How long ago the last exchange ended.
+    /// Returns the time since the last exchange ended.
     pub(crate) fn idle_for(&self, now: Ms) -> Ms {
         self.history.idle_for(now)
     }
 
-    /// The memory that its buffers take.
+    /// Returns the memory that the buffers take.
     pub(crate) fn memory_bytes(&self) -> usize {
         self.responses.memory_bytes()
     }
 
-    /// Bytes that arrived and were not used.
+    /// Returns the number of bytes that arrived and were not consumed.
     pub(crate) fn unread_bytes(&self) -> usize {
         self.responses.buffered_bytes()
     }
 
-    /// Whether the connection is still being established.
+    /// Returns whether the connection is still being established.
     pub(crate) fn is_connecting(&self) -> bool {
         self.responses.stream().connecting()
     }
 
-    /// Whether it carries no attempt.
+    /// Returns whether the connection carries no attempt.
     pub(crate) fn is_idle(&self) -> bool {
         matches!(self.state, UpstreamState::Idle)
     }
 
-    /// Whether it carries an attempt of which no byte was written.
+    /// Returns whether the connection carries an attempt of which no byte was written.
     pub(crate) fn has_unwritten_attempt(&self) -> bool {
         matches!(self.state, UpstreamState::Assigned(_))
     }
 
-    /// Whether neither bytes nor an end have arrived while it was idle.
+    /// Returns whether neither bytes nor the end of the stream have arrived while the connection was idle.
     pub(crate) fn is_quiet(&mut self) -> bool {
         self.responses.is_quiet()
     }
 
-    /// Whether the system took the last byte of the attempt.
+    /// Returns whether the operating system accepted the last byte of the attempt.
     pub(crate) fn is_written(&self) -> bool {
         let written = self.responses.stream().written_in_all();
         matches!(self.state, UpstreamState::InFlight { end_offset, .. } if written >= end_offset)
     }
 
-    /// The attempt that it carries.
+    /// Returns the attempt that the connection carries.
     pub(crate) fn attempt(&self) -> Option<CarriedAttempt> {
         match self.state {
             UpstreamState::Idle => None,
@@ -163,17 +164,17 @@
         }
     }
 
-    /// When the latest bytes of an incomplete response arrived.
+    /// Returns the time at which the latest bytes of an incomplete response arrived.
     pub(crate) fn partial_since(&self) -> Option<Ms> {
         self.partial_since
     }
 
-    /// Gives it an attempt to write when it is established.
+    /// Assigns an attempt to write once the connection is established.
     pub(crate) fn assign(&mut self, attempt: AssignedAttempt) {
         self.state = UpstreamState::Assigned(attempt);
     }
 
-    /// Queues the assigned attempt. `head` lacks the deadline, which is told as the time that is left.
+    /// Queues the assigned attempt. `head` lacks the deadline, which is sent as the remaining time.
     pub(crate) fn queue_attempt(&mut self, request_id: u64, head: &[u8], time_left: Ms, body: &[u8]) {
         let deadline = format!("X-Deadline: {time_left}m\r\n\r\n");
         let stream = self.responses.stream_mut();
@@ -183,7 +184,7 @@
         self.state = UpstreamState::InFlight { request_id, end_offset, written_at: None };
     }
 
-    /// Writes what is queued. `clock` is read after that.
+    /// Writes the queued output. `clock` is read after the write.
     pub(crate) fn flush(&mut self, clock: impl FnOnce() -> Ms) -> FlushEvent {
         if self.responses.stream_mut().flush().is_err() {
             return FlushEvent::ConnectionLost;
@@ -202,7 +203,7 @@
         FlushEvent::None
     }
 
-    /// Reads what has arrived.
+    /// Reads input.
     pub(crate) fn receive(&mut self, now: Ms) -> ReceiveEvent {
         match self.state {
             UpstreamState::InFlight { .. } => {}
@@ -222,8 +223,8 @@
         }
     }
 
-    /// Whether a response is that of the request in flight. `common`: responses that may be the same as an earlier one;
-    /// that excuses none that came before the request was written completely.
+    /// Checks that a response belongs to the request in flight. `common`: responses that may equal an earlier one; the
+    /// exception does not apply to a response that arrived before the request was written completely.
     pub(crate) fn verify(
         &self,
         response: &ReceivedResponse<'_>,
@@ -236,12 +237,12 @@
         }
     }
 
-    /// The exchange has ended with a response of its own.
+    /// Records an exchange that ended with a verified response.
     pub(crate) fn record_exchange(&mut self, now: Ms, response: &ReceivedResponse<'_>) {
         self.history.record(now, response);
     }
 
-    /// It carries no attempt any more, and may be used again.
+    /// Marks the connection as idle and reusable.
     pub(crate) fn become_idle(&mut self) {
         self.state = UpstreamState::Idle;
         self.responses.stream_mut().release_buffers();
--- a/crates/platform/src/upstream_pool.rs
+++ b/crates/platform/src/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! All connections to endpoints, and which of them may carry another exchange.
+//! Pool of all connections to endpoints, and the rules for their reuse.
 
 use crate::connection_table::ConnectionTable;
 use crate::idle_pool::IdlePool;
@@ -10,21 +10,21 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How long a connection may take to be established where the settings do not say.
+/// Connect timeout where the settings define none.
 const DEFAULT_CONNECT_TIMEOUT_MS: Ms = 1000.0;
-/// Timers may come this much early.
+/// Time by which a timer may fire early.
 const TIMER_SLACK_MS: Ms = 1.0;
 
-/// Whether a partial response still makes progress.
+/// Progress of a partial response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseProgress {
-    /// Nothing is awaited, or the timer was set again.
+    /// No partial response is pending, or the timer was set again.
     Ongoing,
-    /// Nothing has arrived for too long.
+    /// No bytes have arrived for too long.
     Stalled,
 }
 
-/// All connections to endpoints.
+/// Pool of all connections to endpoints.
 pub(crate) struct UpstreamPool {
     connections: ConnectionTable<UpstreamConnection>,
     idle: IdlePool,
@@ -35,7 +35,7 @@
 }
 
 impl UpstreamPool {
-    /// `idle_timeout`: after how long an endpoint closes an idle connection; none: never.
+    /// Creates an empty pool. `idle_timeout`: time after which an endpoint closes an idle connection; none: never.
     pub(crate) fn new(
         max_connections: usize,
         connect_timeout: Option<Ms>,
@@ -51,22 +51,22 @@
         }
     }
 
-    /// A connection.
+    /// Returns a connection.
     pub(crate) fn get(&self, key: ConnectionKey) -> Option<&UpstreamConnection> {
         self.connections.get(key)
     }
 
-    /// A connection, to be used.
+    /// Returns a connection for modification.
     pub(crate) fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut UpstreamConnection> {
         self.connections.get_mut(key)
     }
 
-    /// All connections, in the order of their keys.
+    /// Returns all connections in the order of their keys.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &UpstreamConnection)> + '_ {
         self.connections.iter()
     }
 
-    /// Whether another connection may only take the place of an idle one.
+    /// Returns whether a further connection requires the eviction of an idle one.
     pub(crate) fn is_full(&self) -> bool {
         self.connections.len() >= self.max_connections
     }
@@ -85,12 +85,12 @@
         Ok(key)
     }
 
-    /// Sets the time by which a new connection must be established.
+    /// Sets the timer by which a new connection must be established.
     pub(crate) fn arm_connect_timer(&self, reactor: &mut Reactor, key: ConnectionKey, serial: u64) {
         reactor.set_timer(reactor.now() + self.connect_timeout, Timer::UpstreamConnect(key, serial));
     }
 
-    /// Takes a connection out, which closes it as soon as it is dropped.
+    /// Removes a connection, which closes when it is dropped.
     #[must_use = "the attempt that the connection carries has to be ended"]
     pub(crate) fn remove(&mut self, reactor: &mut Reactor, key: ConnectionKey) -> Option<UpstreamConnection> {
         let connection = self.connections.remove(key)?;
@@ -101,22 +101,22 @@
         Some(connection)
     }
 
-    /// An idle connection that has been idle for long enough to be used again.
+    /// Takes an idle connection that has been idle for long enough to be reused.
     pub(crate) fn take_idle(&mut self, now: Ms, endpoint: u32) -> Option<ConnectionKey> {
         self.idle.take(now, endpoint, self.trust.min_idle())
     }
 
-    /// The connection that has been idle for longest, to make room for another.
+    /// Removes the longest idle connection from the idle pool, to free its slot for another.
     pub(crate) fn evict_oldest_idle(&mut self) -> Option<ConnectionKey> {
         self.idle.evict_oldest()
     }
 
-    /// Connections that have been idle for too long.
+    /// Removes the connections that have been idle for too long from the idle pool.
     pub(crate) fn take_expired_idle(&mut self, now: Ms) -> Vec<ConnectionKey> {
         self.idle.take_expired(now)
     }
 
-    /// All idle connections of an endpoint, to be closed.
+    /// Removes all idle connections of an endpoint from the idle pool.
     pub(crate) fn take_idle_of(&mut self, endpoint: u32) -> Vec<ConnectionKey> {
         self.idle.remove_endpoint(endpoint)
     }
@@ -129,15 +129,15 @@
         self.idle.put(now, endpoint, key);
     }
 
-    /// Whether a connection to an endpoint may be used again after this response. Not after one that different requests
-    /// are given, where the endpoint has ever sent more than was requested: a copy of it could not be told from the
-    /// next one.
+    /// Returns whether a connection to an endpoint may be reused after this response. Reuse is excluded where the
+    /// endpoint has ever sent unrequested bytes and different requests receive this same response: a copy could not be
+    /// distinguished from the next response.
     pub(crate) fn may_reuse(&self, endpoint: u32, response: &ReceivedResponse<'_>) -> bool {
         let is_ambiguous = self.trust.has_offended(endpoint) && self.common.contains(response);
         self.trust.may_reuse(endpoint, response.status) && !is_ambiguous
     }
 
-    /// Whether a response on a connection is that of the request in flight.
+    /// Checks that a response on a connection belongs to the request in flight.
     pub(crate) fn verify(
         &self,
         key: ConnectionKey,
@@ -149,7 +149,7 @@
         connection.verify(response, request_id, common)
     }
 
-    /// An exchange has ended with a response of its own.
+    /// Records an exchange that ended with a verified response.
     pub(crate) fn record_exchange(&mut self, now: Ms, key: ConnectionKey, response: &ReceivedResponse<'_>) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.record_exchange(now, response);
@@ -162,23 +162,24 @@
         }
     }
 
-    /// A response of an endpoint may be a copy of an earlier one, by its content alone: none of its connections is used
-    /// again until that is known to be common, or it has behaved for long.
+    /// Records a response that, by its content alone, may be a copy of an earlier one: no connection of the endpoint is
+    /// reused until the response is known to be common, or until the endpoint's distrust period is over.
     pub(crate) fn suspect_copy(&mut self, endpoint: u32, response: &ReceivedResponse<'_>, idle_ms: Ms) {
         self.trust.on_suspected_copy(endpoint, response.digest(), idle_ms);
     }
 
-    /// An endpoint sent more than was requested: none of its connections is used again until it has behaved for long.
-    pub(crate) fn distrust(&mut self, endpoint: u32, idle_ms: Ms) {
+    /// Records that an endpoint sent unrequested bytes: none of its connections is reused until its distrust period is
+    /// over.
+    pub(crate) fn on_unsolicited_bytes(&mut self, endpoint: u32, idle_ms: Ms) {
         self.trust.on_unsolicited_bytes(endpoint, idle_ms);
     }
 
-    /// An endpoint has left the list.
-    pub(crate) fn forget_endpoint(&mut self, endpoint: u32) {
+    /// Removes the state of an endpoint that is no longer listed.
+    pub(crate) fn remove_endpoint(&mut self, endpoint: u32) {
         self.trust.forget(endpoint);
     }
 
-    /// Connections with an attempt of which no byte was written.
+    /// Returns the connections with an attempt of which no byte was written.
     pub(crate) fn unwritten(&self, of_endpoint: impl Fn(u32) -> bool) -> Vec<ConnectionKey> {
         let unwritten = |connection: &UpstreamConnection| {
             of_endpoint(connection.endpoint()) && connection.has_unwritten_attempt()
@@ -186,20 +187,20 @@
         self.connections.iter().filter(|(_, c)| unwritten(c)).map(|(key, _)| key).collect()
     }
 
-    /// Whether a connection has failed to be established in time.
+    /// Returns whether a connection has not been established in time.
     pub(crate) fn is_connect_overdue(&self, key: ConnectionKey, serial: u64) -> bool {
         self.get(key).is_some_and(|connection| connection.serial() == serial && connection.is_connecting())
     }
 
-    /// Whether a partial response has stalled; sets the timer again where it has not.
+    /// Checks the progress of a partial response; sets the timer again unless the response has stalled.
     pub(crate) fn check_response_progress(
         &self,
         reactor: &mut Reactor,
         key: ConnectionKey,
         serial: u64,
     ) -> ResponseProgress {
-        let same = |connection: &&UpstreamConnection| connection.serial() == serial;
-        let Some(connection) = self.get(key).filter(same) else { return ResponseProgress::Ongoing };
+        let has_serial = |connection: &&UpstreamConnection| connection.serial() == serial;
+        let Some(connection) = self.get(key).filter(has_serial) else { return ResponseProgress::Ongoing };
         match connection.partial_since() {
             Some(at) if reactor.now() - at >= RESPONSE_STALL_MS - TIMER_SLACK_MS => ResponseProgress::Stalled,
             Some(at) => {
