--- a/crates/instance-settings/src/lib.rs
+++ b/crates/instance-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings of an instance: their names and meaning, read for the simulator's wire and for the platform alike.
-//! Unknown keys are ignored.
+//! Settings of an instance: their names and meanings, read from the simulator's start message and from the platform's
+//! configuration file. Unknown keys are ignored.
 
 use magpiewick::{
     DeduplicationScope, Idempotency, Ms, QosPolicy, RequestClass, RetryBudget, SchedulerConfig,
@@ -10,44 +10,44 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Nanoseconds in a millisecond: settings are in the former, the scheduler counts in the latter.
+/// Number of nanoseconds in a millisecond: settings are in nanoseconds, and the scheduler uses milliseconds.
 pub const NS_PER_MS: f64 = 1e6;
 
-/// What is wrong with the settings, and where.
+/// Error in the settings.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// A line is no pair of a key and a value.
+    /// A line is not a pair of a key and a value.
     #[error("start setting without '=': {line:?}")]
     MissingSeparator {
-        /// The line.
+        /// Text of the line.
         line: String,
     },
-    /// The settings are no JSON object.
-    #[error("the start settings are not an object")]
+    /// The settings are not a JSON object.
+    #[error("the start settings are not a JSON object")]
     NotAnObject,
-    /// A value cannot be read, or is out of range.
-    #[error("start setting {key} has an impossible value {value}")]
-    ImpossibleValue {
-        /// The setting.
+    /// A value cannot be parsed or is out of range.
+    #[error("start setting {key} has an invalid value {value}")]
+    InvalidValue {
+        /// Key of the setting.
         key: String,
-        /// Its value; text is quoted.
+        /// Value of the setting; text is quoted.
         value: String,
     },
-    /// A setting that must be there is not.
+    /// A required setting is missing.
     #[error("start setting {key} is missing")]
     Missing {
-        /// The setting.
+        /// Key of the setting.
         key: String,
     },
 }
 
 impl SettingsError {
-    fn impossible_text(key: &str, value: &str) -> SettingsError {
-        SettingsError::ImpossibleValue { key: key.to_string(), value: format!("{value:?}") }
+    fn invalid_text(key: &str, value: &str) -> SettingsError {
+        SettingsError::InvalidValue { key: key.to_string(), value: format!("{value:?}") }
     }
 
-    fn impossible_number(key: &str, value: impl ToString) -> SettingsError {
-        SettingsError::ImpossibleValue { key: key.to_string(), value: value.to_string() }
+    fn invalid_number(key: &str, value: impl ToString) -> SettingsError {
+        SettingsError::InvalidValue { key: key.to_string(), value: value.to_string() }
     }
 
     fn missing(key: &str) -> SettingsError {
@@ -55,51 +55,51 @@
     }
 }
 
-/// For callers whose errors are text.
+/// Converts an error for callers that report errors as text.
 impl From<SettingsError> for String {
     fn from(error: SettingsError) -> String {
         error.to_string()
     }
 }
 
-/// What a host on the platform reads: the names by which clients ask, and the limits of connections.
+/// Settings of a host on the platform: the names that clients use, and the limits of connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformSettings {
-    /// The request classes, in the order of their numbers.
+    /// Request classes in the order of their numbers.
     pub classes: Vec<ClassSettings>,
-    /// The names of QoS policies, in the order of their numbers.
+    /// Names of the QoS policies in the order of their numbers.
     pub policies: Vec<String>,
-    /// The names of zones, in the order of their numbers.
+    /// Names of the zones in the order of their numbers.
     pub zones: Vec<String>,
-    /// How many shards there are; none where the settings do not say.
+    /// Number of shards; none where the settings do not define it.
     pub shards: Option<usize>,
-    /// The largest size of a request.
+    /// Maximum size of a request in units.
     pub max_units: f64,
-    /// How long a connection to an endpoint may take to be established.
+    /// Time within which a connection to an endpoint must be established.
     pub connect_timeout: Option<Ms>,
-    /// After how long endpoints close an idle connection.
+    /// Time after which endpoints close an idle connection.
     pub idle_timeout: Option<Ms>,
-    /// Set where endpoint lists are pushed: for how long an endpoint may still be sent requests after its drain was
-    /// announced.
+    /// Time for which an endpoint may still receive requests after its drain was announced; set only where endpoint
+    /// lists are pushed.
     pub drain_grace: Option<Ms>,
 }
 
-/// A request class as clients name it.
+/// Request class as clients name it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// How long a client waits over all its attempts.
+    /// Time for which a client waits over all attempts.
     pub client_timeout: Ms,
-    /// Whether its requests write; none where the settings do not say.
+    /// True if the requests of the class write; none where the settings do not define it.
     pub writes: Option<bool>,
 }
 
-/// The settings as pairs of a dotted path and a value, whichever form they were in.
+/// Settings as pairs of a dotted path and a value, whichever format they were read from.
 pub struct InstanceSettings(HashMap<String, String>);
 
 impl InstanceSettings {
-    /// Reads pairs of the form path=value, each on its own line.
+    /// Parses pairs of the form path=value, one per line.
     pub fn from_pairs(text: &str) -> Result<InstanceSettings, SettingsError> {
         let mut pairs = HashMap::new();
         for line in text.lines().filter(|line| !line.is_empty()) {
@@ -111,8 +111,8 @@
         Ok(InstanceSettings(pairs))
     }
 
-    /// Reads nested JSON: a list of plain values stands as these joined by commas, a list of objects as its
-    /// length under `count` and its items under their numbers, as the pairs have it.
+    /// Parses nested JSON. A list of plain values becomes the values joined by commas. A list of objects becomes its
+    /// length under `count` and its items under their indices, as in the format of pairs.
     pub fn from_json(settings: &Value) -> Result<InstanceSettings, SettingsError> {
         let mut pairs = HashMap::new();
         match settings {
@@ -124,21 +124,21 @@
 
     fn parsed<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingsError> {
         let Some(value) = self.0.get(key) else { return Ok(None) };
-        value.parse().map(Some).map_err(|_| SettingsError::impossible_text(key, value))
+        value.parse().map(Some).map_err(|_| SettingsError::invalid_text(key, value))
     }
 
-    /// A number that is finite and not below 0.
+    /// Returns a number that must be finite and not below 0.
     fn number(&self, key: &str) -> Result<Option<f64>, SettingsError> {
         match self.parsed::<f64>(key)? {
             Some(number) if !number.is_finite() || number < 0.0 => {
-                Err(SettingsError::impossible_number(key, number))
+                Err(SettingsError::invalid_number(key, number))
             }
             number => Ok(number),
         }
     }
 
-    fn number_or(&self, key: &str, absent: f64) -> Result<f64, SettingsError> {
-        Ok(self.number(key)?.unwrap_or(absent))
+    fn number_or(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
+        Ok(self.number(key)?.unwrap_or(default))
     }
 
     fn time(&self, key: &str) -> Result<Option<Ms>, SettingsError> {
@@ -156,17 +156,18 @@
     fn choice<T: Copy>(&self, key: &str, names: &[(&str, T)]) -> Result<Option<T>, SettingsError> {
         let Some(value) = self.0.get(key) else { return Ok(None) };
         match names.iter().find(|(name, _)| name == value) {
-            Some((_, chosen)) => Ok(Some(*chosen)),
-            None => Err(SettingsError::impossible_text(key, value)),
+            Some((_, choice)) => Ok(Some(*choice)),
+            None => Err(SettingsError::invalid_text(key, value)),
         }
     }
 
-    /// How many items a list has; each must at least be named, so a count cannot make the list grow.
+    /// Returns the number of items of a list. Each item requires at least one setting, so a count above the number of
+    /// settings is rejected, and a forged count cannot allocate a large list.
     fn count(&self, list: &str) -> Result<usize, SettingsError> {
         let key = format!("{list}.count");
         let count: usize = self.parsed(&key)?.unwrap_or(0);
         if count > self.0.len() {
-            return Err(SettingsError::impossible_number(&key, count));
+            return Err(SettingsError::invalid_number(&key, count));
         }
         Ok(count)
     }
@@ -197,7 +198,7 @@
     }
 
     fn policy(&self, i: usize) -> Result<QosPolicy, SettingsError> {
-        let number = |name: &str, absent| self.number_or(&format!("service_levels.{i}.{name}"), absent);
+        let number = |name: &str, default| self.number_or(&format!("service_levels.{i}.{name}"), default);
         Ok(QosPolicy {
             price: number("price", 1.0)?,
             weight: number("proportion", 1.0)?,
@@ -208,12 +209,12 @@
         })
     }
 
-    /// Whether the endpoint list has to be polled; else it is pushed.
+    /// Returns whether the endpoint list is polled; otherwise the list is pushed.
     fn is_list_polled(&self) -> Result<bool, SettingsError> {
         Ok(self.choice("registry_mode", &[("push", false), ("ask", true)])?.unwrap_or(false))
     }
 
-    /// The scheduler's configuration.
+    /// Returns the configuration of the scheduler.
     pub fn scheduler_config(&self, seed: u64) -> Result<SchedulerConfig, SettingsError> {
         let budget = match self.time("safety.counted_over_ns")? {
             Some(window) if window > 0.0 && self.0.contains_key("safety.extra_per_request") => {
@@ -253,7 +254,7 @@
             budget,
             max_units: self.number_or("specifics.units_top", 1.0)?,
             mean_units: self.number_or("specifics.unit_mean", 1.0)?,
-            // The simulator's endpoints take requests one by one.
+            // The simulator's endpoints accept one request at a time.
             max_batch_units: self.number_or("specifics.units_top", 1.0)?,
             share_weight: self.number_or("specifics.share_worth", 1.0)?,
             counts_remote_service: self.flag("specifics.counts_others")?,
@@ -264,7 +265,7 @@
         })
     }
 
-    /// What a host on the platform has to know beside it.
+    /// Returns the settings of a host on the platform that are not part of the scheduler's configuration.
     pub fn platform_settings(&self) -> Result<PlatformSettings, SettingsError> {
         let list = |key: &str| self.0.get(key).map(String::as_str).unwrap_or_default();
         let writes: Vec<&str> = list("specifics.changes_data").split(',').collect();
@@ -296,14 +297,14 @@
     }
 }
 
-/// Turns nested JSON into pairs.
+/// Flattens nested JSON into pairs.
 fn flatten(path: String, value: &Value, pairs: &mut HashMap<String, String>) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let child_path = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match value {
-        Value::Object(members) => members.iter().for_each(|(name, v)| flatten(below(name), v, pairs)),
+        Value::Object(members) => members.iter().for_each(|(name, v)| flatten(child_path(name), v, pairs)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(i, item)| flatten(below(&i.to_string()), item, pairs));
+            pairs.insert(child_path("count"), items.len().to_string());
+            items.iter().enumerate().for_each(|(i, item)| flatten(child_path(&i.to_string()), item, pairs));
         }
         Value::Array(items) => {
             let items: Vec<String> = items.iter().map(to_text).collect();
@@ -314,7 +315,7 @@
     }
 }
 
-/// A single value as the pairs have it.
+/// Formats a single value as in the format of pairs.
 fn to_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
--- a/crates/instance-settings/tests/forms.rs
+++ b/crates/instance-settings/tests/forms.rs
@@ -1,4 +1,4 @@
-//! Both forms of one object give the same view.
+//! Tests that the pair format and the JSON format of the same settings have the same meaning.
 
 use magpiewick_instance_settings::InstanceSettings;
 use serde_json::{json, Value};
@@ -44,7 +44,7 @@
     specifics.units_top=6\nspecifics.share_worth=0.35\nspecifics.counts_others=true";
 
 #[test]
-fn nested_and_dotted_settings_mean_the_same() {
+fn nested_and_dotted_settings_are_equivalent() {
     let (nested, dotted) =
         (InstanceSettings::from_json(&settings()).unwrap(), InstanceSettings::from_pairs(PAIRS).unwrap());
     assert_eq!(
@@ -58,15 +58,15 @@
 }
 
 #[test]
-fn the_same_errors_are_named_in_both_forms() {
-    let mut bad = settings();
-    bad["profiles"][0]["slo_ns"] = json!("soon");
-    let nested = InstanceSettings::from_json(&bad).unwrap().scheduler_config(7).unwrap_err();
+fn both_formats_report_the_same_errors() {
+    let mut invalid = settings();
+    invalid["profiles"][0]["slo_ns"] = json!("soon");
+    let nested = InstanceSettings::from_json(&invalid).unwrap().scheduler_config(7).unwrap_err();
     let dotted = PAIRS.replace("profiles.0.slo_ns=200000000", "profiles.0.slo_ns=soon");
     assert_eq!(nested, InstanceSettings::from_pairs(&dotted).unwrap().scheduler_config(7).unwrap_err());
     assert!(nested.to_string().contains("profiles.0.slo_ns"), "{nested}");
-    bad["profiles"][0]["slo_ns"] = Value::Null;
-    assert!(InstanceSettings::from_json(&bad)
+    invalid["profiles"][0]["slo_ns"] = Value::Null;
+    assert!(InstanceSettings::from_json(&invalid)
         .unwrap()
         .scheduler_config(7)
         .unwrap_err()
