--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -31,7 +31,7 @@
         hosts: 1.0,
         classes: vec![class(false), class(true)],
         policies: vec![policy(1.0), policy(4.0)],
-        round: 1.0,
+        action_interval: 1.0,
         max_attempts: 3,
         can_cancel: true,
         max_retry_after: 100.0,
@@ -48,7 +48,7 @@
         max_batch_units: 4.0,
         share_weight: 0.3,
         counts_remote_service: true,
-        peer: None,
+        host_number: None,
     }
 }
 
@@ -124,8 +124,13 @@
         self.now += STEP;
         if let Some(id) = self.in_flight.pop_front() {
             let outcome = Outcome::Succeeded;
-            let answer =
-                Answer { outcome, latency: 1.0, request_over: true, volume_usage: None, remote_units: 0.0 };
+            let answer = Answer {
+                outcome,
+                latency: 1.0,
+                request_finished: true,
+                volume_usage: None,
+                remote_units: 0.0,
+            };
             assert!(self.scheduler.on_outcome(self.now, id, &answer) == AfterOutcome::Done, "it is over");
             self.free_indices.push(id);
             self.run_actions();
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -116,12 +116,12 @@
         self.requests.release(slot);
     }
 
-    /// The outcome of an attempt; `answer.request_over` says that the request is finished by it. Exactly one is to be
-    /// reported for each attempt of [`Environment::send`].
+    /// Records the outcome of an attempt; `answer.request_finished` is set if the outcome finishes the request. The
+    /// driver must report exactly one outcome for each attempt of [`Environment::send`].
     pub fn on_outcome(&mut self, now: Ms, id: u64, mut answer: Answer, environment: &mut impl Environment) {
         let Some(slot) = self.requests.slot_of(id) else { return };
         let Some(pending) = self.requests.get_mut(slot) else { return };
-        answer.request_over = pending.end_attempt(answer.outcome, answer.request_over);
+        answer.request_finished = pending.end_attempt(answer.outcome, answer.request_finished);
         match self.scheduler.on_outcome(now, slot, &answer) {
             AfterOutcome::Finish(status) => self.answer(slot, status, environment),
             AfterOutcome::Done | AfterOutcome::Retry => self.requests.release(slot),
@@ -181,7 +181,7 @@
                         reports.iter().map(|report| self.nodes.tagged(report)).collect();
                     environment.send_gossip(&to, &reports);
                 }
-                Action::WaitUntil(until) => return environment.wake(until),
+                Action::WaitUntil(until) => return environment.schedule_run(until),
             }
         }
     }
--- a/crates/engine/src/environment.rs
+++ b/crates/engine/src/environment.rs
@@ -46,7 +46,7 @@
 
     /// Schedules a call of [`Engine::run`](crate::Engine::run) at this time at the latest. A later call replaces an
     /// earlier one.
-    fn wake(&mut self, at: Ms);
+    fn schedule_run(&mut self, at: Ms);
 }
 
 /// Why a host ended a request itself.
--- a/crates/engine/tests/final_answers.rs
+++ b/crates/engine/tests/final_answers.rs
@@ -55,7 +55,7 @@
 
     fn poll_endpoints(&mut self) {}
 
-    fn wake(&mut self, _: Ms) {}
+    fn schedule_run(&mut self, _: Ms) {}
 }
 
 fn scheduler_config() -> SchedulerConfig {
@@ -78,7 +78,7 @@
         hosts: 1.0,
         classes: vec![class(Idempotency::Idempotent, false), class(Idempotency::NonIdempotent, true)],
         policies: vec![QosPolicy { price, weight, rate, reserve, limit_rate, limit_burst }],
-        round: 2.0,
+        action_interval: 2.0,
         max_attempts: 3,
         can_cancel: true,
         max_retry_after: 100.0,
@@ -95,7 +95,7 @@
         max_batch_units: 8.0,
         share_weight: 0.3,
         counts_remote_service: true,
-        peer: None,
+        host_number: None,
     }
 }
 
@@ -117,7 +117,7 @@
         *answers = (*answers).max(1);
     }
     let answer =
-        Answer { outcome, latency: 5.0, request_over: finishes, volume_usage: None, remote_units: 0.0 };
+        Answer { outcome, latency: 5.0, request_finished: finishes, volume_usage: None, remote_units: 0.0 };
     engine.on_outcome(now, request, answer, environment);
 }
 
--- a/crates/gateway/src/config/reader.rs
+++ b/crates/gateway/src/config/reader.rs
@@ -30,8 +30,8 @@
 pub fn host(root: &SettingsBlock<'_>, seed: u64) -> Option<HostConfig> {
     let part = root.required_block("host");
     let list = root.optional_block("list").map(|p| list(&p));
-    let round = part.as_ref().map_or(2.0, |p| p.attribute("round").duration_ms_or(2.0));
-    let (classes, class_names) = classes(root, round);
+    let action_interval = part.as_ref().map_or(2.0, |p| p.attribute("round").duration_ms_or(2.0));
+    let (classes, class_names) = classes(root, action_interval);
     let (plans, plan_names) = plans(root);
     let hosts = part.as_ref().map_or(1, |p| p.attribute("hosts").integer_or(1..=10_000, 1)) as f64;
     let volumes = volumes(root, &plan_names, hosts);
@@ -51,7 +51,7 @@
         hosts,
         classes,
         policies: plans,
-        round,
+        action_interval,
         max_attempts: part.attribute("hand_offs").integer_or(1..=100, 3) as u32,
         can_cancel: part.attribute("cancels").bool_or(true),
         max_retry_after: part.attribute("longest_back").duration_ms_or(500.0),
@@ -68,7 +68,7 @@
         max_batch_units: units,
         share_weight: part.attribute("share_payoff").fraction_or(0.35),
         counts_remote_service: part.attribute("counts_others").bool_or(true),
-        peer: None,
+        host_number: None,
     };
     if let Some(p) = root.optional_block("cold") {
         slow_start(&p, &mut start);
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -102,7 +102,7 @@
             extent_map: magpiewick_extents::ExtentMapView::default(),
             overlap_lock: OverlapLock::default(),
             coalescer: Coalescer::new(config.coalescing.clone()),
-            late_effect_duration: config.start.ordering_quiet_period + config.start.round,
+            late_effect_duration: config.start.ordering_quiet_period + config.start.action_interval,
             connect_timeout: config.bounds.connect_timeout,
             frame_timeout: config.bounds.partial_frame_timeout,
             hello: Hello::new(Role::Host, config.number, incarnation, LONG_AGO),
--- a/crates/gateway/src/connections/engine_environment.rs
+++ b/crates/gateway/src/connections/engine_environment.rs
@@ -77,7 +77,7 @@
         self.watch_endpoints();
     }
 
-    fn wake(&mut self, at: Ms) {
+    fn schedule_run(&mut self, at: Ms) {
         self.engine_wakes_at = at;
     }
 }
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -78,7 +78,7 @@
             let own_number = config.number as usize;
             gossip =
                 Some(GossipSocket::bind(own_number, std::mem::take(&mut config.gossip_addresses), &poll)?);
-            config.start.peer = Some(own_number);
+            config.start.host_number = Some(own_number);
         }
         Ok(Gateway {
             engine: Engine::new(config.start.clone(), now),
@@ -87,7 +87,7 @@
             shutdown: GracefulShutdown::new(shutdown_signal, &poll)?,
             poll,
             at_capacity: false,
-            stall_detector: StallDetector::new(now, config.start.round),
+            stall_detector: StallDetector::new(now, config.start.action_interval),
             delay: LoopDelay::start(now),
             config,
         })
@@ -161,7 +161,7 @@
         self.run_engine();
         // A turn that took long, or was stopped in its middle, may have decided on an old endpoint list: updates that
         // came meanwhile are applied before anything is sent.
-        if self.connections.clock_now() - self.connections.now() > self.config.start.round {
+        if self.connections.clock_now() - self.connections.now() > self.config.start.action_interval {
             self.connections.update_now();
             if let Some(key) = self.connections.list_key() {
                 self.on_list_readable(key);
@@ -241,13 +241,13 @@
     fn on_outcome(&mut self, request_id: u64, attempt: u32, outcome: Outcome, details: OutcomeDetails<'_>) {
         let Some(sent_at) = self.connections.end_attempt(request_id, attempt, outcome) else { return };
         let OutcomeDetails { used, remote_units, payload } = details;
-        let request_over = outcome == Outcome::Succeeded;
-        if request_over {
+        let request_finished = outcome == Outcome::Succeeded;
+        if request_finished {
             self.connections.succeed(request_id, payload);
         }
         let now = self.connections.now();
         let answer =
-            Answer { outcome, latency: now - sent_at, request_over, volume_usage: used, remote_units };
+            Answer { outcome, latency: now - sent_at, request_finished, volume_usage: used, remote_units };
         self.engine.on_outcome(now, request_id, answer, &mut self.connections);
         if outcome == Outcome::ShardMoved {
             self.follow_moved_shard(request_id);
--- a/crates/gateway/src/event_loop/admission.rs
+++ b/crates/gateway/src/event_loop/admission.rs
@@ -151,7 +151,7 @@
         let incoming = IncomingRequest { id, key, volume: request.volume, request: engine_request };
         // Past its latency objective it would not be sent, so that nothing is lost by ending it then; its answer must
         // reach the client before its deadline.
-        let max_wait = client_timeout - 2.0 * self.config.start.round;
+        let max_wait = client_timeout - 2.0 * self.config.start.action_interval;
         let latency_objective = self.config.start.classes[class].latency_objective;
         let waits_until = self.connections.now() + latency_objective.min(max_wait);
         if let Some(incoming) = self.connections.acquire_overlap_lock(incoming, queue, waits_until) {
--- a/crates/instance-settings/src/lib.rs
+++ b/crates/instance-settings/src/lib.rs
@@ -232,7 +232,7 @@
             hosts: self.number_or("balancers", 1.0)?.max(1.0),
             classes: (0..self.count("profiles")?).map(|i| self.class(i)).collect::<Result<_, _>>()?,
             policies: (0..self.count("service_levels")?).map(|i| self.policy(i)).collect::<Result<_, _>>()?,
-            round: self.required("round_ns", self.time("round_ns")?)?,
+            action_interval: self.required("round_ns", self.time("round_ns")?)?,
             max_attempts: self.parsed("limits.max_attempts")?.unwrap_or(1),
             can_cancel: self.flag("limits.cancelling")?,
             max_retry_after: match self.flag("limits.retry_after")? {
@@ -257,7 +257,7 @@
             max_batch_units: self.number_or("specifics.units_top", 1.0)?,
             share_weight: self.number_or("specifics.share_worth", 1.0)?,
             counts_remote_service: self.flag("specifics.counts_others")?,
-            peer: match self.flag("limits.may_tell")? {
+            host_number: match self.flag("limits.may_tell")? {
                 true => Some(self.required("my_number", self.parsed("my_number")?)?),
                 false => None,
             },
--- a/crates/platform/src/endpoint_discovery.rs
+++ b/crates/platform/src/endpoint_discovery.rs
@@ -7,7 +7,9 @@
 use crate::memory_limit::{BufferOwner, BufferUse};
 use crate::reactor::{ConnectionKey, ConnectionKind, Reactor};
 use crate::response_stream::{CompleteResponse, ReceiveError, ResponseStream};
-use magpiewick::{Answered, EndpointClient, EndpointUpdate, Failure, Ms, Step, Target, Validity, Verdict};
+use magpiewick::{
+    AnswerHead, CallFailure, EndpointClient, EndpointUpdate, Ms, PollStep, PollTarget, Validity, Verdict,
+};
 use magpiewick_exchange::{ExchangeHistory, ReceivedResponse, ResponseMismatch};
 use magpiewick_http1::{self as http1, Response};
 use magpiewick_transport::{error_origin, Ended, ErrorOrigin, Stream};
@@ -20,41 +22,41 @@
 const MIN_WATCH_SHARE: f64 = 0.5;
 
 /// The request target of a poll.
-fn poll_path(target: Target) -> String {
+fn poll_path(target: PollTarget) -> String {
     match target {
-        Target::Whole => LIST_PATH.to_string(),
-        Target::Changes { after, hold: wait } => format!("{LIST_PATH}?after={after}&wait_ms={wait}"),
+        PollTarget::Snapshot => LIST_PATH.to_string(),
+        PollTarget::Delta { after, hold: wait } => format!("{LIST_PATH}?after={after}&wait_ms={wait}"),
     }
 }
 
 /// How long discovery may hold a poll while nothing changes.
-fn poll_wait(target: Target) -> Ms {
+fn poll_wait(target: PollTarget) -> Ms {
     match target {
-        Target::Whole => 0.0,
-        Target::Changes { hold, .. } => hold,
+        PollTarget::Snapshot => 0.0,
+        PollTarget::Delta { hold, .. } => hold,
     }
 }
 
 /// What an error on a connection says of discovery.
-fn failure_of(error: &io::Error) -> Failure {
+fn failure_of(error: &io::Error) -> CallFailure {
     match (error_origin(error), error.kind()) {
-        (ErrorOrigin::Local, _) => Failure::Local,
-        (_, ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted) => Failure::ConnectionLost,
-        (_, ErrorKind::BrokenPipe | ErrorKind::NotConnected) => Failure::ConnectionLost,
-        (_, ErrorKind::TimedOut) => Failure::ConnectTimedOut,
-        (ErrorOrigin::Remote, _) => Failure::Unreachable,
+        (ErrorOrigin::Local, _) => CallFailure::LocalResources,
+        (_, ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted) => CallFailure::ConnectionLost,
+        (_, ErrorKind::BrokenPipe | ErrorKind::NotConnected) => CallFailure::ConnectionLost,
+        (_, ErrorKind::TimedOut) => CallFailure::ConnectTimedOut,
+        (ErrorOrigin::Remote, _) => CallFailure::Unreachable,
     }
 }
 
 /// Why a poll failed, and what that says of discovery.
 struct PollFailure {
     error: PollError,
-    meaning: Failure,
+    meaning: CallFailure,
 }
 
 impl PollFailure {
     fn unusable(error: PollError) -> PollFailure {
-        PollFailure { error, meaning: Failure::Unusable }
+        PollFailure { error, meaning: CallFailure::InvalidAnswer }
     }
 }
 
@@ -62,7 +64,7 @@
     fn from(ended: Ended) -> PollFailure {
         match ended {
             Ended::Closed => {
-                PollFailure { error: PollError::ConnectionClosed, meaning: Failure::ConnectionLost }
+                PollFailure { error: PollError::ConnectionClosed, meaning: CallFailure::ConnectionLost }
             }
             Ended::Failed(error) => {
                 PollFailure { meaning: failure_of(&error), error: PollError::ConnectionFailed(error) }
@@ -77,7 +79,7 @@
         STATUS_OK => EndpointList::from_slice(&response.body)
             .map_err(|error| PollFailure::unusable(PollError::MalformedList(error))),
         status @ 500..=599 => {
-            Err(PollFailure { error: PollError::Status(status), meaning: Failure::Rejected })
+            Err(PollFailure { error: PollError::Status(status), meaning: CallFailure::Rejected })
         }
         status => Err(PollFailure::unusable(PollError::Status(status))),
     }
@@ -163,13 +165,13 @@
     }
 
     /// The next step that is due, until there is none.
-    pub(crate) fn next_step(&mut self, now: Ms) -> Option<Step> {
-        self.client.due(now)
+    pub(crate) fn next_step(&mut self, now: Ms) -> Option<PollStep> {
+        self.client.next_step(now)
     }
 
     /// When [`EndpointDiscovery::next_step`] is to be called at the latest, and the validity to be checked.
     pub(crate) fn wake_at(&self, now: Ms) -> Ms {
-        self.client.wakes_at(now)
+        self.client.next_wakeup_at(now)
     }
 
     /// Checks whether the list may still be relied on.
@@ -204,8 +206,8 @@
 
     /// Notes that a poll starts. [`EndpointDiscovery::open_connection`] and then [`EndpointDiscovery::send_poll`] are
     /// next.
-    pub(crate) fn begin_poll(&mut self, now: Ms, poll: u64, target: Target) {
-        let late = self.client.calls_out() - 1;
+    pub(crate) fn begin_poll(&mut self, now: Ms, poll: u64, target: PollTarget) {
+        let late = self.client.calls_in_flight() - 1;
         self.log.poll_started(now, poll, late, self.address, &poll_path(target));
     }
 
@@ -236,7 +238,7 @@
         &mut self,
         reactor: &mut Reactor,
         poll: u64,
-        target: Target,
+        target: PollTarget,
         connection: io::Result<ConnectionKey>,
     ) {
         let key = match connection {
@@ -320,7 +322,7 @@
             Err(ReceiveError::ConnectionLost) => {
                 // A part of a response shows that there is somebody who writes responses.
                 let partial = connection.responses.has_partial_response();
-                let meaning = if partial { Failure::Unusable } else { Failure::ConnectionLost };
+                let meaning = if partial { CallFailure::InvalidAnswer } else { CallFailure::ConnectionLost };
                 return Err(PollFailure { error: PollError::ConnectionClosed, meaning });
             }
         };
@@ -347,9 +349,9 @@
     ) -> Option<ReceivedList> {
         let (now, PollAnswer { poll: PollInFlight { poll, started_at, .. }, list, last }) =
             (reactor.now(), answer);
-        let from_current_address = self.client.is_present(poll);
+        let from_current_address = self.client.is_to_current_address(poll);
         let (generation, records) = (list.generation, list.records.len());
-        let head = Answered { generation, whole: list.complete, lines: records };
+        let head = AnswerHead { generation, is_snapshot: list.complete, endpoint_count: records };
         let verdict = self.client.answered(now, poll, head);
         let reusable = from_current_address && !last && verdict != Verdict::Gap;
         if reusable && self.idle_connection.is_none() {
@@ -358,7 +360,7 @@
             self.close(reactor, key);
         }
         let update = match verdict {
-            Verdict::Take(update) => update,
+            Verdict::Apply(update) => update,
             Verdict::Gap => {
                 self.log_failure(now, poll, from_current_address, &PollError::GenerationGap);
                 return None;
@@ -394,7 +396,7 @@
     }
 
     fn on_poll_failed(&mut self, now: Ms, poll: u64, failure: &PollFailure) {
-        let from_current_address = self.client.is_present(poll);
+        let from_current_address = self.client.is_to_current_address(poll);
         self.client.failed(now, poll, failure.meaning);
         self.log_failure(now, poll, from_current_address, &failure.error);
     }
@@ -424,7 +426,7 @@
         self.log.reloaded(ReloadResult::AddressChanged);
         tracing::info!(
             %former, %address, generation = self.client.generation(),
-            polls_in_flight = self.client.calls_out(), "discovery_address_changed"
+            polls_in_flight = self.client.calls_in_flight(), "discovery_address_changed"
         );
         if let Some(key) = self.idle_connection.take() {
             self.close(reactor, key);
@@ -443,7 +445,7 @@
         retry_in: Option<Ms>,
     ) {
         if first {
-            self.client.reload_refused(now);
+            self.client.reload_rejected(now);
         }
         self.log.reload_failed(now, error, self.address, retry_in);
     }
@@ -454,8 +456,8 @@
             address = %self.address, generation = self.client.generation(), validity = ?self.validity,
             age_ms = self.client.age(now).round(),
             next_poll_in_ms = (self.client.next_call_at() - now).round(),
-            polls_in_flight = self.client.calls_out(),
-            former_polls_in_flight = self.client.former_calls_out(),
+            polls_in_flight = self.client.calls_in_flight(),
+            former_polls_in_flight = self.client.former_calls_in_flight(),
             counts = ?self.log.counts(), "discovery_metrics_reported"
         );
     }
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list in discovery's format, and how discovery is polled; free of I/O.
 
-use magpiewick::{EndpointState, FreshnessRules, Ms, Pace};
+use magpiewick::{EndpointState, FreshnessRules, Ms, PollTiming};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -38,10 +38,10 @@
 /// `drain_grace`: for how long an endpoint may still be sent requests after its drain was announced, where lists are
 /// pushed. There the host's own agent answers the polls, and a change binds whether or not it was read, so a broken
 /// poll must be noticed and made again within that grace.
-pub(crate) fn pace(max_poll_interval: Option<Ms>, drain_grace: Option<Ms>) -> Pace {
+pub(crate) fn pace(max_poll_interval: Option<Ms>, drain_grace: Option<Ms>) -> PollTiming {
     let Some(max_poll_interval) = max_poll_interval else {
         let grace = drain_grace.unwrap_or(0.0).max(MIN_DRAIN_GRACE_MS);
-        return Pace {
+        return PollTiming {
             hold: (PUSHED_WAIT_SHARE * grace).min(WATCH_WAIT_MS).floor(),
             first_hold: 0.0,
             grace: (PUSHED_LATE_SHARE * grace).min(WATCH_LATE_MS),
@@ -50,7 +50,7 @@
             max_poll_interval: grace,
         };
     };
-    Pace {
+    PollTiming {
         hold: WATCH_WAIT_MS,
         first_hold: FIRST_POLL_WAIT_MS,
         grace: WATCH_LATE_MS,
@@ -74,15 +74,15 @@
     match drain_grace {
         // It binds at once, and the grace covers a stall of the process.
         Some(grace) => FreshnessRules {
-            binds_after: grace.max(MIN_DRAIN_GRACE_MS),
-            binds_after_reload: BINDING_DELAY_AFTER_RELOAD_MS,
-            stall: 0.0,
+            binding_delay: grace.max(MIN_DRAIN_GRACE_MS),
+            binding_delay_after_reload: BINDING_DELAY_AFTER_RELOAD_MS,
+            max_stall: 0.0,
             unresponsive_when_down: true,
         },
         None => FreshnessRules {
-            binds_after: BINDING_DELAY_MS,
-            binds_after_reload: BINDING_DELAY_AFTER_RELOAD_MS,
-            stall: MAX_PROCESS_STALL_MS,
+            binding_delay: BINDING_DELAY_MS,
+            binding_delay_after_reload: BINDING_DELAY_AFTER_RELOAD_MS,
+            max_stall: MAX_PROCESS_STALL_MS,
             unresponsive_when_down: false,
         },
     }
--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -50,8 +50,8 @@
         let (pace, rules) = (pace(None, Some(grace)), freshness_rules(Some(grace)));
         // It falls silent at once, is noticed, and the poll after it is answered.
         let found = pace.hold + pace.grace;
-        assert!(found + pace.first_hold + pace.grace <= 0.9 * rules.binds_after, "{grace}: {pace:?}");
-        assert!(rules.binds_after >= 100.0 && pace.hold >= 1.0);
+        assert!(found + pace.first_hold + pace.grace <= 0.9 * rules.binding_delay, "{grace}: {pace:?}");
+        assert!(rules.binding_delay >= 100.0 && pace.hold >= 1.0);
     }
 }
 
@@ -59,5 +59,5 @@
 fn a_silent_poll_is_noticed_and_repeated_before_a_change_binds() {
     let (pace, rules) = (pace(Some(10_000.0), None), freshness_rules(None));
     let repeated = pace.hold + pace.grace + pace.first_hold + pace.first_grace;
-    assert!(repeated <= rules.binds_after - rules.stall, "{repeated} ms");
+    assert!(repeated <= rules.binding_delay - rules.max_stall, "{repeated} ms");
 }
--- a/crates/platform/src/event_loop.rs
+++ b/crates/platform/src/event_loop.rs
@@ -11,7 +11,7 @@
 use crate::reload::{ConfigReload, ReloadEvent};
 use crate::request_log::ClientCloseReason;
 use crate::signals::SignalSource;
-use magpiewick::{EndpointUpdate, Ms, Step, Target};
+use magpiewick::{EndpointUpdate, Ms, PollStep, PollTarget};
 use magpiewick_engine::Engine;
 use magpiewick_transport::{Clock, Poll, PollEvents};
 use std::io;
@@ -63,7 +63,7 @@
         tracing::info!(
             name = config.name, listen = %config.listen, discovery = %config.discovery, "host_started"
         );
-        let reactor = Reactor::new(poll, clock, config.scheduler.round);
+        let reactor = Reactor::new(poll, clock, config.scheduler.action_interval);
         let mut event_loop = EventLoop {
             proxy: Proxy::new(reactor, &config, now + READY_WITHOUT_LIST_MS),
             discovery: EndpointDiscovery::new(&config, now),
@@ -347,14 +347,14 @@
     fn run_discovery(&mut self) {
         while let Some(step) = self.discovery.next_step(self.proxy.now()) {
             match step {
-                Step::Call { call, target } => self.start_poll(call, target),
-                Step::Drop { call } => self.discovery.cancel_poll(self.proxy.reactor_mut(), call),
+                PollStep::Call { call, target } => self.start_poll(call, target),
+                PollStep::Abort { call } => self.discovery.cancel_poll(self.proxy.reactor_mut(), call),
             }
         }
         self.check_list_validity();
     }
 
-    fn start_poll(&mut self, poll: u64, target: Target) {
+    fn start_poll(&mut self, poll: u64, target: PollTarget) {
         self.discovery.begin_poll(self.proxy.now(), poll, target);
         let opened = match self.discovery.open_connection(self.proxy.reactor_mut()) {
             Err(error) if self.proxy.evict_client_for_descriptor(&error) => {
--- a/crates/platform/src/proxy/attempts.rs
+++ b/crates/platform/src/proxy/attempts.rs
@@ -67,7 +67,7 @@
         let answer = Answer {
             outcome,
             latency,
-            request_over: outcome == Outcome::Succeeded,
+            request_finished: outcome == Outcome::Succeeded,
             volume_usage: report("x-iops-used").map(|percent| percent / 100.0),
             remote_units: report("x-rho").unwrap_or(0.0),
         };
@@ -143,7 +143,7 @@
     /// The endpoint client decides when the list is polled.
     fn poll_endpoints(&mut self) {}
 
-    fn wake(&mut self, at: Ms) {
+    fn schedule_run(&mut self, at: Ms) {
         self.engine_wake_at = at;
     }
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -161,7 +161,7 @@
     fields.u32("a node")?;
     let outcome = read_outcome_code(fields)?;
     let latency = ms(fields.u64("a latency")?);
-    let request_over = fields.u8("an end mark")? != 0;
+    let request_finished = fields.u8("an end mark")? != 0;
     // In hundredths, and one more, as 0 stands for unknown.
     let used = fields.u16("a use")?;
     let volume_usage = (used > 0).then(|| (f64::from(used) - 1.0) / 100.0);
@@ -169,7 +169,7 @@
     skip_load_report(fields)?;
     Ok(Event::Outcome {
         request_id,
-        answer: Answer { outcome, latency, request_over, volume_usage, remote_units },
+        answer: Answer { outcome, latency, request_finished, volume_usage, remote_units },
     })
 }
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    fn wake(&mut self, at: Ms) {
+    fn schedule_run(&mut self, at: Ms) {
         let delay_ns = ns(at - ms(self.now_ns)).max(1);
         let due_ns = self.now_ns.saturating_add(delay_ns);
         if self.timer.armed_for_ns.is_none_or(|armed_for_ns| due_ns < armed_for_ns) {
--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -2,11 +2,11 @@
 //! answers are applied, how long a call may take, and until when the endpoint list may be relied on.
 //! Nothing else decides on these.
 //!
-//! A driver reports events and carries out the steps that [`EndpointClient::due`] names, until there is
+//! A driver reports events and carries out the steps that [`EndpointClient::next_step`] names, until there is
 //! none. At every moment a call with a known deadline is in flight, or the time of the next call is set.
 
 use crate::backoff::Backoff;
-use crate::freshness::{Failure, Freshness, FreshnessRules, Validity};
+use crate::freshness::{CallFailure, Freshness, FreshnessRules, Validity};
 use crate::random_source::RandomSource;
 use crate::types::{EndpointUpdate, Ms};
 
@@ -25,7 +25,7 @@
 
 /// How calls are paced.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct PollTiming {
     /// How long the service may hold a call until there are changes.
     pub hold: Ms,
     /// The same for the first call after a failure.
@@ -42,11 +42,11 @@
 
 /// What a call asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Target {
+pub enum PollTarget {
     /// All of the list, at once.
-    Whole,
+    Snapshot,
     /// The changes since a generation, as soon as there are any.
-    Changes {
+    Delta {
         /// The generation.
         after: u64,
         /// How long the service holds the call until it answers without changes.
@@ -56,16 +56,16 @@
 
 /// What the driver has to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step {
+pub enum PollStep {
     /// Begin a call to the present address.
     Call {
         /// The number that the call has from now on.
         call: u64,
         /// What it asks for.
-        target: Target,
+        target: PollTarget,
     },
     /// Abort a call: its answer is of no use any more.
-    Drop {
+    Abort {
         /// The call.
         call: u64,
     },
@@ -73,20 +73,20 @@
 
 /// The head of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Answered {
+pub struct AnswerHead {
     /// The generation of the list that it leads to.
     pub generation: u64,
     /// It is the whole list, not changes to it.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// How many endpoints it names.
-    pub lines: usize,
+    pub endpoint_count: usize,
 }
 
 /// What an answer is good for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It is to be applied, as this kind of update.
-    Take(EndpointUpdate),
+    Apply(EndpointUpdate),
     /// It does not follow what is known: the whole list is requested next.
     Gap,
     /// What is known is newer, or the call is not known any more.
@@ -99,7 +99,7 @@
     /// The number of the address that it went to.
     address: u32,
     started_at: Ms,
-    target: Target,
+    target: PollTarget,
     late_at: Ms,
     connected: bool,
     late: bool,
@@ -110,7 +110,7 @@
     fn complete_as_of(&self, now: Ms, lines: usize) -> Ms {
         match self.target {
             // Without changes: the service held the call for all of that time.
-            Target::Changes { hold, .. } if lines == 0 && now - self.started_at >= hold => {
+            PollTarget::Delta { hold, .. } if lines == 0 && now - self.started_at >= hold => {
                 self.started_at + hold
             }
             _ => self.started_at,
@@ -128,7 +128,7 @@
 
 /// The client of the discovery service.
 pub struct EndpointClient {
-    pace: Pace,
+    pace: PollTiming,
     rng: RandomSource,
     backoff: Backoff,
     freshness: Freshness,
@@ -152,7 +152,7 @@
     /// `as_of`: when the list that the host starts with counts as complete; `restored`: the generation of
     /// that list.
     pub fn new(
-        pace: Pace,
+        pace: PollTiming,
         rules: FreshnessRules,
         seed: u64,
         now: Ms,
@@ -200,43 +200,43 @@
     }
 
     /// Whether a call went to the present address.
-    pub fn is_present(&self, call: u64) -> bool {
+    pub fn is_to_current_address(&self, call: u64) -> bool {
         self.calls.iter().any(|c| c.id == call)
     }
 
     /// How many calls are in flight to the present address.
-    pub fn calls_out(&self) -> usize {
+    pub fn calls_in_flight(&self) -> usize {
         self.calls.len()
     }
 
     /// How many calls are in flight to former addresses.
-    pub fn former_calls_out(&self) -> usize {
+    pub fn former_calls_in_flight(&self) -> usize {
         self.former.len()
     }
 
-    /// By when [`EndpointClient::due`] is to be called and the validity to be checked.
-    pub fn wakes_at(&self, now: Ms) -> Ms {
+    /// By when [`EndpointClient::next_step`] is to be called and the validity to be checked.
+    pub fn next_wakeup_at(&self, now: Ms) -> Ms {
         let expires_at = Some(self.freshness.expires_at()).filter(|at| *at > now);
         self.next_call_at().min(expires_at.unwrap_or(f64::INFINITY))
     }
 
     /// The next step that is due, until there is none.
-    pub fn due(&mut self, now: Ms) -> Option<Step> {
+    pub fn next_step(&mut self, now: Ms) -> Option<PollStep> {
         self.replace_late_call(now);
         if let Some(call) = self.dropped.pop() {
-            return Some(Step::Drop { call });
+            return Some(PollStep::Abort { call });
         }
         if self.next_at.is_none_or(|at| now < at) {
             return None;
         }
         if self.calls.len() >= self.pace.max_calls {
             let oldest = self.calls.remove(0);
-            return Some(Step::Drop { call: oldest.id });
+            return Some(PollStep::Abort { call: oldest.id });
         }
         Some(self.begin(now))
     }
 
-    fn begin(&mut self, now: Ms) -> Step {
+    fn begin(&mut self, now: Ms) -> PollStep {
         let (target, timeout) = self.target(now);
         self.last_id += 1;
         let (id, address) = (self.last_id, self.address);
@@ -251,20 +251,20 @@
             late: false,
         });
         self.next_at = None;
-        Step::Call { call: id, target }
+        PollStep::Call { call: id, target }
     }
 
     /// What the next call asks for, and how long it may take. The service does not hold a first call for
     /// long, so that it shows soon whether the service responds.
-    fn target(&self, now: Ms) -> (Target, Ms) {
-        let Pace { hold, first_hold, grace, first_grace, .. } = self.pace;
+    fn target(&self, now: Ms) -> (PollTarget, Ms) {
+        let PollTiming { hold, first_hold, grace, first_grace, .. } = self.pace;
         let first_timeout = first_hold + first_grace;
         match self.after {
-            None => (Target::Whole, first_timeout),
+            None => (PollTarget::Snapshot, first_timeout),
             Some(after) if self.last_call_answered && self.validity(now) == Validity::Valid => {
-                (Target::Changes { after, hold }, hold + grace)
+                (PollTarget::Delta { after, hold }, hold + grace)
             }
-            Some(after) => (Target::Changes { after, hold: first_hold }, first_timeout),
+            Some(after) => (PollTarget::Delta { after, hold: first_hold }, first_timeout),
         }
     }
 
@@ -276,7 +276,7 @@
             return;
         };
         newest.late = true;
-        let failure = if newest.connected { Failure::NoAnswer } else { Failure::ConnectTimedOut };
+        let failure = if newest.connected { CallFailure::NoAnswer } else { CallFailure::ConnectTimedOut };
         self.last_call_answered = false;
         self.freshness.failed(failure);
         if self.pace.max_calls > 1 {
@@ -295,21 +295,22 @@
     }
 
     /// A call ended without an answer. One to a former address says nothing of the present one.
-    pub fn failed(&mut self, now: Ms, call: u64, failure: Failure) {
+    pub fn failed(&mut self, now: Ms, call: u64, failure: CallFailure) {
         self.former.retain(|c| c.id != call);
         let Some(index) = self.calls.iter().position(|c| c.id == call) else { return };
         let ended = self.calls.remove(index);
         let immediate = now - ended.started_at < IMMEDIATE_REJECTION;
-        let failure = if failure == Failure::Rejected && immediate { Failure::Busy } else { failure };
+        let failure =
+            if failure == CallFailure::Rejected && immediate { CallFailure::Overloaded } else { failure };
         self.freshness.failed(failure);
         self.retry(now, failure);
     }
 
     /// Schedules the next call after a failure, unless one is in flight that is not late.
-    fn retry(&mut self, now: Ms, failure: Failure) {
+    fn retry(&mut self, now: Ms, failure: CallFailure) {
         self.last_call_answered = false;
         let mut delay = self.backoff.failed(&mut self.rng);
-        if failure == Failure::Busy {
+        if failure == CallFailure::Overloaded {
             let least = BUSY_BACKOFF * LONGEST_BACKOFF * self.pace.max_poll_interval;
             delay = delay.max(least * (0.5 + self.rng.fraction()));
         }
@@ -319,7 +320,7 @@
     }
 
     /// A call was answered.
-    pub fn answered(&mut self, now: Ms, call: u64, answer: Answered) -> Verdict {
+    pub fn answered(&mut self, now: Ms, call: u64, answer: AnswerHead) -> Verdict {
         if let Some(index) = self.calls.iter().position(|c| c.id == call) {
             let call = self.calls.remove(index);
             return self.answered_by_present(now, call, answer);
@@ -327,21 +328,21 @@
         let Some(index) = self.former.iter().position(|c| c.id == call) else { return Verdict::Outdated };
         let call = self.former.remove(index);
         let verdict = self.verdict_on(&call, answer);
-        if let Verdict::Take(_) = verdict {
+        if let Verdict::Apply(_) = verdict {
             // It says nothing of the present address: the next call stays as it is.
             self.apply(now, &call, answer);
         }
         verdict
     }
 
-    fn answered_by_present(&mut self, now: Ms, call: Call, answer: Answered) -> Verdict {
+    fn answered_by_present(&mut self, now: Ms, call: Call, answer: AnswerHead) -> Verdict {
         let verdict = self.verdict_on(&call, answer);
-        let Verdict::Take(_) = verdict else {
+        let Verdict::Apply(_) = verdict else {
             if verdict == Verdict::Gap {
                 self.after = None;
             }
-            self.freshness.failed(Failure::Unusable);
-            self.retry(now, Failure::Unusable);
+            self.freshness.failed(CallFailure::InvalidAnswer);
+            self.retry(now, CallFailure::InvalidAnswer);
             return verdict;
         };
         self.apply(now, &call, answer);
@@ -354,7 +355,7 @@
         self.calls = newer;
         self.dropped.extend(older.iter().chain(&self.former).map(|c| c.id));
         self.former.clear();
-        let empty_at_once = answer.lines == 0
+        let empty_at_once = answer.endpoint_count == 0
             && now - call.started_at < EMPTY_ANSWER_DELAY.min(call.late_at - call.started_at);
         let pause = if empty_at_once { EMPTY_ANSWER_DELAY } else { 0.0 };
         let another = self.calls.iter().any(|c| !c.late);
@@ -362,9 +363,9 @@
         verdict
     }
 
-    fn verdict_on(&self, call: &Call, answer: Answered) -> Verdict {
-        let follows = matches!(call.target, Target::Changes { after, .. } if answer.generation >= after);
-        if !answer.whole && !follows {
+    fn verdict_on(&self, call: &Call, answer: AnswerHead) -> Verdict {
+        let follows = matches!(call.target, PollTarget::Delta { after, .. } if answer.generation >= after);
+        if !answer.is_snapshot && !follows {
             return Verdict::Gap;
         }
         if let Some(known) = self.known {
@@ -376,12 +377,12 @@
                 return Verdict::Outdated;
             }
         }
-        Verdict::Take(if answer.whole { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta })
+        Verdict::Apply(if answer.is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta })
     }
 
-    fn apply(&mut self, now: Ms, call: &Call, answer: Answered) {
+    fn apply(&mut self, now: Ms, call: &Call, answer: AnswerHead) {
         self.known = Some(Known { address: call.address, generation: answer.generation, applied_at: now });
-        let as_of = call.complete_as_of(now, answer.lines);
+        let as_of = call.complete_as_of(now, answer.endpoint_count);
         match call.address == self.address {
             true => self.freshness.confirmed(as_of),
             false => self.freshness.confirmed_by_former(as_of),
@@ -402,7 +403,7 @@
     }
 
     /// A new configuration could not be read: the service may be at another address.
-    pub fn reload_refused(&mut self, now: Ms) {
+    pub fn reload_rejected(&mut self, now: Ms) {
         self.freshness.reloaded(now);
     }
 }
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -11,40 +11,40 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FreshnessRules {
     /// How long after the service had it.
-    pub binds_after: Ms,
+    pub binding_delay: Ms,
     /// How long after a reload, whatever the service had before it.
-    pub binds_after_reload: Ms,
+    pub binding_delay_after_reload: Ms,
     /// How long the process may stall between reading its clock and sending an attempt.
-    pub stall: Ms,
+    pub max_stall: Ms,
     /// The service is the host's own agent, which does not respond when it has nothing behind it.
     pub unresponsive_when_down: bool,
 }
 
 /// How a call to the discovery service failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum CallFailure {
     /// The network or the service's machine reported that it cannot be reached.
     Unreachable,
     /// The connection was not established in time.
     ConnectTimedOut,
     /// This host had no socket, port or memory to call with.
-    Local,
+    LocalResources,
     /// The connection ended before any of an answer came.
     ConnectionLost,
     /// The service answered that it cannot serve the call.
     Rejected,
     /// It did so at once: it is up, and overloaded.
-    Busy,
+    Overloaded,
     /// The connection is established and no answer comes.
     NoAnswer,
     /// The answer is malformed or does not follow what is known.
-    Unusable,
+    InvalidAnswer,
 }
 
-impl Failure {
+impl CallFailure {
     /// Whether only a service that is up can fail so.
     fn shows_service_up(self) -> bool {
-        matches!(self, Failure::Busy | Failure::Unusable)
+        matches!(self, CallFailure::Overloaded | CallFailure::InvalidAnswer)
     }
 }
 
@@ -67,7 +67,7 @@
     confirmed_at: Ms,
     /// When the configuration was replaced since then; the first is the one that binds.
     reloads: Vec<Ms>,
-    last_failure: Option<Failure>,
+    last_failure: Option<CallFailure>,
     service_seen_up: bool,
 }
 
@@ -100,7 +100,7 @@
     }
 
     /// A call failed.
-    pub fn failed(&mut self, failure: Failure) {
+    pub fn failed(&mut self, failure: CallFailure) {
         self.last_failure = Some(failure);
         self.service_seen_up |= failure.shows_service_up();
     }
@@ -112,9 +112,10 @@
 
     /// From when on a change may bind the host that it was not notified of.
     pub fn expires_at(&self) -> Ms {
-        let by_age = self.confirmed_at + self.rules.binds_after;
-        let by_reload = self.reloads.first().map_or(f64::INFINITY, |at| at + self.rules.binds_after_reload);
-        by_age.min(by_reload) - self.rules.stall
+        let by_age = self.confirmed_at + self.rules.binding_delay;
+        let by_reload =
+            self.reloads.first().map_or(f64::INFINITY, |at| at + self.rules.binding_delay_after_reload);
+        by_age.min(by_reload) - self.rules.max_stall
     }
 
     /// Whether the list may be relied on now.
@@ -136,13 +137,14 @@
             return false;
         }
         match self.last_failure {
-            Some(Failure::Unreachable) => true,
+            Some(CallFailure::Unreachable) => true,
             // After a reload the service may as well be overloaded, and the operator says that it is there.
-            Some(Failure::ConnectTimedOut | Failure::ConnectionLost | Failure::Rejected) => {
+            Some(CallFailure::ConnectTimedOut | CallFailure::ConnectionLost | CallFailure::Rejected) => {
                 self.reloads.is_empty() || self.rules.unresponsive_when_down
             }
-            Some(Failure::NoAnswer) => self.rules.unresponsive_when_down,
-            Some(Failure::Local | Failure::Busy | Failure::Unusable) | None => false,
+            Some(CallFailure::NoAnswer) => self.rules.unresponsive_when_down,
+            Some(CallFailure::LocalResources | CallFailure::Overloaded | CallFailure::InvalidAnswer)
+            | None => false,
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,8 +10,8 @@
 mod types;
 
 pub use backoff::Backoff;
-pub use endpoint_client::{Answered, EndpointClient, Pace, Step, Target, Verdict};
-pub use freshness::{Failure, Freshness, FreshnessRules, Validity};
+pub use endpoint_client::{AnswerHead, EndpointClient, PollStep, PollTarget, PollTiming, Verdict};
+pub use freshness::{CallFailure, Freshness, FreshnessRules, Validity};
 pub use random_source::RandomSource;
 pub use scheduler::Scheduler;
 pub use types::*;
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -168,7 +168,7 @@
         self.sequence += 1;
         let time_spent = self.client_timeouts.time_spent(request);
         let class = &self.config.classes[request.class];
-        let deadline = now + request.client_timeout - DEADLINE_ROUNDS * self.config.round;
+        let deadline = now + request.client_timeout - DEADLINE_ROUNDS * self.config.action_interval;
         let expires_at = deadline.min(now - time_spent + class.latency_objective);
         if let Some(key) = self.ordering_key(request) {
             self.key_locks.enqueue(now, key, id);
--- a/src/scheduler/endpoint_health.rs
+++ b/src/scheduler/endpoint_health.rs
@@ -243,7 +243,7 @@
             coalesced: batch_units > request.units,
         };
         let queueing_delay = self.latencies.record(now, &sample);
-        if self.config.peer.is_some() {
+        if self.config.host_number.is_some() {
             self.gossip.record_answer(index, queueing_delay);
         }
         let bounds = self.latencies.delay_bounds(self.congested_floor);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -141,7 +141,7 @@
         let (RequestState::InFlight(node) | RequestState::Finished(node)) = pending.state else {
             return AfterOutcome::Done;
         };
-        let is_over = answer.request_over || matches!(pending.state, RequestState::Finished(_));
+        let is_over = answer.request_finished || matches!(pending.state, RequestState::Finished(_));
         let never_ran = answer.outcome.never_ran();
         let attempts = pending.attempts;
         pending.uncertain_attempt.take_if(|uncertain| never_ran && uncertain.number == attempts);
@@ -171,7 +171,7 @@
         if let Some(id) = self.next_dispatchable(now).or_else(|| self.next_expired(now)) {
             return Action::Route(id);
         }
-        match self.config.peer {
+        match self.config.host_number {
             Some(own_number) if self.has_gossip_to_send() && now >= self.gossip.next_at() => {
                 self.send_gossip(now, own_number)
             }
@@ -193,7 +193,7 @@
 
     fn next_wakeup(&self, now: Ms) -> Ms {
         let mut until = self.polling.next_at().unwrap_or(now + MAX_IDLE_WAIT);
-        if self.config.peer.is_some() && self.has_gossip_to_send() {
+        if self.config.host_number.is_some() && self.has_gossip_to_send() {
             until = until.min(self.gossip.next_at());
         }
         if self.in_flight > 0 {
--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -20,7 +20,7 @@
         let request = self.requests.get(id).map(|pending| &pending.request);
         let key = request.and_then(|request| self.ordering_key(request));
         if let Some(key) = key.filter(|_| may_still_run(outcome)) {
-            let until = now + self.config.ordering_quiet_period + self.config.round;
+            let until = now + self.config.ordering_quiet_period + self.config.action_interval;
             self.key_locks.set_quiet_until(key, until);
         }
     }
--- a/src/scheduler/retry_policy.rs
+++ b/src/scheduler/retry_policy.rs
@@ -64,7 +64,8 @@
         let (Some(to), Some(from)) = (self.nodes.get(node), self.nodes.get(earlier.node)) else {
             return false;
         };
-        let is_forgotten = || now + self.config.round >= earlier.sent_at + class.deduplication_window;
+        let is_forgotten =
+            || now + self.config.action_interval >= earlier.sent_at + class.deduplication_window;
         match (class.idempotency, class.deduplication_scope) {
             (Idempotency::Idempotent, _) => true,
             (Idempotency::NonIdempotent, _) => false,
@@ -84,8 +85,9 @@
         let class = &self.config.classes[pending.request.class];
         let deduplicated =
             pending.uncertain_attempt.filter(|_| class.idempotency == Idempotency::IdempotentWithKey);
-        deduplicated
-            .map_or(f64::INFINITY, |earlier| earlier.sent_at + class.deduplication_window - self.config.round)
+        deduplicated.map_or(f64::INFINITY, |earlier| {
+            earlier.sent_at + class.deduplication_window - self.config.action_interval
+        })
     }
 
     /// What follows a failed attempt at `node`: a retry where idempotency, attempts, the latency objective
--- a/src/types.rs
+++ b/src/types.rs
@@ -88,7 +88,7 @@
     /// The QoS policies, by index.
     pub policies: Vec<QosPolicy>,
     /// How long a decision may take to be carried out: the interval at which the caller acts.
-    pub round: Ms,
+    pub action_interval: Ms,
     /// How many attempts a request has at most.
     pub max_attempts: u32,
     /// Whether attempts can be cancelled.
@@ -122,7 +122,7 @@
     /// Answers say what shards served for a volume through other hosts.
     pub counts_remote_service: bool,
     /// Set where hosts may gossip: this host's number, counted from 0.
-    pub peer: Option<usize>,
+    pub host_number: Option<usize>,
 }
 
 /// A request as it arrived.
@@ -222,7 +222,7 @@
     /// How long it took.
     pub latency: Ms,
     /// The request is over, by this outcome or before it.
-    pub request_over: bool,
+    pub request_finished: bool,
     /// What the volume was served everywhere in a past period, as a part of its QoS policy's rate.
     pub volume_usage: Option<f64>,
     /// Units that the node's shard served for the volume through other hosts since its last answer here.
--- a/tests/endpoint_client.rs
+++ b/tests/endpoint_client.rs
@@ -7,8 +7,8 @@
 const GRACE: Ms = 900.0;
 const FIRST_GRACE: Ms = 2000.0;
 
-fn pace() -> Pace {
-    Pace {
+fn pace() -> PollTiming {
+    PollTiming {
         hold: HOLD,
         first_hold: FIRST_HOLD,
         grace: GRACE,
@@ -20,9 +20,9 @@
 
 fn rules() -> FreshnessRules {
     FreshnessRules {
-        binds_after: 6000.0,
-        binds_after_reload: 4000.0,
-        stall: 150.0,
+        binding_delay: 6000.0,
+        binding_delay_after_reload: 4000.0,
+        max_stall: 150.0,
         unresponsive_when_down: false,
     }
 }
@@ -32,56 +32,56 @@
 }
 
 /// The steps that are due now.
-fn steps(client: &mut EndpointClient, now: Ms) -> Vec<Step> {
-    std::iter::from_fn(|| client.due(now)).collect()
+fn steps(client: &mut EndpointClient, now: Ms) -> Vec<PollStep> {
+    std::iter::from_fn(|| client.next_step(now)).collect()
 }
 
 /// The one call that is due now, and what it requests.
-fn call(client: &mut EndpointClient, now: Ms) -> (u64, Target) {
+fn call(client: &mut EndpointClient, now: Ms) -> (u64, PollTarget) {
     let steps = steps(client, now);
-    let [Step::Call { call, target }] = steps[..] else { panic!("not one call: {steps:?}") };
+    let [PollStep::Call { call, target }] = steps[..] else { panic!("not one call: {steps:?}") };
     client.connected(call);
     (call, target)
 }
 
 /// The next call, at its time.
-fn next_call(client: &mut EndpointClient) -> (u64, Target) {
+fn next_call(client: &mut EndpointClient) -> (u64, PollTarget) {
     let at = client.next_call_at();
     call(client, at)
 }
 
-fn whole(generation: u64) -> Answered {
-    Answered { generation, whole: true, lines: 8 }
+fn whole(generation: u64) -> AnswerHead {
+    AnswerHead { generation, is_snapshot: true, endpoint_count: 8 }
 }
 
-fn no_changes(generation: u64) -> Answered {
-    Answered { generation, whole: false, lines: 0 }
+fn no_changes(generation: u64) -> AnswerHead {
+    AnswerHead { generation, is_snapshot: false, endpoint_count: 0 }
 }
 
-fn changes(generation: u64) -> Answered {
-    Answered { generation, whole: false, lines: 1 }
+fn changes(generation: u64) -> AnswerHead {
+    AnswerHead { generation, is_snapshot: false, endpoint_count: 1 }
 }
 
 /// A client that has just got the list of generation 4, with a watch in flight.
 fn watching() -> (EndpointClient, u64) {
     let mut client = client(None);
     let (first, target) = call(&mut client, 0.0);
-    assert_eq!(target, Target::Whole);
-    assert_eq!(client.answered(10.0, first, whole(4)), Verdict::Take(EndpointUpdate::Snapshot));
+    assert_eq!(target, PollTarget::Snapshot);
+    assert_eq!(client.answered(10.0, first, whole(4)), Verdict::Apply(EndpointUpdate::Snapshot));
     let (watch, target) = call(&mut client, 10.0);
-    assert_eq!(target, Target::Changes { after: 4, hold: HOLD });
+    assert_eq!(target, PollTarget::Delta { after: 4, hold: HOLD });
     (client, watch)
 }
 
 #[test]
 fn a_watch_follows_generations_and_requests_the_whole_list_after_a_gap() {
     let (mut client, watch) = watching();
-    assert_eq!(client.answered(20.0, watch, changes(6)), Verdict::Take(EndpointUpdate::Delta));
+    assert_eq!(client.answered(20.0, watch, changes(6)), Verdict::Apply(EndpointUpdate::Delta));
     let (watch, _) = call(&mut client, 20.0);
     assert_eq!(client.answered(30.0, watch, changes(5)), Verdict::Gap, "changes to an older generation");
     assert_eq!(steps(&mut client, 30.0), [], "the next call follows after a backoff");
     let (again, target) = next_call(&mut client);
-    assert_eq!(target, Target::Whole);
+    assert_eq!(target, PollTarget::Snapshot);
     assert_eq!(
         client.answered(200.0, again, changes(7)),
         Verdict::Gap,
@@ -90,7 +90,7 @@
     let (again, _) = next_call(&mut client);
     assert_eq!(
         client.answered(900.0, again, whole(2)),
-        Verdict::Take(EndpointUpdate::Snapshot),
+        Verdict::Apply(EndpointUpdate::Snapshot),
         "a whole list may be of any generation where it was requested after the last answer"
     );
 }
@@ -99,20 +99,20 @@
 fn the_first_call_after_a_failure_has_a_short_hold_and_time_for_the_service_queue() {
     let mut client = client(Some(7));
     let (first, target) = call(&mut client, 0.0);
-    assert_eq!(target, Target::Changes { after: 7, hold: FIRST_HOLD }, "a new process");
+    assert_eq!(target, PollTarget::Delta { after: 7, hold: FIRST_HOLD }, "a new process");
     assert_eq!(client.next_call_at(), FIRST_HOLD + FIRST_GRACE);
     client.answered(400.0, first, changes(8));
     let (watch, target) = call(&mut client, 400.0);
-    assert_eq!(target, Target::Changes { after: 8, hold: HOLD });
+    assert_eq!(target, PollTarget::Delta { after: 8, hold: HOLD });
     assert_eq!(client.next_call_at(), 400.0 + HOLD + GRACE);
-    client.failed(900.0, watch, Failure::ConnectionLost);
+    client.failed(900.0, watch, CallFailure::ConnectionLost);
     let at = client.next_call_at();
     assert!((925.0..=975.0).contains(&at), "{at}");
     let (_, target) = call(&mut client, at);
-    assert_eq!(target, Target::Changes { after: 8, hold: FIRST_HOLD });
+    assert_eq!(target, PollTarget::Delta { after: 8, hold: FIRST_HOLD });
     client.reloaded(1000.0);
     let (_, target) = call(&mut client, 1000.0);
-    assert_eq!(target, Target::Whole);
+    assert_eq!(target, PollTarget::Snapshot);
     assert_eq!(
         client.next_call_at(),
         1000.0 + FIRST_HOLD + FIRST_GRACE,
@@ -126,7 +126,7 @@
     let mut now = 100.0;
     for most in [75.0, 150.0, 300.0, 600.0, 1200.0, 1500.0, 1500.0] {
         now += 100.0;
-        client.failed(now, in_flight, Failure::Rejected);
+        client.failed(now, in_flight, CallFailure::Rejected);
         let backoff = client.next_call_at() - now;
         assert!(backoff <= most, "{backoff} of {most}");
         now = client.next_call_at();
@@ -134,7 +134,7 @@
     }
     client.reloaded(now);
     let (first, _) = call(&mut client, now);
-    client.failed(now, first, Failure::Unreachable);
+    client.failed(now, first, CallFailure::Unreachable);
     assert!(client.next_call_at() - now <= 75.0);
 }
 
@@ -143,12 +143,12 @@
     let (mut client, watch) = watching();
     client.reloaded(1000.0);
     let (first, _) = call(&mut client, 1000.0);
-    client.failed(1000.0, first, Failure::ConnectionLost);
+    client.failed(1000.0, first, CallFailure::ConnectionLost);
     let next = client.next_call_at();
     assert!(next <= 1075.0);
-    assert_eq!(client.answered(1010.0, watch, changes(5)), Verdict::Take(EndpointUpdate::Delta));
+    assert_eq!(client.answered(1010.0, watch, changes(5)), Verdict::Apply(EndpointUpdate::Delta));
     assert_eq!(client.next_call_at(), next);
-    assert_eq!(call(&mut client, next).1, Target::Whole);
+    assert_eq!(call(&mut client, next).1, PollTarget::Snapshot);
 }
 
 #[test]
@@ -158,10 +158,10 @@
     let (first, _) = call(&mut client, 1000.0);
     assert_eq!(
         client.answered(1010.0, first, whole(2)),
-        Verdict::Take(EndpointUpdate::Snapshot),
+        Verdict::Apply(EndpointUpdate::Snapshot),
         "it has generations of its own"
     );
-    assert!(steps(&mut client, 1010.0).contains(&Step::Drop { call: watch }));
+    assert!(steps(&mut client, 1010.0).contains(&PollStep::Abort { call: watch }));
     assert_eq!(client.answered(1020.0, watch, whole(9)), Verdict::Outdated);
 }
 
@@ -172,7 +172,7 @@
     for reload in 0..50 {
         client.reloaded(1000.0 + f64::from(reload));
         for step in steps(&mut client, 1000.0 + f64::from(reload)) {
-            in_flight += if matches!(step, Step::Call { .. }) { 1 } else { -1 };
+            in_flight += if matches!(step, PollStep::Call { .. }) { 1 } else { -1 };
         }
         assert!(in_flight <= 5, "{in_flight} calls are in flight");
         assert!(client.next_call_at() <= 1000.0 + f64::from(reload) + FIRST_HOLD + FIRST_GRACE);
@@ -184,11 +184,11 @@
     let (mut client, watch) = watching();
     let late_at = client.next_call_at();
     let (second, target) = call(&mut client, late_at);
-    assert_eq!(target, Target::Changes { after: 4, hold: FIRST_HOLD });
-    assert_eq!(client.answered(late_at + 100.0, watch, changes(5)), Verdict::Take(EndpointUpdate::Delta));
+    assert_eq!(target, PollTarget::Delta { after: 4, hold: FIRST_HOLD });
+    assert_eq!(client.answered(late_at + 100.0, watch, changes(5)), Verdict::Apply(EndpointUpdate::Delta));
     assert_eq!(steps(&mut client, late_at + 100.0), [], "the new one waits for what comes next");
-    assert_eq!(client.answered(late_at + 400.0, second, changes(6)), Verdict::Take(EndpointUpdate::Delta));
-    assert_eq!(call(&mut client, late_at + 400.0).1, Target::Changes { after: 6, hold: HOLD });
+    assert_eq!(client.answered(late_at + 400.0, second, changes(6)), Verdict::Apply(EndpointUpdate::Delta));
+    assert_eq!(call(&mut client, late_at + 400.0).1, PollTarget::Delta { after: 6, hold: HOLD });
 }
 
 #[test]
@@ -197,7 +197,7 @@
     let late_at = client.next_call_at();
     let (second, _) = call(&mut client, late_at);
     client.answered(late_at + 10.0, second, no_changes(4));
-    assert!(steps(&mut client, late_at + 100.0).contains(&Step::Drop { call: watch }));
+    assert!(steps(&mut client, late_at + 100.0).contains(&PollStep::Abort { call: watch }));
     assert_eq!(client.answered(late_at + 200.0, watch, whole(9)), Verdict::Outdated);
 }
 
@@ -210,18 +210,18 @@
     }
     let at = client.next_call_at();
     let steps = steps(&mut client, at);
-    assert_eq!(steps[0], Step::Drop { call: watch });
-    assert!(matches!(steps[1..], [Step::Call { .. }]));
+    assert_eq!(steps[0], PollStep::Abort { call: watch });
+    assert!(matches!(steps[1..], [PollStep::Call { .. }]));
     assert!(at >= 5500.0, "a call of {at} ms was aborted");
 }
 
 #[test]
 fn with_a_limit_of_one_call_a_late_one_is_aborted() {
-    let pace = Pace { max_calls: 1, ..pace() };
+    let pace = PollTiming { max_calls: 1, ..pace() };
     let mut client = EndpointClient::new(pace, rules(), 7, 0.0, 0.0, Some(1));
     let (first, _) = call(&mut client, 0.0);
     let late_at = client.next_call_at();
-    assert_eq!(steps(&mut client, late_at), [Step::Drop { call: first }]);
+    assert_eq!(steps(&mut client, late_at), [PollStep::Abort { call: first }]);
     let backoff = client.next_call_at() - late_at;
     assert!((25.0..=75.0).contains(&backoff), "{backoff}");
 }
@@ -242,20 +242,20 @@
     let complete_at = 10.0 + HOLD;
     assert_eq!(client.validity(complete_at + 5849.0), Validity::Valid);
     assert_eq!(client.validity(complete_at + 5850.0), Validity::Expired, "nothing is known of the service");
-    assert!(client.wakes_at(complete_at + 2000.0) <= complete_at + 5850.0);
+    assert!(client.next_wakeup_at(complete_at + 2000.0) <= complete_at + 5850.0);
 }
 
 #[test]
 fn an_old_list_stays_usable_only_while_the_service_is_down() {
     let cases = [
-        (Failure::Unreachable, Validity::ServiceDown),
-        (Failure::ConnectTimedOut, Validity::ServiceDown),
-        (Failure::ConnectionLost, Validity::ServiceDown),
-        (Failure::Rejected, Validity::ServiceDown),
-        (Failure::Local, Validity::Expired),
-        (Failure::NoAnswer, Validity::Expired),
-        (Failure::Busy, Validity::Expired),
-        (Failure::Unusable, Validity::Expired),
+        (CallFailure::Unreachable, Validity::ServiceDown),
+        (CallFailure::ConnectTimedOut, Validity::ServiceDown),
+        (CallFailure::ConnectionLost, Validity::ServiceDown),
+        (CallFailure::Rejected, Validity::ServiceDown),
+        (CallFailure::LocalResources, Validity::Expired),
+        (CallFailure::NoAnswer, Validity::Expired),
+        (CallFailure::Overloaded, Validity::Expired),
+        (CallFailure::InvalidAnswer, Validity::Expired),
     ];
     for (failure, validity) in cases {
         let (mut client, watch) = watching();
@@ -268,10 +268,10 @@
 #[test]
 fn after_a_reload_only_an_unreachable_service_counts_as_down() {
     let cases = [
-        (Failure::Unreachable, Validity::ServiceDown),
-        (Failure::ConnectTimedOut, Validity::Expired),
-        (Failure::ConnectionLost, Validity::Expired),
-        (Failure::Rejected, Validity::Expired),
+        (CallFailure::Unreachable, Validity::ServiceDown),
+        (CallFailure::ConnectTimedOut, Validity::Expired),
+        (CallFailure::ConnectionLost, Validity::Expired),
+        (CallFailure::Rejected, Validity::Expired),
     ];
     for (failure, validity) in cases {
         let (mut client, _) = watching();
@@ -286,16 +286,16 @@
 #[test]
 fn a_service_seen_up_since_the_last_list_does_not_count_as_down() {
     let (mut client, watch) = watching();
-    client.failed(1000.0, watch, Failure::Unusable);
+    client.failed(1000.0, watch, CallFailure::InvalidAnswer);
     let (again, _) = next_call(&mut client);
-    client.failed(2000.0, again, Failure::Unreachable);
+    client.failed(2000.0, again, CallFailure::Unreachable);
     assert_eq!(client.validity(8000.0), Validity::Expired);
 }
 
 #[test]
 fn an_immediate_rejection_means_a_busy_service_and_a_longer_backoff() {
     let (mut client, watch) = watching();
-    client.failed(15.0, watch, Failure::Rejected);
+    client.failed(15.0, watch, CallFailure::Rejected);
     assert_eq!(client.validity(8000.0), Validity::Expired);
     let backoff = client.next_call_at() - 15.0;
     assert!((300.0..=900.0).contains(&backoff), "{backoff}");
@@ -308,7 +308,7 @@
     let (first, _) = call(&mut client, 1000.0);
     assert_eq!(client.validity(1000.0 + 3849.0), Validity::Valid);
     assert_eq!(client.validity(1000.0 + 3850.0), Validity::Expired);
-    client.failed(3000.0, first, Failure::Rejected);
+    client.failed(3000.0, first, CallFailure::Rejected);
     assert_eq!(client.validity(1000.0 + 3850.0), Validity::Expired, "the service may be overloaded");
     // The service may have moved on to its new address without the former one.
     client.answered(3100.0, watch, no_changes(4));
@@ -321,7 +321,7 @@
 #[test]
 fn an_unreadable_reload_makes_the_list_expire_sooner_as_well() {
     let (mut client, watch) = watching();
-    client.reload_refused(1000.0);
+    client.reload_rejected(1000.0);
     assert_eq!(client.validity(4850.0), Validity::Expired);
     client.answered(10.0 + HOLD, watch, no_changes(4));
     assert_eq!(client.validity(4850.0), Validity::Valid, "the former address still answers");
--- a/tests/endpoint_client_search.rs
+++ b/tests/endpoint_client_search.rs
@@ -11,8 +11,8 @@
 /// How long a call stays in the service's queue before the service rejects it.
 const QUEUE_TIMEOUT: Ms = 1000.0;
 
-fn pace() -> Pace {
-    Pace {
+fn pace() -> PollTiming {
+    PollTiming {
         hold: 2000.0,
         first_hold: 500.0,
         grace: 900.0,
@@ -24,9 +24,9 @@
 
 fn rules() -> FreshnessRules {
     FreshnessRules {
-        binds_after: BINDS_AFTER,
-        binds_after_reload: BINDS_AFTER_RELOAD,
-        stall: 150.0,
+        binding_delay: BINDS_AFTER,
+        binding_delay_after_reload: BINDS_AFTER_RELOAD,
+        max_stall: 150.0,
         unresponsive_when_down: false,
     }
 }
@@ -59,11 +59,11 @@
 
 struct Call {
     id: u64,
-    target: Target,
+    target: PollTarget,
     started_at: Ms,
     outcome: CallOutcome,
     /// What the service has answered, and when the host receives it.
-    answer: Option<(Answered, BTreeSet<u64>, Ms)>,
+    answer: Option<(AnswerHead, BTreeSet<u64>, Ms)>,
 }
 
 /// A host with its client, and the discovery service.
@@ -118,7 +118,7 @@
 
     fn reload_unreadable(&mut self) {
         self.reloads.push(self.now);
-        self.client.reload_refused(self.now);
+        self.client.reload_rejected(self.now);
         self.log("reload unreadable".to_string());
     }
 
@@ -137,18 +137,18 @@
         for call in self.calls.iter_mut().filter(|call| call.answer.is_none()) {
             let CallOutcome::Answered(delay) = call.outcome else { continue };
             let has_answer = match call.target {
-                Target::Whole => true,
-                Target::Changes { after, hold } => generation > after || now >= call.started_at + hold,
+                PollTarget::Snapshot => true,
+                PollTarget::Delta { after, hold } => generation > after || now >= call.started_at + hold,
             };
             if !has_answer {
                 continue;
             }
-            let (whole, first) = match call.target {
-                Target::Changes { after, .. } if after <= generation => (false, after + 1),
+            let (is_snapshot, first) = match call.target {
+                PollTarget::Delta { after, .. } if after <= generation => (false, after + 1),
                 _ => (true, 0),
             };
             let lines: BTreeSet<u64> = (first..=generation).collect();
-            let answer = Answered { generation, whole, lines: lines.len() };
+            let answer = AnswerHead { generation, is_snapshot, endpoint_count: lines.len() };
             call.answer = Some((answer, lines, now + delay));
         }
     }
@@ -159,11 +159,11 @@
         for call in std::mem::take(&mut self.calls) {
             let has_passed = |after: Ms| now >= call.started_at + after;
             let failure = match call.outcome {
-                CallOutcome::Unreachable => Some(Failure::Unreachable),
-                CallOutcome::Local => Some(Failure::Local),
-                CallOutcome::Reset(after) if has_passed(after) => Some(Failure::ConnectionLost),
-                CallOutcome::Rejected(after) if has_passed(after) => Some(Failure::Rejected),
-                CallOutcome::Unusable(after) if has_passed(after) => Some(Failure::Unusable),
+                CallOutcome::Unreachable => Some(CallFailure::Unreachable),
+                CallOutcome::Local => Some(CallFailure::LocalResources),
+                CallOutcome::Reset(after) if has_passed(after) => Some(CallFailure::ConnectionLost),
+                CallOutcome::Rejected(after) if has_passed(after) => Some(CallFailure::Rejected),
+                CallOutcome::Unusable(after) if has_passed(after) => Some(CallFailure::InvalidAnswer),
                 _ => None,
             };
             if let Some(failure) = failure {
@@ -183,8 +183,8 @@
     fn apply(&mut self, verdict: Verdict, lines: BTreeSet<u64>) {
         let before = self.applied.clone();
         match verdict {
-            Verdict::Take(EndpointUpdate::Snapshot) => self.applied = lines,
-            Verdict::Take(_) => self.applied.extend(lines),
+            Verdict::Apply(EndpointUpdate::Snapshot) => self.applied = lines,
+            Verdict::Apply(_) => self.applied.extend(lines),
             Verdict::Gap | Verdict::Outdated => return,
         }
         assert!(before.is_subset(&self.applied), "an older list replaced a newer one: {:#?}", self.events);
@@ -192,9 +192,9 @@
 
     /// Carries out the client's steps; `outcome` says how each call ends.
     fn run_client(&mut self, outcome: &mut dyn FnMut(usize) -> CallOutcome) {
-        while let Some(step) = self.client.due(self.now) {
+        while let Some(step) = self.client.next_step(self.now) {
             match step {
-                Step::Call { call, target } => {
+                PollStep::Call { call, target } => {
                     let outcome = outcome(self.calls_started);
                     self.calls_started += 1;
                     if !matches!(
@@ -206,7 +206,7 @@
                     self.log(format!("call {call}: {target:?}, {outcome:?}"));
                     self.calls.push(Call { id: call, target, started_at: self.now, outcome, answer: None });
                 }
-                Step::Drop { call } => {
+                PollStep::Abort { call } => {
                     self.log(format!("call {call} dropped"));
                     self.calls.retain(|c| c.id != call);
                 }
--- a/tests/scheduler/admission.rs
+++ b/tests/scheduler/admission.rs
@@ -117,7 +117,7 @@
         let answer = Answer {
             outcome: Outcome::Succeeded,
             latency: 250.0,
-            request_over: true,
+            request_finished: true,
             volume_usage: None,
             remote_units: 0.0,
         };
--- a/tests/scheduler/endpoint_health.rs
+++ b/tests/scheduler/endpoint_health.rs
@@ -35,7 +35,7 @@
 #[test]
 fn one_unanswered_attempt_closes_no_node_that_other_hosts_report_answers_of() {
     let attempts_after = |lost: usize, receives_gossip: bool| {
-        let mut simulation = Simulation::new(SchedulerConfig { peer: Some(0), ..config() });
+        let mut simulation = Simulation::new(SchedulerConfig { host_number: Some(0), ..config() });
         for _ in 0..lost {
             simulation.submit(request_of(1));
             for _ in 0..25 * usize::from(receives_gossip) {
--- a/tests/scheduler/gossip.rs
+++ b/tests/scheduler/gossip.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn remote_in_flight_attempts_take_slots_until_their_report_expires() {
-    let mut config = SchedulerConfig { hosts: 3.0, peer: Some(0), ..config() };
+    let mut config = SchedulerConfig { hosts: 3.0, host_number: Some(0), ..config() };
     config.classes[0].latency_objective = 1000.0;
     let mut simulation = Simulation::new(config);
     let excess = || Request { units: 4.0, client_timeout: 2000.0, ..request_of(2) };
@@ -37,7 +37,7 @@
 #[test]
 fn a_host_without_queued_requests_gossips_half_as_often() {
     let reports_with = |queued: usize| {
-        let mut config = SchedulerConfig { peer: Some(0), ..config() };
+        let mut config = SchedulerConfig { host_number: Some(0), ..config() };
         config.classes[0].latency_objective = 3000.0;
         let mut simulation = Simulation::new(config);
         simulation.submit_all(4 + queued, &Request { units: 4.0, ..request_of(2) });
@@ -52,7 +52,7 @@
 fn hosts_that_compete_for_a_node_do_not_take_its_free_slot_together() {
     let sent_at_once = |competing_hosts: usize| {
         let attempts = |seed: u64| {
-            let config = SchedulerConfig { hosts: 20.0, peer: Some(0), seed, ..config() };
+            let config = SchedulerConfig { hosts: 20.0, host_number: Some(0), seed, ..config() };
             let mut simulation = Simulation::new(config);
             let excess = Request { units: 4.0, ..request_of(2) };
             spend_reserve(&mut simulation, &excess);
--- a/tests/scheduler/rules.rs
+++ b/tests/scheduler/rules.rs
@@ -74,8 +74,8 @@
 #[test]
 fn the_scheduler_keeps_every_rule_of_the_reference_model() {
     fn every_request_is_answered(events: Vec<Event>) -> bool {
-        let peer = Some(0).filter(|_| !events.len().is_multiple_of(3));
-        let mut simulation = Simulation::new(SchedulerConfig { peer, ..config() });
+        let host_number = Some(0).filter(|_| !events.len().is_multiple_of(3));
+        let mut simulation = Simulation::new(SchedulerConfig { host_number, ..config() });
         simulation.coalesces = events.len().is_multiple_of(2);
         for event in events {
             play(&mut simulation, event);
@@ -91,8 +91,8 @@
 #[test]
 fn without_received_gossip_decisions_are_those_of_a_host_that_cannot_gossip() {
     fn decisions_are_the_same(events: Vec<Event>) -> bool {
-        let decisions = |peer: Option<usize>| {
-            let mut simulation = Simulation::new(SchedulerConfig { peer, ..config() });
+        let decisions = |host_number: Option<usize>| {
+            let mut simulation = Simulation::new(SchedulerConfig { host_number, ..config() });
             (simulation.fixed_step, simulation.drops_gossip) = (true, true);
             for (kind, a, b) in &events {
                 // The node of a request without a shard is drawn anew at each check: there is none here.
--- a/tests/scheduler/simulation.rs
+++ b/tests/scheduler/simulation.rs
@@ -35,7 +35,7 @@
             class(Idempotency::NonIdempotent, DeduplicationScope::Shard, false),
         ],
         policies: vec![policy(0.0), policy(40.0)],
-        round: ROUND,
+        action_interval: ROUND,
         max_attempts: 3,
         can_cancel: true,
         max_retry_after: 500.0,
@@ -52,7 +52,7 @@
         max_batch_units: 8.0,
         share_weight: 0.3,
         counts_remote_service: true,
-        peer: None,
+        host_number: None,
     }
 }
 
@@ -334,7 +334,7 @@
     /// The attempt in flight of a request ends, if there is one.
     pub(crate) fn outcome(&mut self, id: usize, outcome: Outcome) {
         let (now, record) = (self.now, &mut self.requests[id]);
-        let request_over = record.completion.is_some() || outcome == Outcome::Succeeded;
+        let request_finished = record.completion.is_some() || outcome == Outcome::Succeeded;
         let Some(attempt) = record.attempts.last_mut().filter(|attempt| attempt.is_in_flight()) else {
             return;
         };
@@ -344,7 +344,7 @@
             record.completion.get_or_insert(Completion::WithoutFinalStatus);
             self.served.push(Transfer { at: now, node, units: record.request.units });
         }
-        let answer = Answer { outcome, latency, request_over, volume_usage: None, remote_units: 0.0 };
+        let answer = Answer { outcome, latency, request_finished, volume_usage: None, remote_units: 0.0 };
         if let AfterOutcome::Finish(status) = self.scheduler.on_outcome(now, id, &answer) {
             self.complete(id, status);
         }
