--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -10,8 +10,8 @@
     println!(
         "{}: good; {} bands, {} plans, {} volumes",
         file.display(),
-        host.start.classes.len(),
-        host.start.policies.len(),
+        host.scheduler.classes.len(),
+        host.scheduler.policies.len(),
         host.volumes.len()
     );
     Ok(ExitStatus::Success)
--- a/crates/cli/src/commands/extents/map_service.rs
+++ b/crates/cli/src/commands/extents/map_service.rs
@@ -1,6 +1,8 @@
 //! A blocking client of the map service.
 
-use magpiewick_node_protocol::{decode, encode, Decoded, Hello, Message, MigrationStage, Role, LONG_AGO};
+use magpiewick_node_protocol::{
+    decode, encode, Decoded, Hello, Message, MigrationStage, Role, AGE_LONG_RUNNING,
+};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -28,7 +30,7 @@
         let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         stream.set_read_timeout(Some(READ_TIMEOUT))?;
         let mut service = MapService { stream, received: Vec::new() };
-        service.send(&Message::Hello(Hello::new(Role::Client, 0, 0, LONG_AGO)))?;
+        service.send(&Message::Hello(Hello::new(Role::Client, 0, 0, AGE_LONG_RUNNING)))?;
         Ok(service)
     }
 
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -31,7 +31,7 @@
     };
     scenario.traffic.rate = arguments.rate.unwrap_or(scenario.traffic.rate);
     // The whole traffic goes to the one host.
-    settings.host.start.hosts = 1.0;
+    settings.host.scheduler.hosts = 1.0;
     let address = arguments.host.unwrap_or(settings.host.listen);
     let report = offer_load(&settings.host, scenario, address, arguments.seed)?;
     match arguments.format {
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -5,7 +5,7 @@
 use crate::settings::{self, fresh_number};
 use crate::signals::termination_signals;
 use magpiewick_emulator::EmulatorHandle;
-use magpiewick_gateway::{Gateway, HostEnd};
+use magpiewick_gateway::{Gateway, HostExit};
 use magpiewick_scenario::Config;
 use magpiewick_transport::Clock;
 use std::io::{self, Write};
@@ -48,7 +48,7 @@
         Some(emulator) => {
             let services = EmulatorHandle::start(emulator, Clock::start(), None)?;
             services.execute(|emulator| emulator.disable_recording());
-            settings.host.list.address = services.list;
+            settings.host.list_service.address = services.list;
             Some(services)
         }
         None => None,
@@ -59,8 +59,8 @@
     let end = gateway.run()?;
     drop(services);
     Ok(match end {
-        HostEnd::Stopped => ExitStatus::Success,
-        HostEnd::Abandoned => ExitStatus::RequestsUnanswered,
+        HostExit::Stopped => ExitStatus::Success,
+        HostExit::Abandoned => ExitStatus::RequestsUnanswered,
     })
 }
 
@@ -74,6 +74,6 @@
     }
     host.number = arguments.number.unwrap_or(host.number);
     host.listen = arguments.listen.unwrap_or(host.listen);
-    host.list.address = arguments.list.unwrap_or(host.list.address);
-    host.start.seed = arguments.seed.unwrap_or(host.start.seed);
+    host.list_service.address = arguments.list.unwrap_or(host.list_service.address);
+    host.scheduler.seed = arguments.seed.unwrap_or(host.scheduler.seed);
 }
--- a/crates/emulator/src/emulator.rs
+++ b/crates/emulator/src/emulator.rs
@@ -14,7 +14,7 @@
 use crate::received_attempt::{AttemptInterceptor, ReceivedAttempt};
 use crate::timer_queue::TimerQueue;
 use crate::Ms;
-use magpiewick_node_protocol::{Frames, Hello, MapUpdate, Message, Role, LONG_AGO};
+use magpiewick_node_protocol::{Frames, Hello, MapUpdate, Message, Role, AGE_LONG_RUNNING};
 use magpiewick_transport::{listen, Clock, LoopDelay, Poll, PollEvents, Registered};
 use nanorand::{Rng, WyRand};
 use std::net::{SocketAddr, TcpListener};
@@ -161,7 +161,7 @@
         while !self.is_shutting_down {
             let (now, wake_at) = (self.clock.now(), self.timers.next_at());
             self.delay.on_sleep(now, wake_at.unwrap_or(f64::INFINITY));
-            let wait = wake_at.map(|at| Clock::until(now, at));
+            let wait = wake_at.map(|at| Clock::duration_until(now, at));
             if let Err(error) = self.poll.wait(&mut poll_events, wait) {
                 return tracing::error!(%error, "emulator_poll_failed");
             }
@@ -322,7 +322,7 @@
 
     fn hello(&self, node: Option<usize>) -> Message<'static> {
         let hello = match node.map(|node| &self.nodes[node]) {
-            None => Hello::new(Role::EndpointList, 0, 0, LONG_AGO),
+            None => Hello::new(Role::EndpointList, 0, 0, AGE_LONG_RUNNING),
             Some(node) => {
                 Hello::new(Role::Node, node.config.number, node.incarnation, age_us(node, self.now))
             }
@@ -345,7 +345,7 @@
             }
         }
         let used = frames.consumed();
-        self.connections.at(index).connection.give_back(input, used);
+        self.connections.at(index).connection.return_input(input, used);
         if ended {
             self.close_connection(index);
         }
@@ -422,5 +422,5 @@
 /// The age of a node's process in microseconds.
 pub(crate) fn age_us(node: &Node, now: Ms) -> u64 {
     let started_at = node.slow_start.started_at();
-    started_at.map_or(LONG_AGO, |started_at| ((now - started_at).max(0.0) * 1000.0) as u64)
+    started_at.map_or(AGE_LONG_RUNNING, |started_at| ((now - started_at).max(0.0) * 1000.0) as u64)
 }
--- a/crates/emulator/src/execution.rs
+++ b/crates/emulator/src/execution.rs
@@ -276,7 +276,7 @@
             attempt: attempt.attempt,
             code,
             used: None,
-            others: served_through_others as f32,
+            remote_units: served_through_others as f32,
             queue: node.queue.len() as u32,
             busy: node.busy(),
             payload,
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -132,7 +132,7 @@
             if is_stopped() {
                 return;
             }
-            let left = Clock::until(clock.now(), start + at);
+            let left = Clock::duration_until(clock.now(), start + at);
             std::thread::sleep(left.min(STOP_CHECK_INTERVAL));
         }
         tracing::info!(at_ms = at, step = ?step, "script_step_played");
--- a/crates/emulator/src/timer_queue.rs
+++ b/crates/emulator/src/timer_queue.rs
@@ -23,12 +23,12 @@
 
     /// When the next timer is due.
     pub(crate) fn next_at(&self) -> Option<Ms> {
-        self.timers.next_at()
+        self.timers.next_due_at()
     }
 
     /// The next timer that is due.
     pub(crate) fn pop_due(&mut self, now: Ms) -> Option<T> {
-        let id = self.timers.due(now)?;
+        let id = self.timers.pop_due(now)?;
         self.values.remove(&id)
     }
 }
--- a/crates/exchange/src/common_responses/tests.rs
+++ b/crates/exchange/src/common_responses/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn arrived(body: &[u8]) -> ReceivedResponse<'_> {
-    ReceivedResponse { status: 200, body, trailing: b"", names: None }
+    ReceivedResponse { status: 200, body, trailing: b"", request_id: None }
 }
 
 #[test]
--- a/crates/exchange/src/endpoint_trust.rs
+++ b/crates/exchange/src/endpoint_trust.rs
@@ -58,19 +58,19 @@
 /// way, so a connection is used again only after an idle time in which nothing arrived, and an endpoint that sent more
 /// than was requested gets a new connection for each exchange until it has behaved for a number of them.
 #[derive(Clone, Debug)]
-pub struct EndpointTrust {
+pub struct ConnectionReusePolicy {
     now: Ms,
     learned_idle: Ms,
     distrusted: BTreeMap<u32, Distrust>,
 }
 
-impl Default for EndpointTrust {
-    fn default() -> EndpointTrust {
-        EndpointTrust { now: 0.0, learned_idle: MIN_IDLE_MS, distrusted: BTreeMap::new() }
+impl Default for ConnectionReusePolicy {
+    fn default() -> ConnectionReusePolicy {
+        ConnectionReusePolicy { now: 0.0, learned_idle: MIN_IDLE_MS, distrusted: BTreeMap::new() }
     }
 }
 
-impl EndpointTrust {
+impl ConnectionReusePolicy {
     /// Time advances: endpoints that have behaved for long enough are trusted again.
     pub fn advance(&mut self, now: Ms) {
         self.now = now;
@@ -94,7 +94,7 @@
     }
 
     /// Whether an endpoint ever sent more than was requested.
-    pub fn has_offended(&self, endpoint: u32) -> bool {
+    pub fn has_sent_unsolicited_bytes(&self, endpoint: u32) -> bool {
         self.distrusted.get(&endpoint).is_some_and(|distrust| distrust.offences > 0)
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// The endpoint has left the list.
-    pub fn forget(&mut self, endpoint: u32) {
+    pub fn remove_endpoint(&mut self, endpoint: u32) {
         self.distrusted.remove(&endpoint);
     }
 }
--- a/crates/exchange/src/endpoint_trust/tests.rs
+++ b/crates/exchange/src/endpoint_trust/tests.rs
@@ -2,17 +2,17 @@
 
 #[test]
 fn an_endpoint_that_sent_too_much_once_is_not_trusted_while_it_is_listed() {
-    let mut trust = EndpointTrust::default();
+    let mut trust = ConnectionReusePolicy::default();
     assert!(trust.may_reuse(1, 200) && !trust.may_reuse(1, 503) && !trust.may_reuse(1, 500));
     trust.on_unsolicited_bytes(1, 3.0);
     assert!(!trust.may_reuse(1, 200) && trust.may_reuse(2, 200));
-    trust.forget(1);
+    trust.remove_endpoint(1);
     assert!(trust.may_reuse(1, 200));
 }
 
 #[test]
 fn late_bytes_of_one_endpoint_lengthen_the_idle_time_of_all() {
-    let mut trust = EndpointTrust::default();
+    let mut trust = ConnectionReusePolicy::default();
     trust.on_unsolicited_bytes(1, 3.0);
     assert_eq!(trust.min_idle(), 100.0, "no shorter than what the network is allowed");
     trust.on_unsolicited_bytes(1, 100.0);
@@ -27,11 +27,11 @@
 
 /// The digest of a response with this body.
 fn digest(body: &[u8]) -> ResponseDigest {
-    crate::ReceivedResponse { status: 200, body, trailing: b"", names: None }.digest()
+    crate::ReceivedResponse { status: 200, body, trailing: b"", request_id: None }.digest()
 }
 
 /// How many exchanges it takes until an endpoint is trusted.
-fn exchanges_until_trusted(trust: &mut EndpointTrust, endpoint: u32) -> u32 {
+fn exchanges_until_trusted(trust: &mut ConnectionReusePolicy, endpoint: u32) -> u32 {
     let mut exchanges = 0;
     while !trust.may_reuse(endpoint, 200) {
         trust.on_exchange(endpoint);
@@ -42,7 +42,7 @@
 
 #[test]
 fn trust_is_regained_by_exchanges_and_later_each_time() {
-    let mut trust = EndpointTrust::default();
+    let mut trust = ConnectionReusePolicy::default();
     let mut waits = Vec::new();
     for _ in 0..9 {
         trust.on_unsolicited_bytes(1, 3.0);
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_suspicion_is_lifted_once_the_response_is_known_to_be_common() {
-    let mut trust = EndpointTrust::default();
+    let mut trust = ConnectionReusePolicy::default();
     trust.on_suspected_copy(1, digest(b"OK"), 150.0);
     assert!(!trust.may_reuse(1, 200));
     assert_eq!(trust.min_idle(), 600.0, "it may have been as late");
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_suspicion_that_nothing_explains_counts_as_a_late_copy() {
-    let mut trust = EndpointTrust::default();
+    let mut trust = ConnectionReusePolicy::default();
     trust.on_suspected_copy(1, digest(b"OK"), 150.0);
     assert_eq!(exchanges_until_trusted(&mut trust, 1), 64);
     assert_eq!(trust.min_idle(), 600.0);
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_common_response_does_not_excuse_an_endpoint_that_sent_too_much() {
-    let mut trust = EndpointTrust::default();
+    let mut trust = ConnectionReusePolicy::default();
     trust.on_unsolicited_bytes(1, 3.0);
     trust.on_suspected_copy(1, digest(b"OK"), 150.0);
     trust.on_common_response(digest(b"OK"));
@@ -87,7 +87,7 @@
 
 #[test]
 fn trust_is_regained_by_time_and_later_each_time() {
-    let mut trust = EndpointTrust::default();
+    let mut trust = ConnectionReusePolicy::default();
     let mut now = 1000.0;
     for wait in [10_000.0, 20_000.0, 40_000.0, 80_000.0, 160_000.0, 320_000.0, 640_000.0, 640_000.0] {
         trust.advance(now);
--- a/crates/exchange/src/exchange_history.rs
+++ b/crates/exchange/src/exchange_history.rs
@@ -20,7 +20,7 @@
     /// What has arrived after it.
     pub trailing: &'a [u8],
     /// The id of the request that it names.
-    pub names: Option<&'a str>,
+    pub request_id: Option<&'a str>,
 }
 
 /// A digest of the status and body of a response.
@@ -88,7 +88,7 @@
     /// part of one. Where an endpoint gives the same response to two requests on one connection, the second counts as
     /// a mismatch.
     pub fn verify(&self, response: &ReceivedResponse<'_>, request_id: &str) -> Result<(), ResponseMismatch> {
-        if response.names.is_some_and(|named| named != request_id) {
+        if response.request_id.is_some_and(|named| named != request_id) {
             return Err(ResponseMismatch::DifferentRequestId);
         }
         if self.exchanges == 0 {
@@ -105,7 +105,7 @@
 
     /// The same, where responses are known that different requests are given: the same content is no sign then, unless
     /// more arrived behind it.
-    pub fn verify_among(
+    pub fn verify_allowing_common(
         &self,
         response: &ReceivedResponse<'_>,
         request_id: &str,
--- a/crates/exchange/src/exchange_history/tests.rs
+++ b/crates/exchange/src/exchange_history/tests.rs
@@ -2,7 +2,7 @@
 use quickcheck::quickcheck;
 
 fn arrived<'a>(body: &'a [u8], trailing: &'a [u8]) -> ReceivedResponse<'a> {
-    ReceivedResponse { status: 200, body, trailing, names: None }
+    ReceivedResponse { status: 200, body, trailing, request_id: None }
 }
 
 fn used(bodies: &[&[u8]]) -> ExchangeHistory {
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_response_that_names_another_request_is_a_mismatch() {
-    let answer = ReceivedResponse { names: Some("b"), ..arrived(b"body", b"") };
+    let answer = ReceivedResponse { request_id: Some("b"), ..arrived(b"body", b"") };
     assert_eq!(ExchangeHistory::default().verify(&answer, "a"), Err(ResponseMismatch::DifferentRequestId));
     assert_eq!(ExchangeHistory::default().verify(&answer, "b"), Ok(()));
 }
@@ -80,11 +80,11 @@
     for (connection, body) in [(1, b"OK".as_slice()), (2, b"OK"), (2, b"own")] {
         common.record(connection, &arrived(body, b""));
     }
-    assert_eq!(history.verify_among(&arrived(b"OK", b""), "a", &common), Ok(()));
+    assert_eq!(history.verify_allowing_common(&arrived(b"OK", b""), "a", &common), Ok(()));
     let copy = Err(ResponseMismatch::DuplicateResponse);
-    assert_eq!(history.verify_among(&arrived(b"OK", b"HTTP/1.1 200 OK"), "a", &common), copy);
-    assert_eq!(history.verify_among(&arrived(b"own", b""), "a", &common), copy);
-    let named = ReceivedResponse { names: Some("b"), ..arrived(b"OK", b"") };
-    let verdict = history.verify_among(&named, "a", &common);
+    assert_eq!(history.verify_allowing_common(&arrived(b"OK", b"HTTP/1.1 200 OK"), "a", &common), copy);
+    assert_eq!(history.verify_allowing_common(&arrived(b"own", b""), "a", &common), copy);
+    let named = ReceivedResponse { request_id: Some("b"), ..arrived(b"OK", b"") };
+    let verdict = history.verify_allowing_common(&named, "a", &common);
     assert_eq!(verdict, Err(ResponseMismatch::DifferentRequestId));
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,7 +1,7 @@
 //! Exchanges of requests and responses on HTTP/1.1 connections, free of I/O.
 //!
 //! HTTP/1.1 matches a response to its request by order alone. What keeps that order is decided here, on both sides of
-//! a host: [`ExchangeHistory`], [`CommonResponses`] and [`EndpointTrust`] say which bytes from an endpoint may be the response to the
+//! a host: [`ExchangeHistory`], [`CommonResponses`] and [`ConnectionReusePolicy`] say which bytes from an endpoint may be the response to the
 //! request in flight, and when a connection may carry another exchange; [`RequestQueue`] holds what a client has sent
 //! until each request of it has its response.
 
@@ -11,7 +11,7 @@
 mod request_queue;
 
 pub use common_responses::CommonResponses;
-pub use endpoint_trust::EndpointTrust;
+pub use endpoint_trust::ConnectionReusePolicy;
 pub use exchange_history::{ExchangeHistory, ReceivedResponse, ResponseDigest, ResponseMismatch};
 pub use request_queue::{NextRequest, RequestQueue};
 
--- a/crates/exchange/src/request_queue.rs
+++ b/crates/exchange/src/request_queue.rs
@@ -113,7 +113,7 @@
 
     /// Keeps at most so many bytes of complete requests; those after them are counted and will be rejected in their
     /// turn.
-    pub fn bound(&mut self, limit: usize) {
+    pub fn limit_buffered(&mut self, limit: usize) {
         if self.overflow.is_some() || self.buffered() <= limit {
             return;
         }
--- a/crates/exchange/src/request_queue/tests.rs
+++ b/crates/exchange/src/request_queue/tests.rs
@@ -35,7 +35,7 @@
             let (now, later) = rest.split_at(rest.len().min(usize::from(*piece) + 1));
             queue.push(now.to_vec());
             match bound % 3 {
-                0 => queue.bound(usize::from(*bound) * 4),
+                0 => queue.limit_buffered(usize::from(*bound) * 4),
                 1 => out.extend(drained(&mut queue)),
                 _ => {}
             }
@@ -55,7 +55,7 @@
     let length = request(0).len();
     queue.push((0..5).flat_map(|_| request(0)).collect());
     queue.push(b"GET /half HTTP/1.1\r\n".to_vec());
-    queue.bound(2 * length + 1);
+    queue.limit_buffered(2 * length + 1);
     assert_eq!(queue.buffered(), 2 * length);
     queue.push(b"Host: h\r\n\r\nGET /late".to_vec());
     let out = drained(&mut queue);
@@ -68,7 +68,7 @@
 fn garbage_after_rejected_requests_ends_the_queue_in_its_turn() {
     let mut queue = RequestQueue::default();
     queue.push([request(0), request(1), b"\x01\x02\r\n\r\n".to_vec()].concat());
-    queue.bound(1);
+    queue.limit_buffered(1);
     queue.push(b"more".to_vec());
     assert!(queue.is_malformed());
     assert_eq!((queue.take_next(), queue.take_next()), (NextRequest::Overflowed, NextRequest::Overflowed));
@@ -81,7 +81,7 @@
     let request = request(6);
     queue.push(request[..40].to_vec());
     assert_eq!(queue.take_next(), NextRequest::Partial);
-    queue.bound(1);
+    queue.limit_buffered(1);
     queue.push(request[40..].to_vec());
     assert_eq!((queue.take_next(), queue.take_next()), (NextRequest::Overflowed, NextRequest::Empty));
 }
--- a/crates/exchange/tests/interleavings.rs
+++ b/crates/exchange/tests/interleavings.rs
@@ -49,7 +49,7 @@
         let (used, answer) = answers.read(&input).ok()?;
         if let Some(answer) = answer {
             let (status, body, trailing) = (answer.status, &answer.body[..], &input[used..]);
-            let arrived = ReceivedResponse { status, body, trailing, names: None };
+            let arrived = ReceivedResponse { status, body, trailing, request_id: None };
             return history.verify(&arrived, "request").is_ok().then_some(answer.body);
         }
         input.drain(..used);
@@ -65,7 +65,7 @@
         for now in 1..BODIES.len() {
             let mut history = ExchangeHistory::default();
             for body in &BODIES[..now] {
-                history.record(0.0, &ReceivedResponse { status: 200, body, trailing: b"", names: None });
+                history.record(0.0, &ReceivedResponse { status: 200, body, trailing: b"", request_id: None });
             }
             for prefix in unsolicited_prefixes(&answers[..now]) {
                 let together = [&prefix[..], &answers[now]].concat();
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -1,10 +1,10 @@
 //! The connections of clients, and which requests each of them waits for.
 
-use crate::config::Bounds;
+use crate::config::HostLimits;
 use crate::poll_key::{index_of, poll_key, source_of, Source};
 use magpiewick::Ms;
 use magpiewick_node_protocol::Message;
-use magpiewick_transport::{Connection, Ended, Poll, UNTRACKED};
+use magpiewick_transport::{Connection, Poll, StreamEnd, UNTRACKED};
 use slab::Slab;
 use std::collections::HashMap;
 use std::net::TcpStream;
@@ -29,7 +29,7 @@
 }
 
 impl ClientConnections {
-    pub(crate) fn new(bounds: &Bounds) -> ClientConnections {
+    pub(crate) fn new(bounds: &HostLimits) -> ClientConnections {
         ClientConnections {
             clients: Slab::new(),
             max_clients: bounds.max_clients,
@@ -91,7 +91,7 @@
 
     /// Pauses a client that does not read its answers, until it does: what is kept for it is bounded by what it had
     /// pending.
-    pub(crate) fn pause_if_slow(&mut self, now: Ms, key: usize) -> Result<(), Ended> {
+    pub(crate) fn pause_if_slow(&mut self, now: Ms, key: usize) -> Result<(), StreamEnd> {
         let max_pending_bytes = self.max_pending_bytes;
         let Some(client) = self.get_mut(key).filter(|_| source_of(key) == Source::Client) else {
             return Ok(());
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -2,7 +2,7 @@
 
 mod reader;
 
-pub use reader::host;
+pub use reader::read_host_config;
 
 use magpiewick::{Ms, SchedulerConfig};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 
 /// The endpoint list service.
 #[derive(Clone, Debug)]
-pub struct ListSource {
+pub struct ListServiceConfig {
     /// Where it listens.
     pub address: SocketAddr,
     /// It must be polled; else it pushes updates to each connection.
@@ -28,16 +28,16 @@
     /// Its name in logs.
     pub name: String,
     /// The index of its QoS policy.
-    pub plan: usize,
+    pub policy: usize,
     /// The shards that hold its data; a piece of data lies on the one that its key hashes to.
     pub shards: Vec<usize>,
     /// The number of hosts that serve its requests.
-    pub hosts: f64,
+    pub host_count: f64,
 }
 
 /// Limits on what a host accepts, and its timeouts on sockets.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct HostLimits {
     /// The time for a connect and the peer's greeting.
     pub connect_timeout: Ms,
     /// How long a client may leave a frame incomplete.
@@ -78,9 +78,9 @@
     /// Where it listens for clients.
     pub listen: SocketAddr,
     /// The endpoint list service.
-    pub list: ListSource,
+    pub list_service: ListServiceConfig,
     /// The settings of the scheduler.
-    pub start: SchedulerConfig,
+    pub scheduler: SchedulerConfig,
     /// The names of the request classes, in the scheduler's order.
     pub classes: Vec<String>,
     /// The volumes by id.
@@ -88,18 +88,18 @@
     /// The gossip addresses of hosts by number, this host's included; empty where hosts do not gossip.
     pub gossip_addresses: BTreeMap<usize, SocketAddr>,
     /// Limits and timeouts.
-    pub bounds: Bounds,
+    pub limits: HostLimits,
     /// What is logged.
     pub log: LogConfig,
     /// Which writes are coalesced; one part where none are.
     pub coalescing: magpiewick_coalescing::BatchLimits,
     /// How reads are split.
-    pub split: Split,
+    pub split_reads: SplitReadConfig,
 }
 
 /// How large reads are split.
 #[derive(Clone, Debug)]
-pub struct Split {
+pub struct SplitReadConfig {
     /// The most blocks of a part; extents are kept apart in any case.
     pub max_blocks: u64,
     /// The most parts of one read in flight at once.
@@ -109,15 +109,18 @@
 impl HostConfig {
     /// Disables slow start of nodes and the retry-after of rejections, for comparison.
     pub fn disable_overload_damping(&mut self) {
-        (self.start.slow_start_share, self.start.slow_start_duration, self.start.overload_window) =
-            (1.0, 0.0, 0.0);
-        self.start.max_retry_after = 0.0;
+        (
+            self.scheduler.slow_start_share,
+            self.scheduler.slow_start_duration,
+            self.scheduler.overload_window,
+        ) = (1.0, 0.0, 0.0);
+        self.scheduler.max_retry_after = 0.0;
     }
 
     /// Sends every request by itself.
     pub fn disable_coalescing(&mut self) {
         self.coalescing.max_parts = 1;
-        self.start.max_batch_units = self.start.max_units;
+        self.scheduler.max_batch_units = self.scheduler.max_units;
     }
 }
 
--- a/crates/gateway/src/config/reader.rs
+++ b/crates/gateway/src/config/reader.rs
@@ -1,7 +1,7 @@
 //! Reads the settings of a host from an HCL file. The names of keys and their values are those of our installations;
 //! this is the one place that maps them to the code's terms.
 
-use super::{Bounds, HostConfig, ListSource, LogConfig, LogFormat, Split, Volume};
+use super::{HostConfig, HostLimits, ListServiceConfig, LogConfig, LogFormat, SplitReadConfig, Volume};
 use magpiewick::{
     DeduplicationScope, Idempotency, Ms, QosPolicy, RequestClass, RetryBudget, SchedulerConfig,
 };
@@ -27,7 +27,7 @@
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// Reads and checks the settings of a host. `seed` is used where the file states none.
-pub fn host(root: &SettingsBlock<'_>, seed: u64) -> Option<HostConfig> {
+pub fn read_host_config(root: &SettingsBlock<'_>, seed: u64) -> Option<HostConfig> {
     let part = root.required_block("host");
     let list = root.optional_block("list").map(|p| list(&p));
     let round = part.as_ref().map_or(2.0, |p| p.attribute("round").duration_ms_or(2.0));
@@ -46,7 +46,7 @@
         );
     }
     let max_poll_interval = list.as_ref().and_then(|(_, within)| *within);
-    let mut start = SchedulerConfig {
+    let mut scheduler = SchedulerConfig {
         seed: part.attribute("seed").integer_or(0..=u64::MAX, seed),
         hosts,
         classes,
@@ -71,16 +71,18 @@
         peer: None,
     };
     if let Some(p) = root.optional_block("cold") {
-        slow_start(&p, &mut start);
+        slow_start(&p, &mut scheduler);
     }
-    start.budget = root.optional_block("budget").map(|p| retry_budget(&p));
-    if start.max_attempts > 1 && start.classes.iter().all(|b| b.idempotency == Idempotency::NonIdempotent) {
+    scheduler.budget = root.optional_block("budget").map(|p| retry_budget(&p));
+    if scheduler.max_attempts > 1
+        && scheduler.classes.iter().all(|b| b.idempotency == Idempotency::NonIdempotent)
+    {
         let message = "hand_offs to spare, where every band is binding; a second one is never allowed after \
             the first may have run";
         part.report_attribute_error("hand_offs", message);
     }
-    capacity(root, &start, &volumes);
-    let bounds = Bounds {
+    capacity(root, &scheduler, &volumes);
+    let limits = HostLimits {
         connect_timeout: part.attribute("connect_within").duration_ms_or(250.0),
         partial_frame_timeout: part.attribute("frame_within").duration_ms_or(10_000.0),
         max_clients: part.attribute("most_clients").integer_or(1..=1_000_000, 4096) as usize,
@@ -89,27 +91,27 @@
     };
     let coalescing = coalescing(root.optional_block("merge"), units);
     if coalescing.max_parts > 1 {
-        start.max_batch_units = coalescing.max_units.max(units);
+        scheduler.max_batch_units = coalescing.max_units.max(units);
     }
     Some(HostConfig {
         number: part.attribute("number").integer_or(0..=u64::from(u32::MAX), 0) as u32,
         listen: part.attribute("listen").address_or(LOOPBACK),
-        list: list.map_or(
-            ListSource { address: LOOPBACK, polled: false, serves_map: false, cache_path: None },
+        list_service: list.map_or(
+            ListServiceConfig { address: LOOPBACK, polled: false, serves_map: false, cache_path: None },
             |(source, _)| source,
         ),
-        start,
+        scheduler,
         classes: class_names,
         volumes,
         gossip_addresses: gossip_addresses(root, hosts as usize),
-        bounds,
+        limits,
         log,
         coalescing,
-        split: split(root.optional_block("split")),
+        split_reads: split(root.optional_block("split")),
     })
 }
 
-fn list(p: &SettingsBlock<'_>) -> (ListSource, Option<Ms>) {
+fn list(p: &SettingsBlock<'_>) -> (ListServiceConfig, Option<Ms>) {
     let polled = p.attribute("mode").one_of_or(&POLLED_WORDS, false);
     let within = p.attribute("ask_within");
     let max_poll_interval = match (polled, within.is_present()) {
@@ -124,7 +126,7 @@
         (false, false) => None,
     };
     let cache = p.attribute("remember");
-    let source = ListSource {
+    let source = ListServiceConfig {
         address: p.attribute("address").address_or(LOOPBACK),
         polled,
         serves_map: p.attribute("map").bool_or(false),
@@ -150,9 +152,9 @@
     }
 }
 
-fn split(part: Option<SettingsBlock<'_>>) -> Split {
+fn split(part: Option<SettingsBlock<'_>>) -> SplitReadConfig {
     let (max_blocks, max_in_flight) = (64, 4);
-    part.map_or(Split { max_blocks, max_in_flight }, |p| Split {
+    part.map_or(SplitReadConfig { max_blocks, max_in_flight }, |p| SplitReadConfig {
         max_blocks: p.attribute("blocks").integer_or(1..=1 << 30, max_blocks),
         max_in_flight: p.attribute("at_once").integer_or(1..=256, max_in_flight as u64) as usize,
     })
@@ -240,19 +242,19 @@
     for p in root.labelled_blocks("volume") {
         let id = p.attribute("id").integer(0..=u64::MAX);
         let names: Vec<(&str, usize)> = plans.iter().map(String::as_str).zip(0..).collect();
-        let plan = p.attribute("plan").one_of(&names).unwrap_or(0);
+        let policy = p.attribute("plan").one_of(&names).unwrap_or(0);
         let shards: Vec<usize> = p.attribute("shards").integers().iter().map(|s| *s as usize).collect();
         if p.attribute("shards").is_present() && shards.is_empty() {
             p.report_attribute_error("shards", "shards is empty; a volume's data lies on one at least");
         }
-        let through = p.attribute("hosts").number_or(hosts);
-        if through < 1.0 || through > hosts {
+        let volume_hosts = p.attribute("hosts").number_or(hosts);
+        if volume_hosts < 1.0 || volume_hosts > hosts {
             p.report_attribute_error(
                 "hosts",
-                format!("a volume comes through 1 to {hosts} hosts, not {through}"),
+                format!("a volume comes through 1 to {hosts} hosts, not {volume_hosts}"),
             );
         }
-        let volume = Volume { name: p.label().to_string(), plan, shards, hosts: through };
+        let volume = Volume { name: p.label().to_string(), policy, shards, host_count: volume_hosts };
         if volumes.insert(id, volume).is_some() {
             p.report_attribute_error("id", format!("a second volume with the id {id}"));
         }
@@ -288,25 +290,25 @@
     addresses
 }
 
-fn slow_start(p: &SettingsBlock<'_>, start: &mut SchedulerConfig) {
-    start.slow_start_share = p.attribute("share").fraction_or(1.0);
-    start.slow_start_duration = p.attribute("time").duration_ms();
-    start.slow_start_units = p.attribute("units").number_or(0.0);
-    start.overload_window = p.attribute("fall_time").duration_ms();
-    start.overload_multiple = p.attribute("fall_multiple").number();
-    if start.slow_start_share <= 0.0 {
+fn slow_start(p: &SettingsBlock<'_>, scheduler: &mut SchedulerConfig) {
+    scheduler.slow_start_share = p.attribute("share").fraction_or(1.0);
+    scheduler.slow_start_duration = p.attribute("time").duration_ms();
+    scheduler.slow_start_units = p.attribute("units").number_or(0.0);
+    scheduler.overload_window = p.attribute("fall_time").duration_ms();
+    scheduler.overload_multiple = p.attribute("fall_multiple").number();
+    if scheduler.slow_start_share <= 0.0 {
         p.report_attribute_error(
             "share",
             "a share of 0: a node that can do nothing at its start is never warm",
         );
     }
-    if start.overload_window <= 0.0 && p.attribute("fall_time").is_present() {
+    if scheduler.overload_window <= 0.0 && p.attribute("fall_time").is_present() {
         p.report_attribute_error(
             "fall_time",
             "a fall_time of 0; expected the time over which a cold node is pushed over",
         );
     }
-    if start.overload_multiple < 1.0 && p.attribute("fall_multiple").is_present() {
+    if scheduler.overload_multiple < 1.0 && p.attribute("fall_multiple").is_present() {
         p.report_attribute_error(
             "fall_multiple",
             "a fall_multiple under 1: a cold node could not be sent what it can do",
@@ -330,13 +332,13 @@
 }
 
 /// Checks the reservations against the capacity of the shards, where that is stated.
-fn capacity(root: &SettingsBlock<'_>, start: &SchedulerConfig, volumes: &BTreeMap<u64, Volume>) {
+fn capacity(root: &SettingsBlock<'_>, scheduler: &SchedulerConfig, volumes: &BTreeMap<u64, Volume>) {
     let Some(p) = root.optional_block("capacity") else { return };
     let shard_capacity = p.attribute("units_a_second").number();
     let mut reserved: BTreeMap<usize, f64> = BTreeMap::new();
     for volume in volumes.values() {
         for shard in &volume.shards {
-            let reserve = start.policies.get(volume.plan).map_or(0.0, |plan| plan.reserve);
+            let reserve = scheduler.policies.get(volume.policy).map_or(0.0, |plan| plan.reserve);
             *reserved.entry(*shard).or_default() += reserve / volume.shards.len() as f64;
         }
     }
--- a/crates/gateway/src/config/tests.rs
+++ b/crates/gateway/src/config/tests.rs
@@ -5,7 +5,7 @@
         "host {{\n  hosts = 2\n}}\nband \"read\" {{\n  soft_limit = \"1s\"\n  time_limit = \"2s\"\n  \
          repeats = \"retriable\"\n}}\nplan \"all\" {{\n  rate = 10\n}}\n{more}"
     );
-    let read = magpiewick_hcl_settings::read_text("f", &text, |r| host(r, 1));
+    let read = magpiewick_hcl_settings::read_text("f", &text, |r| read_host_config(r, 1));
     read.map(|config| config.unwrap()).map_err(|faults| faults.to_string())
 }
 
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -13,8 +13,8 @@
 use crate::upstream_pool::UpstreamPool;
 use magpiewick::{Ms, Outcome};
 use magpiewick_coalescing::{Coalescer, OverlapLock};
-use magpiewick_node_protocol::{Hello, Role, LONG_AGO};
-use magpiewick_transport::{Clock, Connection, Ended, Poll, Timers};
+use magpiewick_node_protocol::{Hello, Role, AGE_LONG_RUNNING};
+use magpiewick_transport::{Clock, Connection, Poll, StreamEnd, Timers};
 use std::collections::VecDeque;
 
 mod clients;
@@ -92,20 +92,20 @@
             timers: Timers::default(),
             engine_wakes_at: 0.0,
             events: PendingEvents::default(),
-            clients: ClientConnections::new(&config.bounds),
+            clients: ClientConnections::new(&config.limits),
             requests: RequestRegistry::default(),
             split_reads: SplitReads::default(),
             upstreams: UpstreamPool::default(),
-            list_connection: ListConnection::new(&config.list, config.start.seed),
+            list_connection: ListConnection::new(&config.list_service, config.scheduler.seed),
             gossip,
             endpoint_list: EndpointList::default(),
             extent_map: magpiewick_extents::ExtentMapView::default(),
             overlap_lock: OverlapLock::default(),
             coalescer: Coalescer::new(config.coalescing.clone()),
-            late_effect_duration: config.start.ordering_quiet_period + config.start.round,
-            connect_timeout: config.bounds.connect_timeout,
-            frame_timeout: config.bounds.partial_frame_timeout,
-            hello: Hello::new(Role::Host, config.number, incarnation, LONG_AGO),
+            late_effect_duration: config.scheduler.ordering_quiet_period + config.scheduler.round,
+            connect_timeout: config.limits.connect_timeout,
+            frame_timeout: config.limits.partial_frame_timeout,
+            hello: Hello::new(Role::Host, config.number, incarnation, AGE_LONG_RUNNING),
             to_write: Vec::new(),
         }
     }
@@ -127,12 +127,12 @@
 
     /// When something is due next.
     pub(crate) fn next_due_at(&self) -> Ms {
-        self.timers.next_at().unwrap_or(f64::INFINITY).min(self.engine_wakes_at)
+        self.timers.next_due_at().unwrap_or(f64::INFINITY).min(self.engine_wakes_at)
     }
 
     /// Takes the next timer that is due.
     pub(crate) fn next_due_timer(&mut self) -> Option<Timer> {
-        self.timers.due(self.now)
+        self.timers.pop_due(self.now)
     }
 
     /// Whether something happened that is to be handled.
@@ -184,7 +184,7 @@
     }
 
     /// Reads what is there on a connection; the bytes, and why the connection is over where it is.
-    pub(crate) fn read(&mut self, key: usize) -> Option<(Vec<u8>, Option<Ended>)> {
+    pub(crate) fn read(&mut self, key: usize) -> Option<(Vec<u8>, Option<StreamEnd>)> {
         let connection = self.connection_mut(key)?;
         let ended = connection.fill().err();
         Some((connection.take_input(), ended))
@@ -198,12 +198,12 @@
     /// Returns what was read; its first `consumed` bytes are dropped.
     pub(crate) fn give_back(&mut self, key: usize, input: Vec<u8>, consumed: usize) {
         if let Some(connection) = self.connection_mut(key) {
-            connection.give_back(input, consumed);
+            connection.return_input(input, consumed);
         }
     }
 
     /// Writes what the kernel takes, and pauses a client that does not read its answers.
-    pub(crate) fn flush(&mut self, key: usize) -> Result<(), Ended> {
+    pub(crate) fn flush(&mut self, key: usize) -> Result<(), StreamEnd> {
         let Some(connection) = self.connection_mut(key) else { return Ok(()) };
         connection.flush()?;
         self.clients.pause_if_slow(self.now, key)
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -3,7 +3,7 @@
 
 use crate::node_connection::Process;
 use magpiewick::{Endpoint, EndpointState, EndpointUpdate, Ms};
-use magpiewick_node_protocol::{EndpointEntry, EndpointListUpdate, EntryState, LONG_AGO};
+use magpiewick_node_protocol::{EndpointEntry, EndpointListUpdate, EntryState, AGE_LONG_RUNNING};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -57,7 +57,7 @@
 
 /// When a process of this age started; none where it no longer matters.
 pub(crate) fn started_at(now: Ms, age_us: u64) -> Option<Ms> {
-    (age_us != LONG_AGO).then(|| now - age_us as f64 / 1000.0)
+    (age_us != AGE_LONG_RUNNING).then(|| now - age_us as f64 / 1000.0)
 }
 
 impl EndpointList {
@@ -137,7 +137,7 @@
     /// The list to cache over a restart of this host, with the ages as of now.
     pub(crate) fn snapshot(&self, now: Ms) -> EndpointListUpdate {
         let age_us = |started_at: Option<Ms>| {
-            started_at.map_or(LONG_AGO, |started_at| ((now - started_at).max(0.0) * 1000.0) as u64)
+            started_at.map_or(AGE_LONG_RUNNING, |started_at| ((now - started_at).max(0.0) * 1000.0) as u64)
         };
         let aged = |listed: &ListedNode| EndpointEntry { age_us: age_us(listed.started_at), ..listed.entry };
         let entries = self.nodes.values().map(aged).collect();
--- a/crates/gateway/src/endpoint_list/tests.rs
+++ b/crates/gateway/src/endpoint_list/tests.rs
@@ -50,7 +50,7 @@
         &update(
             true,
             4,
-            &[entry(1, EntryState::Ready, 7, 250_000), entry(2, EntryState::Ready, 9, LONG_AGO)],
+            &[entry(1, EntryState::Ready, 7, 250_000), entry(2, EntryState::Ready, 9, AGE_LONG_RUNNING)],
         ),
     );
     let cached = list.snapshot(1000.0);
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -30,7 +30,7 @@
 
 /// How a host ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostEnd {
+pub enum HostExit {
     /// A shutdown was requested, and everything pending got its final answer.
     Stopped,
     /// A second shutdown was requested.
@@ -78,16 +78,16 @@
             let own_number = config.number as usize;
             gossip =
                 Some(GossipSocket::bind(own_number, std::mem::take(&mut config.gossip_addresses), &poll)?);
-            config.start.peer = Some(own_number);
+            config.scheduler.peer = Some(own_number);
         }
         Ok(Gateway {
-            engine: Engine::new(config.start.clone(), now),
+            engine: Engine::new(config.scheduler.clone(), now),
             connections: Connections::new(&config, poll.clone(), clock, incarnation, gossip),
             listener,
             shutdown: GracefulShutdown::new(shutdown_signal, &poll)?,
             poll,
             at_capacity: false,
-            stall_detector: StallDetector::new(now, config.start.round),
+            stall_detector: StallDetector::new(now, config.scheduler.round),
             delay: LoopDelay::start(now),
             config,
         })
@@ -99,29 +99,29 @@
     }
 
     /// Serves until a shutdown is requested and done.
-    pub fn run(mut self) -> io::Result<HostEnd> {
+    pub fn run(mut self) -> io::Result<HostExit> {
         self.restore_endpoint_list();
-        if !self.config.list.polled {
+        if !self.config.list_service.polled {
             self.connections.watch_endpoints();
         }
         let mut poll_events = PollEvents::default();
         loop {
             let max_sleep = self.max_sleep();
             self.note_sleep(max_sleep);
-            self.poll.wait(&mut poll_events, Some(Clock::until(0.0, max_sleep)))?;
+            self.poll.wait(&mut poll_events, Some(Clock::duration_until(0.0, max_sleep)))?;
             self.connections.update_now();
             self.stall_detector.on_wake(self.connections.now());
             self.delay.on_wake(self.connections.now());
             self.turn(&poll_events);
             if self.shutdown.is_forced() {
-                return Ok(HostEnd::Abandoned);
+                return Ok(HostExit::Abandoned);
             }
-            let write_timeout = self.config.bounds.connect_timeout;
+            let write_timeout = self.config.limits.connect_timeout;
             if self.shutdown.is_requested()
                 && self.pending() == 0
                 && self.shutdown.has_closed_clients(&mut self.connections, write_timeout)
             {
-                return Ok(HostEnd::Stopped);
+                return Ok(HostExit::Stopped);
             }
         }
     }
@@ -161,7 +161,7 @@
         self.run_engine();
         // A turn that took long, or was stopped in its middle, may have decided on an old endpoint list: updates that
         // came meanwhile are applied before anything is sent.
-        if self.connections.clock_now() - self.connections.now() > self.config.start.round {
+        if self.connections.clock_now() - self.connections.now() > self.config.scheduler.round {
             self.connections.update_now();
             if let Some(key) = self.connections.list_key() {
                 self.on_list_readable(key);
@@ -207,7 +207,7 @@
             for key in self.connections.take_to_write() {
                 self.write_connection(key);
             }
-            if self.at_capacity && self.pending() < self.config.bounds.max_pending_requests {
+            if self.at_capacity && self.pending() < self.config.limits.max_pending_requests {
                 self.at_capacity = false;
                 for key in self.connections.clients().keys() {
                     if self.connections.clients().may_resume(key) {
--- a/crates/gateway/src/event_loop/admission.rs
+++ b/crates/gateway/src/event_loop/admission.rs
@@ -57,11 +57,11 @@
     fn check_and_admit(&mut self, key: usize, request: &ClientRequest<'_>) -> Result<(), Rejection> {
         let volume = self.config.volumes.get(&request.volume).ok_or(Rejection::UnknownVolume)?;
         let class = usize::from(request.class);
-        if class >= self.config.start.classes.len() {
+        if class >= self.config.scheduler.classes.len() {
             return Err(Rejection::UnknownClass);
         }
         let units = f64::from(request.units);
-        if units <= 0.0 || units > self.config.start.max_units {
+        if units <= 0.0 || units > self.config.scheduler.max_units {
             return Err(Rejection::ImpossibleUnits);
         }
         if self.shutdown.is_requested() {
@@ -84,7 +84,7 @@
         match self.split(request)? {
             None => _ = self.admit(Requester::Client(client), request, client_timeout, log),
             Some(parts) => {
-                let max_in_flight = self.config.split.max_in_flight;
+                let max_in_flight = self.config.split_reads.max_in_flight;
                 let deadline = now + client_timeout;
                 self.admit_split_read(NewSplitRead { client, request, parts, max_in_flight, deadline, log });
             }
@@ -107,11 +107,11 @@
             let shards = self.config.volumes.get(&request.volume).map_or(0, |volume| volume.shards.len());
             return if shards > 1 { Err(Rejection::UnmappedRange) } else { Ok(None) };
         };
-        let class = &self.config.start.classes[usize::from(request.class)];
+        let class = &self.config.scheduler.classes[usize::from(request.class)];
         // Half of a write cannot be undone, and parts of an ordered request or one with an idempotency key would be
         // taken for repetitions of each other.
         let may_split = !request.write && class.idempotency == Idempotency::Idempotent && !class.ordered;
-        let max_blocks = if may_split { self.config.split.max_blocks } else { u64::MAX };
+        let max_blocks = if may_split { self.config.split_reads.max_blocks } else { u64::MAX };
         let parts = split_range(start, end, extent_starts.into_iter(), max_blocks);
         if parts.len() > 1 && !may_split {
             return Err(Rejection::CrossesExtents);
@@ -128,7 +128,7 @@
         log: RequestLog,
     ) -> Option<u64> {
         let volume = self.config.volumes.get(&request.volume)?;
-        let (plan, hosts, class) = (volume.plan, volume.hosts, usize::from(request.class));
+        let (plan, hosts, class) = (volume.policy, volume.host_count, usize::from(request.class));
         let location = self.locate(request.volume, request.key);
         let admitted = Admitted { requester, request, location, client_timeout, log };
         let id = self.connections.admit(admitted)?;
@@ -147,12 +147,12 @@
             coalesce_with: None,
         };
         let key = engine_key(request.volume, request.key);
-        let queue = Some(key).filter(|_| self.config.start.classes[class].ordered);
+        let queue = Some(key).filter(|_| self.config.scheduler.classes[class].ordered);
         let incoming = IncomingRequest { id, key, volume: request.volume, request: engine_request };
         // Past its latency objective it would not be sent, so that nothing is lost by ending it then; its answer must
         // reach the client before its deadline.
-        let max_wait = client_timeout - 2.0 * self.config.start.round;
-        let latency_objective = self.config.start.classes[class].latency_objective;
+        let max_wait = client_timeout - 2.0 * self.config.scheduler.round;
+        let latency_objective = self.config.scheduler.classes[class].latency_objective;
         let waits_until = self.connections.now() + latency_objective.min(max_wait);
         if let Some(incoming) = self.connections.acquire_overlap_lock(incoming, queue, waits_until) {
             self.engine.submit(self.connections.now(), incoming, &mut self.connections);
--- a/crates/gateway/src/event_loop/client_events.rs
+++ b/crates/gateway/src/event_loop/client_events.rs
@@ -60,7 +60,7 @@
 
     fn on_client_message(&mut self, key: usize, message: Message<'_>) -> Result<(), ClientStop> {
         match message {
-            Message::Request(_) if self.pending() >= self.config.bounds.max_pending_requests => {
+            Message::Request(_) if self.pending() >= self.config.limits.max_pending_requests => {
                 return Err(ClientStop::AtCapacity);
             }
             Message::Request(request) => self.on_client_request(key, &request),
@@ -70,7 +70,9 @@
                 }
             }
             Message::Hello(hello)
-                if hello.lowest <= VERSION && hello.highest >= VERSION && hello.role == Role::Client => {}
+                if hello.min_version <= VERSION
+                    && hello.max_version >= VERSION
+                    && hello.role == Role::Client => {}
             Message::Hello(_) => return Err(ProtocolError::UnusableClientGreeting.into()),
             _ => return Err(ProtocolError::UnexpectedFromClient.into()),
         }
--- a/crates/gateway/src/event_loop/list_events.rs
+++ b/crates/gateway/src/event_loop/list_events.rs
@@ -54,7 +54,7 @@
 
     /// Takes over the endpoint list that was cached when this host last ran.
     pub(super) fn restore_endpoint_list(&mut self) {
-        let Some(path) = &self.config.list.cache_path else { return };
+        let Some(path) = &self.config.list_service.cache_path else { return };
         let bytes = match std::fs::read(path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == ErrorKind::NotFound => return,
@@ -76,7 +76,7 @@
 
     /// Caches the endpoint list for the next start of this host.
     fn cache_endpoint_list(&self) {
-        let Some(path) = &self.config.list.cache_path else { return };
+        let Some(path) = &self.config.list_service.cache_path else { return };
         let mut bytes = Vec::new();
         let snapshot = self.connections.endpoint_list().snapshot(self.connections.now());
         wire::encode(&Message::EndpointList(snapshot), &mut bytes);
--- a/crates/gateway/src/event_loop/node_events.rs
+++ b/crates/gateway/src/event_loop/node_events.rs
@@ -62,7 +62,7 @@
         }
         let details = OutcomeDetails {
             used: report.used.map(f64::from),
-            remote_units: f64::from(report.others),
+            remote_units: f64::from(report.remote_units),
             payload: report.payload,
         };
         self.on_outcome(request_id, attempt, outcome, details);
@@ -70,9 +70,9 @@
     }
 
     fn on_node_hello(&mut self, key: usize, hello: &Hello) -> Result<(), ProtocolError> {
-        let Hello { lowest, highest, number: endpoint, incarnation, .. } = *hello;
-        if lowest > VERSION || highest < VERSION {
-            return Err(ProtocolError::UnsupportedVersion { lowest, highest });
+        let Hello { min_version, max_version, number: endpoint, incarnation, .. } = *hello;
+        if min_version > VERSION || max_version < VERSION {
+            return Err(ProtocolError::UnsupportedVersion { min_version, max_version });
         }
         if hello.role != Role::Node {
             return Err(ProtocolError::NotANode);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -25,4 +25,4 @@
 mod timer;
 mod upstream_pool;
 
-pub use event_loop::{Gateway, HostEnd};
+pub use event_loop::{Gateway, HostExit};
--- a/crates/gateway/src/list_connection.rs
+++ b/crates/gateway/src/list_connection.rs
@@ -1,6 +1,6 @@
 //! The connection to the endpoint list service.
 
-use crate::config::ListSource;
+use crate::config::ListServiceConfig;
 use crate::poll_key::{poll_key, Source};
 use crate::reconnect_backoff::ReconnectBackoff;
 use magpiewick::Ms;
@@ -32,7 +32,7 @@
 }
 
 impl ListConnection {
-    pub(crate) fn new(source: &ListSource, seed: u64) -> ListConnection {
+    pub(crate) fn new(source: &ListServiceConfig, seed: u64) -> ListConnection {
         ListConnection {
             address: source.address,
             is_polled: source.polled,
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -43,8 +43,8 @@
             };
             match accept_error(&error) {
                 AcceptError::Empty => return self.backoff.reset(),
-                AcceptError::Next => {}
-                AcceptError::OutOfDescriptors | AcceptError::Short => {
+                AcceptError::ConnectionFailed => {}
+                AcceptError::OutOfDescriptors | AcceptError::OutOfResources => {
                     let Some(pause) = self.backoff.next_pause() else { continue };
                     tracing::warn!(%error, pause_ms = pause, "accept_failed");
                     return self.pause(pause, connections);
@@ -56,7 +56,7 @@
     fn pause(&mut self, pause: Ms, connections: &mut Connections) {
         if let Some(socket) = &mut self.socket {
             // One that cannot be paused is reported at once again.
-            _ = socket.watch(false, false);
+            _ = socket.set_interest(false, false);
         }
         connections.resume_accept_after(pause);
     }
@@ -64,7 +64,7 @@
     /// A pause is over.
     pub(crate) fn resume(&mut self, connections: &mut Connections) {
         if let Some(socket) = &mut self.socket {
-            _ = socket.watch(true, false);
+            _ = socket.set_interest(true, false);
         }
         self.accept_all(connections);
     }
--- a/crates/gateway/src/protocol_error.rs
+++ b/crates/gateway/src/protocol_error.rs
@@ -18,8 +18,8 @@
     UnusableClientGreeting,
     #[error("a message before the greeting")]
     MessageBeforeGreeting,
-    #[error("it speaks versions {lowest} to {highest}")]
-    UnsupportedVersion { lowest: u16, highest: u16 },
+    #[error("it speaks versions {min_version} to {max_version}")]
+    UnsupportedVersion { min_version: u16, max_version: u16 },
     #[error("it is no storage node")]
     NotANode,
     #[error("another process than the listed one answers")]
--- a/crates/gateway/src/upstream_pool.rs
+++ b/crates/gateway/src/upstream_pool.rs
@@ -6,7 +6,7 @@
 use crate::protocol_error::ProtocolError;
 use magpiewick::{Ms, Outcome};
 use magpiewick_node_protocol::{Attempt, Message};
-use magpiewick_transport::{Connection, Ended, Poll, Withdrawn, UNTRACKED};
+use magpiewick_transport::{Connection, Poll, StreamEnd, Withdrawn, UNTRACKED};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CloseReason {
     #[error(transparent)]
-    Transport(#[from] Ended),
+    Transport(#[from] StreamEnd),
     #[error(transparent)]
     Connect(#[from] io::Error),
     #[error(transparent)]
@@ -174,7 +174,7 @@
                 let batch: Vec<Attempt<'_>> = [first, second].into_iter().chain(attempts).collect();
                 let other_ids: Vec<u64> = batch[1..].iter().map(|attempt| attempt.request_id).collect();
                 other_ids.iter().for_each(|request_id| count(*request_id));
-                connection.queue_for(&Message::Batch(batch), first_id, other_ids);
+                connection.queue_with_tokens(&Message::Batch(batch), first_id, other_ids);
             }
         }
         true
--- a/crates/gateway/tests/sockets/clients.rs
+++ b/crates/gateway/tests/sockets/clients.rs
@@ -1,14 +1,14 @@
 //! Clients that misbehave, vanish or do not read.
 
 use crate::harness::{Peer, TestHost};
-use magpiewick_gateway::HostEnd;
-use magpiewick_node_protocol::{FinalCode, LONG_AGO};
+use magpiewick_gateway::HostExit;
+use magpiewick_node_protocol::{FinalCode, AGE_LONG_RUNNING};
 use std::io::Write;
 use std::time::Duration;
 
 #[test]
 fn a_client_with_a_partial_frame_is_closed_and_idle_clients_disturb_nobody() {
-    let host = TestHost::start(LONG_AGO);
+    let host = TestHost::start(AGE_LONG_RUNNING);
     let idle: Vec<Peer> = (0..1000).map(|_| host.client()).collect();
     let mut partial_client = host.client();
     partial_client.stream.write_all(&[9, 0, 0, 0, 9]).unwrap();
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_non_idempotent_write_completes_after_its_client_disconnects() {
-    let host = TestHost::start(LONG_AGO);
+    let host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_request(1, 1, b"paid");
     let mut node = host.accept_node();
@@ -37,12 +37,12 @@
     node.succeed(out, &[]);
     node.succeed(second, b"other");
     assert_eq!(other.receive_answer(), Some((1, FinalCode::Succeeded, "other".to_string())));
-    assert_eq!(host.shut_down(), HostEnd::Stopped);
+    assert_eq!(host.shut_down(), HostExit::Stopped);
 }
 
 #[test]
 fn a_client_that_never_reads_is_paused_and_others_are_served() {
-    let host = TestHost::start(LONG_AGO);
+    let host = TestHost::start(AGE_LONG_RUNNING);
     let mut slow_client = host.client();
     slow_client.send_request(1, 0, &[]);
     let mut node = host.accept_node();
--- a/crates/gateway/tests/sockets/coalescing.rs
+++ b/crates/gateway/tests/sockets/coalescing.rs
@@ -1,9 +1,9 @@
 //! Coalesced and overlapping writes, and split reads.
 
 use crate::harness::{outcome, AttemptId, Peer, TestHost};
-use magpiewick_gateway::HostEnd;
+use magpiewick_gateway::HostExit;
 use magpiewick_node_protocol::{
-    FinalCode, MapEntry, MapEntryKind, MapUpdate, Message, OutcomeCode, LONG_AGO,
+    FinalCode, MapEntry, MapEntryKind, MapUpdate, Message, OutcomeCode, AGE_LONG_RUNNING,
 };
 
 /// A host whose node has its window full of writes of a class, so that the four after them are sent as a batch once
@@ -27,7 +27,7 @@
 
 #[test]
 fn each_part_of_a_batch_ends_by_itself_and_only_safe_ones_are_retried() {
-    let host = TestHost::start(LONG_AGO);
+    let host = TestHost::start(AGE_LONG_RUNNING);
     let (mut client, mut node, out, batch) = four_coalesced(&host, 1);
     node.succeed(batch[0], b"");
     node.send(&outcome(batch[1].0, batch[1].1, OutcomeCode::Error, &[]));
@@ -48,12 +48,12 @@
         found.contains(&failed(8)),
         "a non-idempotent part that may have run is not sent again: {found:?}"
     );
-    assert_eq!(host.shut_down(), HostEnd::Stopped);
+    assert_eq!(host.shut_down(), HostExit::Stopped);
 }
 
 #[test]
 fn a_cancelled_request_leaves_the_other_parts_of_its_batch() {
-    let host = TestHost::start(LONG_AGO);
+    let host = TestHost::start(AGE_LONG_RUNNING);
     let (mut client, mut node, _out, batch) = four_coalesced(&host, 0);
     client.send(&Message::CancelRequest { request_id: 6 });
     let cancelled = node.receive(|m| match m {
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_write_waits_for_an_earlier_overlapping_write() {
-    let host = TestHost::start(LONG_AGO);
+    let host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_range_request(1, 1, 10, 4, b"aaaabbbb");
     client.send_range_request(2, 0, 13, 2, b"ccccdddd");
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_write_whose_connection_broke_blocks_overlapping_writes_for_a_while() {
-    let host = TestHost::start(LONG_AGO);
+    let host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_range_request(1, 1, 10, 4, b"aaaabbbb");
     client.send_range_request(2, 0, 13, 2, b"ccccdddd");
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_read_across_extents_gets_one_answer() {
-    let mut host = TestHost::start(LONG_AGO);
+    let mut host = TestHost::start(AGE_LONG_RUNNING);
     let entry = |start, position| MapEntry {
         kind: MapEntryKind::Extent,
         volume: 1,
--- a/crates/gateway/tests/sockets/gossip.rs
+++ b/crates/gateway/tests/sockets/gossip.rs
@@ -2,8 +2,8 @@
 
 use crate::harness::TestHost;
 use magpiewick_gateway::config::HostConfig;
-use magpiewick_gateway::HostEnd;
-use magpiewick_node_protocol::{EntryState, FinalCode, LONG_AGO};
+use magpiewick_gateway::HostExit;
+use magpiewick_node_protocol::{EntryState, FinalCode, AGE_LONG_RUNNING};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 /// Lets a host gossip with the other.
 fn enable_gossip(config: &mut HostConfig, own: SocketAddr, other: &UdpSocket) {
-    config.start.hosts = 2.0;
+    config.scheduler.hosts = 2.0;
     config.gossip_addresses = [(0, own), (1, other.local_addr().unwrap())].into();
 }
 
@@ -26,7 +26,7 @@
     let mut host = TestHost::without_endpoints(TcpListener::bind("127.0.0.1:0").unwrap(), |config| {
         enable_gossip(config, own, &other)
     });
-    host.send_endpoint(true, 1, EntryState::Ready, 1, LONG_AGO);
+    host.send_endpoint(true, 1, EntryState::Ready, 1, AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_request(1, 0, &[]);
     let mut node = host.accept_node();
@@ -66,9 +66,9 @@
 fn a_restarted_host_serves_from_the_cached_list_while_old_builds_gossip() {
     let (own, other) = two_hosts();
     let cache = std::env::temp_dir().join(format!("magpiewick-cache-{}", std::process::id()));
-    let caches_list = |config: &mut HostConfig| config.list.cache_path = Some(cache.clone());
+    let caches_list = |config: &mut HostConfig| config.list_service.cache_path = Some(cache.clone());
     let mut before = TestHost::without_endpoints(TcpListener::bind("127.0.0.1:0").unwrap(), caches_list);
-    before.send_endpoint(true, 1, EntryState::Ready, 1, LONG_AGO);
+    before.send_endpoint(true, 1, EntryState::Ready, 1, AGE_LONG_RUNNING);
     let mut client = before.client();
     client.send_request(1, 0, &[]);
     let mut node = before.accept_node();
@@ -76,7 +76,7 @@
     node.succeed(out, &[]);
     client.receive_answer();
     let listener = before.node.try_clone().unwrap();
-    assert_eq!(before.shut_down(), HostEnd::Stopped);
+    assert_eq!(before.shut_down(), HostExit::Stopped);
     let after = TestHost::without_endpoints(listener, |config| {
         caches_list(config);
         enable_gossip(config, own, &other);
--- a/crates/gateway/tests/sockets/harness.rs
+++ b/crates/gateway/tests/sockets/harness.rs
@@ -1,11 +1,11 @@
 //! A host on sockets, and the ends of its connections that a test holds.
 
-use magpiewick_gateway::config::{host, HostConfig};
-use magpiewick_gateway::{Gateway, HostEnd};
+use magpiewick_gateway::config::{read_host_config, HostConfig};
+use magpiewick_gateway::{Gateway, HostExit};
 use magpiewick_hcl_settings::read_text;
 use magpiewick_node_protocol::{
     decode, encode, ClientRequest, Decoded, EndpointEntry, EndpointListUpdate, EntryState, FinalCode, Hello,
-    MapEntry, MapEntryKind, MapUpdate, Message, Outcome, OutcomeCode, Role, LONG_AGO,
+    MapEntry, MapEntryKind, MapUpdate, Message, Outcome, OutcomeCode, Role, AGE_LONG_RUNNING,
 };
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -130,13 +130,13 @@
 }
 
 pub(crate) fn outcome(request_id: u64, attempt: u16, code: OutcomeCode, payload: &[u8]) -> Message<'_> {
-    let (used, others, queue, busy, owner, version) = (None, 0.0, 0, 0.0, None, 0);
+    let (used, remote_units, queue, busy, owner, version) = (None, 0.0, 0, 0.0, None, 0);
     Message::Outcome(Outcome {
         request_id,
         attempt,
         code,
         used,
-        others,
+        remote_units,
         queue,
         busy,
         owner,
@@ -150,7 +150,7 @@
     pub list_service: Peer,
     pub node: TcpListener,
     pub shutdown_signal: UnixStream,
-    pub thread: JoinHandle<HostEnd>,
+    pub thread: JoinHandle<HostExit>,
 }
 
 impl TestHost {
@@ -164,9 +164,10 @@
     /// A host without an endpoint list, with changed settings.
     pub(crate) fn without_endpoints(node: TcpListener, change: impl FnOnce(&mut HostConfig)) -> TestHost {
         let list = TcpListener::bind("127.0.0.1:0").unwrap();
-        let mut config: HostConfig = read_text("test", SETTINGS, |r| host(r, 1)).unwrap().unwrap();
+        let mut config: HostConfig =
+            read_text("test", SETTINGS, |r| read_host_config(r, 1)).unwrap().unwrap();
         change(&mut config);
-        (config.list.address, config.list.serves_map) = (list.local_addr().unwrap(), true);
+        (config.list_service.address, config.list_service.serves_map) = (list.local_addr().unwrap(), true);
         let (stop, other) = UnixStream::pair().unwrap();
         let gateway = Gateway::bind(config, other, 99).unwrap();
         let address = gateway.address();
@@ -219,7 +220,7 @@
     /// The node's end of the host's connection, after the greeting of the listed process.
     pub(crate) fn accept_node(&self) -> Peer {
         let mut node = self.accept();
-        node.send_hello(1, LONG_AGO);
+        node.send_hello(1, AGE_LONG_RUNNING);
         node
     }
 
@@ -229,7 +230,7 @@
         self.thread.join().unwrap();
     }
 
-    pub(crate) fn shut_down(mut self) -> HostEnd {
+    pub(crate) fn shut_down(mut self) -> HostExit {
         self.shutdown_signal.write_all(&[1]).unwrap();
         self.thread.join().unwrap()
     }
--- a/crates/gateway/tests/sockets/list_service.rs
+++ b/crates/gateway/tests/sockets/list_service.rs
@@ -1,17 +1,17 @@
 //! The endpoint list and the extent map.
 
 use crate::harness::{outcome, Peer, TestHost, SETTINGS};
-use magpiewick_gateway::config::{host, HostConfig};
+use magpiewick_gateway::config::{read_host_config, HostConfig};
 use magpiewick_gateway::Gateway;
 use magpiewick_hcl_settings::read_text;
-use magpiewick_node_protocol::{FinalCode, MapEntryKind, Message, OutcomeCode, LONG_AGO};
+use magpiewick_node_protocol::{FinalCode, MapEntryKind, Message, OutcomeCode, AGE_LONG_RUNNING};
 use std::io::Write;
 use std::net::TcpListener;
 use std::os::unix::net::UnixStream;
 
 #[test]
 fn a_request_whose_shard_moved_waits_for_the_map_and_is_sent_again() {
-    let mut host = TestHost::start(LONG_AGO);
+    let mut host = TestHost::start(AGE_LONG_RUNNING);
     host.send_map(true, 1, MapEntryKind::Extent, 1000, 1);
     let mut client = host.client();
     // Non-idempotent: sent again only as the node's answer proves that nothing ran.
@@ -34,9 +34,9 @@
 #[test]
 fn an_unresponsive_list_service_is_reconnected() {
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut config: HostConfig = read_text("test", SETTINGS, |r| host(r, 1)).unwrap().unwrap();
-    (config.list.address, config.list.polled) = (list.local_addr().unwrap(), true);
-    config.start.max_poll_interval = Some(1000.0);
+    let mut config: HostConfig = read_text("test", SETTINGS, |r| read_host_config(r, 1)).unwrap().unwrap();
+    (config.list_service.address, config.list_service.polled) = (list.local_addr().unwrap(), true);
+    config.scheduler.max_poll_interval = Some(1000.0);
     let (mut stop, other) = UnixStream::pair().unwrap();
     let gateway = Gateway::bind(config, other, 99).unwrap();
     let host = std::thread::spawn(move || gateway.run().unwrap());
--- a/crates/gateway/tests/sockets/nodes.rs
+++ b/crates/gateway/tests/sockets/nodes.rs
@@ -1,15 +1,15 @@
 //! Storage nodes that misbehave, restart, drain or are unreachable.
 
 use crate::harness::{outcome, TestHost};
-use magpiewick_gateway::HostEnd;
-use magpiewick_node_protocol::{encode, EntryState, FinalCode, OutcomeCode, LONG_AGO};
+use magpiewick_gateway::HostExit;
+use magpiewick_node_protocol::{encode, EntryState, FinalCode, OutcomeCode, AGE_LONG_RUNNING};
 use std::io::Write;
 use std::net::TcpListener;
 use std::time::Duration;
 
 #[test]
 fn a_request_gets_one_answer_though_its_node_repeats_outcomes() {
-    let host = TestHost::start(LONG_AGO);
+    let host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_request(1, 0, &[]);
     let mut node = host.accept_node();
@@ -23,12 +23,12 @@
     node.succeed(next, b"third");
     assert_eq!(client.receive_answer(), Some((1, FinalCode::Succeeded, "first".to_string())));
     assert_eq!(client.receive_answer(), Some((2, FinalCode::Succeeded, "third".to_string())));
-    assert_eq!(host.shut_down(), HostEnd::Stopped);
+    assert_eq!(host.shut_down(), HostExit::Stopped);
 }
 
 #[test]
 fn a_request_whose_outcome_was_truncated_may_have_run() {
-    let host = TestHost::start(LONG_AGO);
+    let host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_request(1, 1, b"paid");
     let mut node = host.accept_node();
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_request_to_an_unreachable_node_never_ran() {
-    let mut host = TestHost::start(LONG_AGO);
+    let mut host = TestHost::start(AGE_LONG_RUNNING);
     // The port is free again: connections to it are refused.
     host.node = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = host.client();
@@ -85,7 +85,7 @@
 
 #[test]
 fn unwritten_attempts_are_withdrawn_from_a_draining_node() {
-    let mut host = TestHost::start(LONG_AGO);
+    let mut host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     // More than the kernel takes while the node does not read.
     let (payload, count) = (vec![5; 1 << 20], 40);
@@ -105,7 +105,7 @@
         node.succeed(out, &[]);
     }
     std::thread::sleep(Duration::from_millis(100));
-    host.send_endpoint(false, 2, EntryState::Draining, 1, LONG_AGO);
+    host.send_endpoint(false, 2, EntryState::Draining, 1, AGE_LONG_RUNNING);
     let mut client = writer.join().unwrap();
     std::thread::sleep(Duration::from_millis(300));
     // What is read from here on was written before the update, or the connection broke in the middle of it.
--- a/crates/gateway/tests/sockets/shutdown.rs
+++ b/crates/gateway/tests/sockets/shutdown.rs
@@ -1,9 +1,9 @@
 //! The graceful shutdown.
 
 use crate::harness::{Peer, TestHost};
-use magpiewick_gateway::HostEnd;
+use magpiewick_gateway::HostExit;
 use magpiewick_node_protocol::{
-    decode, encode, ClientRequest, Decoded, EntryState, FinalCode, Message, LONG_AGO,
+    decode, encode, ClientRequest, Decoded, EntryState, FinalCode, Message, AGE_LONG_RUNNING,
 };
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_shutdown_answers_pending_requests_and_rejects_new_ones() {
-    let mut host = TestHost::start(LONG_AGO);
+    let mut host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_request(1, 0, &[]);
     let mut node = host.accept_node();
@@ -22,14 +22,14 @@
     assert_eq!(client.receive_answer(), Some((2, FinalCode::Rejected, "stopping".to_string())));
     node.succeed(out, b"last");
     assert_eq!(client.receive_answer(), Some((1, FinalCode::Succeeded, "last".to_string())));
-    assert_eq!(host.thread.join().unwrap(), HostEnd::Stopped);
+    assert_eq!(host.thread.join().unwrap(), HostExit::Stopped);
 }
 
 #[test]
 fn a_shutdown_answers_requests_of_paused_clients() {
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut host = TestHost::without_endpoints(node, |config| config.bounds.max_pending_requests = 2);
-    host.send_endpoint(true, 1, EntryState::Ready, 1, LONG_AGO);
+    let mut host = TestHost::without_endpoints(node, |config| config.limits.max_pending_requests = 2);
+    host.send_endpoint(true, 1, EntryState::Ready, 1, AGE_LONG_RUNNING);
     let mut client = host.client();
     (1..=6).for_each(|request_id| client.send_request(request_id, 1, b"block"));
     let mut node = host.accept_node();
@@ -44,7 +44,7 @@
     assert_eq!(numbers, [1, 2, 3, 4, 5, 6]);
     assert!(answers[2..].iter().all(|answer| answer.1 == FinalCode::Rejected), "{answers:?}");
     drop(client);
-    assert_eq!(host.thread.join().unwrap(), HostEnd::Stopped);
+    assert_eq!(host.thread.join().unwrap(), HostExit::Stopped);
 }
 
 /// Sends requests until the host closes the connection. Returns how it ended for the client, the highest number of an
@@ -100,7 +100,7 @@
 #[test]
 fn a_shutdown_resets_no_connection_and_answers_every_request_read() {
     for _ in 0..10 {
-        let host = TestHost::start(LONG_AGO);
+        let host = TestHost::start(AGE_LONG_RUNNING);
         let clients: Vec<_> = (0..6).map(|_| host.client()).collect();
         let clients: Vec<_> =
             clients.into_iter().map(|client| std::thread::spawn(move || send_until_closed(client))).collect();
@@ -112,7 +112,7 @@
             }
         });
         std::thread::sleep(Duration::from_millis(60));
-        assert_eq!(host.shut_down(), HostEnd::Stopped);
+        assert_eq!(host.shut_down(), HostExit::Stopped);
         assert!(at.elapsed() < Duration::from_secs(3), "{:?}", at.elapsed());
         for client in clients {
             let (end, highest, count) = client.join().unwrap();
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -26,7 +26,7 @@
 
 impl HeadReader {
     /// The length of the head with its empty line; none where that has not arrived yet.
-    pub fn end(&mut self, input: &[u8]) -> Result<Option<usize>, HeadError> {
+    pub fn find_end(&mut self, input: &[u8]) -> Result<Option<usize>, HeadError> {
         while self.seen < input.len() {
             let (at, byte) = (self.seen, input[self.seen]);
             let before = at.checked_sub(1).map(|i| input[i]);
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -152,7 +152,7 @@
                 (used, self.heads) = (used + 2, HeadReader::default());
             }
             let rest = &input[used..];
-            let Some(length) = self.heads.end(rest)? else { return Ok((used, None)) };
+            let Some(length) = self.heads.find_end(rest)? else { return Ok((used, None)) };
             used += length;
             let read = parse_request_head(&rest[..length])?;
             let head = rest[..length].to_vec();
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -93,7 +93,7 @@
             let rest = &input[used..];
             match std::mem::take(&mut self.stage) {
                 Stage::Head => {
-                    let Some(length) = self.heads.end(rest)? else { return Ok((used, None)) };
+                    let Some(length) = self.heads.find_end(rest)? else { return Ok((used, None)) };
                     used += length;
                     match head(&rest[..length])? {
                         None if self.interim == MAX_INTERIM_RESPONSES => return Err(MalformedResponse),
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -10,7 +10,7 @@
 
 /// The status that a request's head is rejected with; 0: it is good.
 fn refused(head: &str) -> u16 {
-    let end = match HeadReader::default().end(head.as_bytes()) {
+    let end = match HeadReader::default().find_end(head.as_bytes()) {
         Ok(Some(end)) => end,
         Ok(None) => panic!("{head:?} has no end"),
         Err(bad) => return magpiewick_http1::Rejection::from(bad).status,
@@ -82,8 +82,8 @@
 fn a_head_without_end_is_rejected_at_its_limit() {
     let mut heads = HeadReader::default();
     let endless = vec![b'a'; MAX_HEAD_BYTES + 1];
-    assert!(heads.end(&endless[..MAX_HEAD_BYTES - 1]).unwrap().is_none());
-    assert!(heads.end(&endless).is_err());
+    assert!(heads.find_end(&endless[..MAX_HEAD_BYTES - 1]).unwrap().is_none());
+    assert!(heads.find_end(&endless).is_err());
 }
 
 #[test]
@@ -312,11 +312,11 @@
         for cut in cuts {
             to = (to + usize::from(cut)).min(head.len());
             if end.is_none() {
-                end = heads.end(&head.as_bytes()[..to]).unwrap();
+                end = heads.find_end(&head.as_bytes()[..to]).unwrap();
             }
         }
         let end = match end {
-            None => heads.end(head.as_bytes()).unwrap(),
+            None => heads.find_end(head.as_bytes()).unwrap(),
             end => end,
         };
         end == Some(head.len() - 4)
--- a/crates/node-protocol/src/lib.rs
+++ b/crates/node-protocol/src/lib.rs
@@ -14,6 +14,6 @@
 pub use frame::{HEADER_LENGTH, MAX_BODY_LENGTH, MAX_LIST_ENTRIES, MAX_MAP_ENTRIES, MAX_PAYLOAD_LENGTH};
 pub use message::{
     Attempt, ClientRequest, EndpointEntry, EndpointListUpdate, EntryState, FinalAnswer, FinalCode, Hello,
-    MapEntry, MapEntryKind, MapUpdate, Message, MigrationStage, Outcome, OutcomeCode, Role, LONG_AGO,
+    MapEntry, MapEntryKind, MapUpdate, Message, MigrationStage, Outcome, OutcomeCode, Role, AGE_LONG_RUNNING,
     VERSION,
 };
--- a/crates/node-protocol/src/message/attempt.rs
+++ b/crates/node-protocol/src/message/attempt.rs
@@ -158,7 +158,7 @@
     /// The volume's service everywhere in a finished period, as a part of its policy's rate; none where unknown.
     pub used: Option<f32>,
     /// Units that the node served the volume through other hosts since its last answer to this one.
-    pub others: f32,
+    pub remote_units: f32,
     /// Requests that wait at the node.
     pub queue: u32,
     /// The part of the node's cores that is busy.
@@ -181,7 +181,7 @@
             attempt: fields.u16("attempt")?,
             code: fields.one_of(&OutcomeCode::ALL, "outcome")?,
             used: Some(fields.amount("use")?).filter(|used| *used < UNKNOWN_USE),
-            others: fields.amount("units of others")?,
+            remote_units: fields.amount("units of others")?,
             queue: fields.u32("queue")?,
             busy: fields.amount("busy part")?,
             owner: Some(fields.u32("owner")?).filter(|owner| *owner != UNKNOWN_OWNER),
@@ -195,7 +195,7 @@
             .u16(self.attempt)
             .one_of(&OutcomeCode::ALL, &self.code)
             .f32(self.used.unwrap_or(UNKNOWN_USE))
-            .f32(self.others)
+            .f32(self.remote_units)
             .u32(self.queue)
             .f32(self.busy)
             .u32(self.owner.unwrap_or(UNKNOWN_OWNER))
--- a/crates/node-protocol/src/message/endpoint_list.rs
+++ b/crates/node-protocol/src/message/endpoint_list.rs
@@ -36,7 +36,7 @@
     pub state: EntryState,
     /// Drawn anew at every start of its process.
     pub incarnation: u64,
-    /// How long ago its process started; [`LONG_AGO`](crate::LONG_AGO) where it no longer matters.
+    /// How long ago its process started; [`AGE_LONG_RUNNING`](crate::AGE_LONG_RUNNING) where it no longer matters.
     pub age_us: u64,
     /// The IPv4 address at which it listens.
     pub address: [u8; 4],
--- a/crates/node-protocol/src/message/mod.rs
+++ b/crates/node-protocol/src/message/mod.rs
@@ -11,7 +11,7 @@
 pub use client::{ClientRequest, FinalAnswer, FinalCode};
 pub use endpoint_list::{EndpointEntry, EndpointListUpdate, EntryState};
 pub use extent_map::{MapEntry, MapEntryKind, MapUpdate, MigrationStage};
-pub use hello::{Hello, Role, LONG_AGO, VERSION};
+pub use hello::{Hello, Role, AGE_LONG_RUNNING, VERSION};
 
 pub(crate) use endpoint_list::ENDPOINT_ENTRY_LENGTH;
 pub(crate) use extent_map::MAP_ENTRY_LENGTH;
--- a/crates/node-protocol/tests/codec.rs
+++ b/crates/node-protocol/tests/codec.rs
@@ -30,8 +30,8 @@
         };
         match kind % 16 {
             0 => Message::Hello(Hello {
-                lowest: 1,
-                highest: short,
+                min_version: 1,
+                max_version: short,
                 role: [Role::Client, Role::Host, Role::Node, Role::EndpointList][(*a % 4) as usize],
                 number: *c as u32,
                 incarnation: *d,
@@ -62,7 +62,7 @@
                     OutcomeCode::DeadlineExceeded,
                 ][(*c % 4) as usize],
                 used: write.then_some(*x),
-                others: *x,
+                remote_units: *x,
                 queue: *d as u32,
                 busy: *x,
                 owner: write.then_some(*a as u32 / 2),
--- a/crates/node-protocol/tests/wire_bytes.rs
+++ b/crates/node-protocol/tests/wire_bytes.rs
@@ -33,7 +33,7 @@
 
 fn hello(role: Role) -> Message<'static> {
     let (incarnation, age_us) = (0xb1b2b3, 0xc1c2c3);
-    Message::Hello(Hello { lowest: 1, highest: 3, role, number: 0xa1a2, incarnation, age_us })
+    Message::Hello(Hello { min_version: 1, max_version: 3, role, number: 0xa1a2, incarnation, age_us })
 }
 
 fn outcomes(code: OutcomeCode) -> [Message<'static>; 2] {
@@ -42,7 +42,7 @@
         attempt: 0xd2,
         code,
         used: Some(0.5),
-        others: 2.5,
+        remote_units: 2.5,
         queue: 0xd3,
         busy: 0.75,
         owner: Some(0xd4),
@@ -123,7 +123,7 @@
     let mut messages = vec![Message::Attempt(attempt(0)), Message::Attempt(attempt(1))];
     messages.push(Message::Batch(vec![attempt(0), attempt(1), attempt(2)]));
     messages.extend([Role::Client, Role::Host, Role::Node, Role::EndpointList].map(hello));
-    messages.push(Message::Hello(Hello::new(Role::Node, 7, 8, LONG_AGO)));
+    messages.push(Message::Hello(Hello::new(Role::Node, 7, 8, AGE_LONG_RUNNING)));
     messages.extend(codes.into_iter().flat_map(outcomes));
     messages.push(Message::CancelAttempt { request_id: 0xe1, attempt: 0xe2 });
     messages.push(Message::HealthCheck { number: 0xe3 });
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -142,7 +142,7 @@
 
     /// The memory that its buffers take, without the open request.
     pub(crate) fn memory_bytes(&self) -> usize {
-        self.stream.held() + self.queue.memory_bytes()
+        self.stream.buffer_capacity() + self.queue.memory_bytes()
     }
 
     /// Whether there is input that was not read yet.
@@ -152,7 +152,7 @@
 
     /// Whether the client has ended its connection, whatever was read of it.
     pub(crate) fn has_disconnected(&self) -> bool {
-        self.stream.peer_ended()
+        self.stream.peer_closed()
     }
 
     /// Whether input is read.
@@ -229,7 +229,7 @@
 
     /// Keeps at most so many bytes of pipelined requests; those behind them are counted and rejected in their turn.
     pub(crate) fn bound_pipelined(&mut self, limit: usize) {
-        self.queue.bound(limit);
+        self.queue.limit_buffered(limit);
     }
 
     /// Takes the next step of the queue. `host_closed`: only what has already been read is served.
@@ -309,7 +309,7 @@
 
     /// Since when the system has taken nothing of the output, where some is left.
     fn note_written(&mut self, now: Ms) -> Option<Ms> {
-        let written = self.stream.written_in_all();
+        let written = self.stream.total_written();
         self.write_blocked = match self.write_blocked {
             _ if self.stream.pending() == 0 => None,
             Some(blocked) if blocked.written == written => Some(blocked),
--- a/crates/platform/src/endpoint_discovery.rs
+++ b/crates/platform/src/endpoint_discovery.rs
@@ -10,7 +10,7 @@
 use magpiewick::{Answered, EndpointClient, EndpointUpdate, Failure, Ms, Step, Target, Validity, Verdict};
 use magpiewick_exchange::{ExchangeHistory, ReceivedResponse, ResponseMismatch};
 use magpiewick_http1::{self as http1, Response};
-use magpiewick_transport::{error_origin, Ended, ErrorOrigin, Stream};
+use magpiewick_transport::{error_origin, ErrorOrigin, Stream, StreamEnd};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
@@ -58,13 +58,13 @@
     }
 }
 
-impl From<Ended> for PollFailure {
-    fn from(ended: Ended) -> PollFailure {
+impl From<StreamEnd> for PollFailure {
+    fn from(ended: StreamEnd) -> PollFailure {
         match ended {
-            Ended::Closed => {
+            StreamEnd::Closed => {
                 PollFailure { error: PollError::ConnectionClosed, meaning: Failure::ConnectionLost }
             }
-            Ended::Failed(error) => {
+            StreamEnd::Failed(error) => {
                 PollFailure { meaning: failure_of(&error), error: PollError::ConnectionFailed(error) }
             }
         }
@@ -113,8 +113,12 @@
     /// Whether a response repeats that of an earlier poll: it is the same, and arrived long before discovery would
     /// have stopped to wait for changes.
     fn is_repeated(&self, response: &Response, poll: PollInFlight, now: Ms) -> bool {
-        let received =
-            ReceivedResponse { status: response.status, body: &response.body, trailing: &[], names: None };
+        let received = ReceivedResponse {
+            status: response.status,
+            body: &response.body,
+            trailing: &[],
+            request_id: None,
+        };
         let same = self.history.verify(&received, "") == Err(ResponseMismatch::DuplicateResponse);
         same && now - poll.started_at < poll.wait * MIN_WATCH_SHARE
     }
@@ -330,8 +334,12 @@
         if connection.is_repeated(&response, poll, now) {
             return Err(PollFailure::unusable(PollError::MalformedResponse));
         }
-        let received =
-            ReceivedResponse { status: response.status, body: &response.body, trailing: &[], names: None };
+        let received = ReceivedResponse {
+            status: response.status,
+            body: &response.body,
+            trailing: &[],
+            request_id: None,
+        };
         connection.history.record(now, &received);
         let list = parse_list_response(&response)?;
         connection.in_flight = None;
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -48,9 +48,9 @@
                     self.backoff.reset();
                     Accepted::NoneWaiting
                 }
-                AcceptError::Next => Accepted::ConnectionFailed,
+                AcceptError::ConnectionFailed => Accepted::ConnectionFailed,
                 AcceptError::OutOfDescriptors => Accepted::OutOfDescriptors(error),
-                AcceptError::Short => Accepted::OutOfResources(error),
+                AcceptError::OutOfResources => Accepted::OutOfResources(error),
             },
         }
     }
@@ -61,7 +61,7 @@
         let Some(pause) = self.backoff.next_pause() else { return false };
         self.resumes_at = now + pause;
         if let Some(socket) = &mut self.socket {
-            _ = socket.watch(false, false);
+            _ = socket.set_interest(false, false);
         }
         true
     }
@@ -72,7 +72,7 @@
             return;
         }
         if let Some(socket) = &mut self.socket {
-            _ = socket.watch(true, false);
+            _ = socket.set_interest(true, false);
         }
     }
 
--- a/crates/platform/src/proxy/clients.rs
+++ b/crates/platform/src/proxy/clients.rs
@@ -12,7 +12,7 @@
 use magpiewick::Ms;
 use magpiewick_engine::IncomingRequest;
 use magpiewick_http1::{self as http1, CompleteRequest, OutgoingResponse, Rejection, RequestHead};
-use magpiewick_transport::out_of_own_descriptors;
+use magpiewick_transport::process_out_of_descriptors;
 use std::io;
 use std::net::TcpStream;
 
@@ -57,7 +57,7 @@
     pub(crate) fn evict_client_for_descriptor(&mut self, error: &io::Error) -> bool {
         let descriptors = self.reactor.connection_count() + RESERVED_DESCRIPTORS;
         let has_all = client_policy::has_all_descriptors(descriptors, self.max_descriptors);
-        out_of_own_descriptors(error) && has_all && self.evict_client()
+        process_out_of_descriptors(error) && has_all && self.evict_client()
     }
 
     fn evict_client_where(&mut self, of: impl Fn(&EvictionCandidate) -> bool) -> bool {
--- a/crates/platform/src/proxy/upstreams.rs
+++ b/crates/platform/src/proxy/upstreams.rs
@@ -219,7 +219,7 @@
             status: response.status,
             body: &response.body,
             trailing,
-            names: response.header("x-request-id"),
+            request_id: response.header("x-request-id"),
         };
         let id = self.requests.get(attempt.request_id).map_or("", OpenRequest::id);
         if let Err(mismatch) = self.upstreams.verify(key, &received, id) {
--- a/crates/platform/src/reactor.rs
+++ b/crates/platform/src/reactor.rs
@@ -106,7 +106,7 @@
         let now = self.clock.now();
         let sleep = (wake_at - now).clamp(0.0, MAX_POLL_WAIT_MS);
         self.stall_detector.on_sleep(now, sleep);
-        self.poll.wait(poll_events, Some(Clock::until(now, now + sleep)))?;
+        self.poll.wait(poll_events, Some(Clock::duration_until(now, now + sleep)))?;
         self.now = self.clock.now();
         self.stall_detector.on_wake(self.now);
         self.input_age = self.stall_detector.max_request_age();
@@ -154,11 +154,11 @@
 
     /// When the next timer is due.
     pub(crate) fn next_timer_at(&self) -> Option<Ms> {
-        self.timers.next_at()
+        self.timers.next_due_at()
     }
 
     /// The next timer that is due.
     pub(crate) fn due_timer(&mut self) -> Option<Timer> {
-        self.timers.due(self.now)
+        self.timers.pop_due(self.now)
     }
 }
--- a/crates/platform/src/response_stream.rs
+++ b/crates/platform/src/response_stream.rs
@@ -1,7 +1,7 @@
 //! Responses as they arrive on a connection on which this host sends requests.
 
 use magpiewick_http1::{MalformedResponse, Response, ResponseReader};
-use magpiewick_transport::{Ended, Stream};
+use magpiewick_transport::{Stream, StreamEnd};
 use thiserror::Error;
 
 /// Why no response can be read from a connection any more.
@@ -49,7 +49,7 @@
 
     /// The memory that its buffers take.
     pub(crate) fn memory_bytes(&self) -> usize {
-        self.stream.held() + self.reader.memory_bytes()
+        self.stream.buffer_capacity() + self.reader.memory_bytes()
     }
 
     /// Whether neither bytes nor an end have arrived while nothing was requested.
@@ -79,9 +79,9 @@
         let input = self.stream.take_input();
         let (used, response) = self.reader.read(&input)?;
         let trailing = input[used..].to_vec();
-        self.stream.give_back(input, used);
+        self.stream.return_input(input, used);
         let response = match (response, &ended) {
-            (None, Some(Ended::Closed)) if trailing.is_empty() => self.reader.on_end_of_stream(),
+            (None, Some(StreamEnd::Closed)) if trailing.is_empty() => self.reader.on_end_of_stream(),
             (response, _) => response,
         };
         match response {
--- a/crates/platform/src/upstream_connection.rs
+++ b/crates/platform/src/upstream_connection.rs
@@ -146,7 +146,7 @@
 
     /// Whether the system took the last byte of the attempt.
     pub(crate) fn is_written(&self) -> bool {
-        let written = self.responses.stream().written_in_all();
+        let written = self.responses.stream().total_written();
         matches!(self.state, UpstreamState::InFlight { end_offset, .. } if written >= end_offset)
     }
 
@@ -179,7 +179,7 @@
         let stream = self.responses.stream_mut();
         let output = stream.output();
         [head, deadline.as_bytes(), body].iter().for_each(|part| output.extend_from_slice(part));
-        let end_offset = stream.queued_in_all();
+        let end_offset = stream.total_queued();
         self.state = UpstreamState::InFlight { request_id, end_offset, written_at: None };
     }
 
@@ -231,7 +231,7 @@
         common: Option<&CommonResponses>,
     ) -> Result<(), ResponseMismatch> {
         match common.filter(|_| self.is_written()) {
-            Some(common) => self.history.verify_among(response, request_id, common),
+            Some(common) => self.history.verify_allowing_common(response, request_id, common),
             None => self.history.verify(response, request_id),
         }
     }
--- a/crates/platform/src/upstream_pool.rs
+++ b/crates/platform/src/upstream_pool.rs
@@ -5,7 +5,7 @@
 use crate::reactor::{ConnectionKey, ConnectionKind, Reactor, Timer};
 use crate::upstream_connection::{UpstreamConnection, RESPONSE_STALL_MS};
 use magpiewick::Ms;
-use magpiewick_exchange::{CommonResponses, EndpointTrust, ReceivedResponse, ResponseMismatch};
+use magpiewick_exchange::{CommonResponses, ConnectionReusePolicy, ReceivedResponse, ResponseMismatch};
 use magpiewick_transport::Stream;
 use std::io;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 pub(crate) struct UpstreamPool {
     connections: ConnectionTable<UpstreamConnection>,
     idle: IdlePool,
-    trust: EndpointTrust,
+    trust: ConnectionReusePolicy,
     common: CommonResponses,
     max_connections: usize,
     connect_timeout: Ms,
@@ -44,7 +44,7 @@
         UpstreamPool {
             connections: ConnectionTable::default(),
             idle: IdlePool::new(idle_timeout),
-            trust: EndpointTrust::default(),
+            trust: ConnectionReusePolicy::default(),
             common: CommonResponses::default(),
             max_connections,
             connect_timeout: connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT_MS),
@@ -133,7 +133,7 @@
     /// are given, where the endpoint has ever sent more than was requested: a copy of it could not be told from the
     /// next one.
     pub(crate) fn may_reuse(&self, endpoint: u32, response: &ReceivedResponse<'_>) -> bool {
-        let is_ambiguous = self.trust.has_offended(endpoint) && self.common.contains(response);
+        let is_ambiguous = self.trust.has_sent_unsolicited_bytes(endpoint) && self.common.contains(response);
         self.trust.may_reuse(endpoint, response.status) && !is_ambiguous
     }
 
@@ -145,7 +145,8 @@
         request_id: &str,
     ) -> Result<(), ResponseMismatch> {
         let Some(connection) = self.get(key) else { return Ok(()) };
-        let common = Some(&self.common).filter(|_| !self.trust.has_offended(connection.endpoint()));
+        let common =
+            Some(&self.common).filter(|_| !self.trust.has_sent_unsolicited_bytes(connection.endpoint()));
         connection.verify(response, request_id, common)
     }
 
@@ -175,7 +176,7 @@
 
     /// An endpoint has left the list.
     pub(crate) fn forget_endpoint(&mut self, endpoint: u32) {
-        self.trust.forget(endpoint);
+        self.trust.remove_endpoint(endpoint);
     }
 
     /// Connections with an attempt of which no byte was written.
--- a/crates/scenario/src/audit/at_most_once.rs
+++ b/crates/scenario/src/audit/at_most_once.rs
@@ -9,7 +9,7 @@
 
 pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
     check_effects(run, verdict);
-    let classes = &run.evidence.host.start.classes;
+    let classes = &run.evidence.host.scheduler.classes;
     for tracked in &run.requests {
         if classes[usize::from(tracked.request.class)].idempotency != Idempotency::Idempotent {
             check_attempts(run, tracked, verdict);
@@ -19,7 +19,7 @@
 }
 
 fn check_effects(run: &Run<'_>, verdict: &mut Verdict) {
-    let classes = &run.evidence.host.start.classes;
+    let classes = &run.evidence.host.scheduler.classes;
     let idempotency = |class: u16| {
         classes.get(usize::from(class)).map_or(Idempotency::NonIdempotent, |class| class.idempotency)
     };
@@ -63,7 +63,7 @@
     earlier: &TrackedAttempt,
     attempt: &TrackedAttempt,
 ) -> Option<&'static str> {
-    let class = &run.evidence.host.start.classes[usize::from(tracked.request.class)];
+    let class = &run.evidence.host.scheduler.classes[usize::from(tracked.request.class)];
     let remembered_until = earlier.at + class.deduplication_window + run.evidence.scenario.clock_tolerance;
     match class.idempotency {
         Idempotency::NonIdempotent => Some("a non-idempotent request retried that may have been executed"),
@@ -78,7 +78,7 @@
 /// Finds a rejection of a request that may have been executed: the client would retry it.
 fn check_rejection(run: &Run<'_>, tracked: &TrackedRequest, verdict: &mut Verdict) {
     let Some((at, FinalCode::Rejected)) = tracked.answer else { return };
-    let class = &run.evidence.host.start.classes[usize::from(tracked.request.class)];
+    let class = &run.evidence.host.scheduler.classes[usize::from(tracked.request.class)];
     let deduplicated_everywhere = class.idempotency == Idempotency::IdempotentWithKey
         && class.deduplication_scope == DeduplicationScope::All;
     let executed = run.attempts_of(tracked).find(|attempt| !attempt.known_not_executed(at));
--- a/crates/scenario/src/audit/ordering.rs
+++ b/crates/scenario/src/audit/ordering.rs
@@ -10,7 +10,7 @@
 const COMPARED_REQUESTS: usize = 64;
 
 pub(super) fn check_keys(run: &Run<'_>, verdict: &mut Verdict) {
-    let classes = &run.evidence.host.start.classes;
+    let classes = &run.evidence.host.scheduler.classes;
     let mut by_key: BTreeMap<(u64, u64, u64), Vec<&TrackedRequest>> = BTreeMap::new();
     for tracked in &run.requests {
         let request = &tracked.request;
@@ -41,7 +41,7 @@
     verdict: &mut Verdict,
 ) {
     let tolerance = run.evidence.scenario.clock_tolerance;
-    let quiet_period = run.evidence.host.start.ordering_quiet_period;
+    let quiet_period = run.evidence.host.scheduler.ordering_quiet_period;
     let at = attempt.at;
     let stalled = run.is_stalled(earlier.request.host_number, earlier.sent_at, at);
     if earlier.over_at() > at + tolerance && !stalled {
--- a/crates/scenario/src/audit/rate_limits.rs
+++ b/crates/scenario/src/audit/rate_limits.rs
@@ -15,7 +15,7 @@
 }
 
 pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
-    let start = &run.evidence.host.start;
+    let start = &run.evidence.host.scheduler;
     let mut known_requests: HashSet<(u64, u64)> = HashSet::new();
     let mut buckets: HashMap<u64, TokenBucket> = HashMap::new();
     let mut checked = 0;
@@ -25,7 +25,7 @@
             continue;
         }
         let Some(volume) = run.evidence.host.volumes.get(&attempt.volume) else { continue };
-        let policy = &start.policies[volume.plan];
+        let policy = &start.policies[volume.policy];
         if policy.limit_rate <= 0.0 {
             continue;
         }
--- a/crates/scenario/src/audit/retry_budget.rs
+++ b/crates/scenario/src/audit/retry_budget.rs
@@ -13,7 +13,7 @@
 }
 
 pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
-    let Some(budget) = &run.evidence.host.start.budget else { return };
+    let Some(budget) = &run.evidence.host.scheduler.budget else { return };
     let tolerance = run.evidence.scenario.clock_tolerance;
     for HostLoad { request_times, retries } in load_by_host(run).values() {
         verdict.add_checked(Rule::RetryBudget, retries.len());
--- a/crates/scenario/src/audit/retry_storm.rs
+++ b/crates/scenario/src/audit/retry_storm.rs
@@ -126,7 +126,7 @@
 
 /// The weight of each request, by when it was due first.
 fn request_weights(evidence: &Evidence<'_>) -> Vec<RequestWeight> {
-    let classes = &evidence.host.start.classes;
+    let classes = &evidence.host.scheduler.classes;
     let mut by_mark: HashMap<u64, usize> = HashMap::new();
     let mut by_number = HashMap::new();
     let mut weights: Vec<RequestWeight> = Vec::new();
--- a/crates/scenario/src/audit/statistics.rs
+++ b/crates/scenario/src/audit/statistics.rs
@@ -74,7 +74,7 @@
 }
 
 fn measure_clients(run: &Run<'_>) -> Vec<ClientSide> {
-    let start = &run.evidence.host.start;
+    let start = &run.evidence.host.scheduler;
     let mut hosts = vec![ClientSide::default(); start.hosts as usize];
     for tracked in &run.requests {
         let request = &tracked.request;
@@ -94,7 +94,7 @@
 }
 
 fn measure_nodes(run: &Run<'_>) -> Vec<NodeSide> {
-    let mut hosts = vec![NodeSide::default(); run.evidence.host.start.hosts as usize];
+    let mut hosts = vec![NodeSide::default(); run.evidence.host.scheduler.hosts as usize];
     let mut known_batches: HashSet<u64> = HashSet::new();
     let mut known_writes: HashSet<(usize, u64)> = HashSet::new();
     for (_, event) in run.evidence.node_events {
--- a/crates/scenario/src/client_loop.rs
+++ b/crates/scenario/src/client_loop.rs
@@ -93,7 +93,7 @@
     ) -> ClientLoop {
         let traffic = &scenario.traffic;
         let max_payload = traffic.mixes.iter().map(|mix| mix.payload * mix.blocks.max(1) as usize).max();
-        let classes = host.start.classes.iter().map(|class| ClassTraits {
+        let classes = host.scheduler.classes.iter().map(|class| ClassTraits {
             timeout: class.client_timeout,
             idempotent: class.idempotency == Idempotency::Idempotent,
             ordered: class.ordered,
@@ -129,7 +129,7 @@
         loop {
             let (now, wake_at) = (self.clock.now(), self.next_wakeup());
             self.delay.on_sleep(now, wake_at);
-            let wait = Clock::until(now, wake_at);
+            let wait = Clock::duration_until(now, wake_at);
             if let Err(error) = self.poll.wait(&mut poll_events, Some(wait)) {
                 return tracing::error!(%error, "client_poll_failed");
             }
@@ -137,7 +137,7 @@
             self.delay.on_wake(self.now);
             inbox.try_iter().collect::<Vec<_>>().into_iter().for_each(|command| self.on_command(command));
             poll_events.readable.iter().for_each(|key| self.on_readable(*key));
-            while let Some(id) = self.timers.due(self.now) {
+            while let Some(id) = self.timers.pop_due(self.now) {
                 let Some(timer) = self.timers_by_id.remove(&id) else { break };
                 self.on_timer(timer);
             }
@@ -164,7 +164,7 @@
     }
 
     fn next_wakeup(&self) -> Ms {
-        let timer = self.timers.next_at().unwrap_or(f64::INFINITY);
+        let timer = self.timers.next_due_at().unwrap_or(f64::INFINITY);
         let sends = self.next_due < self.end && !self.is_saturated();
         let next = if sends { timer.min(self.next_due) } else { timer };
         next.min(self.clock.now() + MAX_POLL_WAIT)
--- a/crates/scenario/src/config.rs
+++ b/crates/scenario/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::Ms;
 use magpiewick_emulator::{read_config as read_emulator, read_faults, EmulatorConfig, Fault};
-use magpiewick_gateway::config::{host as read_host, HostConfig, Volume};
+use magpiewick_gateway::config::{read_host_config as read_host, HostConfig, Volume};
 use magpiewick_hcl_settings::SettingsBlock;
 
 /// The traffic of one request class.
@@ -197,7 +197,7 @@
     Some(Mix {
         share: p.attribute("share").number(),
         write: p.attribute("write").bool_or(false),
-        max_units: p.attribute("units").integer_or(1..=host.start.max_units.max(1.0) as u64, 1),
+        max_units: p.attribute("units").integer_or(1..=host.scheduler.max_units.max(1.0) as u64, 1),
         blocks: p.attribute("blocks").integer_or(0..=1 << 16, 0),
         payload: p.attribute("payload").integer_or(0..=1 << 20, 64) as usize,
         class: class?,
--- a/crates/scenario/src/host_connections.rs
+++ b/crates/scenario/src/host_connections.rs
@@ -1,6 +1,6 @@
 //! The clients' connections to hosts.
 
-use magpiewick_node_protocol::{Hello, Message, Role, LONG_AGO};
+use magpiewick_node_protocol::{Hello, Message, Role, AGE_LONG_RUNNING};
 use magpiewick_transport::{Connection, Poll, UNTRACKED};
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -54,7 +54,7 @@
         for index in self.of_host(host) {
             // The requests of a connection that cannot be opened are not sent.
             let Ok(mut connection) = Connection::connect(&self.poll, address, index) else { continue };
-            let hello = Hello::new(Role::Client, index as u32, 0, LONG_AGO);
+            let hello = Hello::new(Role::Client, index as u32, 0, AGE_LONG_RUNNING);
             connection.queue(&Message::Hello(hello), UNTRACKED);
             self.connections[index] = Some(HostConnection { connection, incarnation: None });
         }
@@ -94,7 +94,7 @@
     /// Returns what was read; its first `used` bytes are dropped.
     pub(crate) fn give_back(&mut self, index: usize, bytes: Vec<u8>, used: usize) {
         if let Some(host) = &mut self.connections[index] {
-            host.connection.give_back(bytes, used);
+            host.connection.return_input(bytes, used);
         }
     }
 
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -2,7 +2,7 @@
 //! a host's latency and processor time.
 
 use magpiewick_node_protocol::{
-    Attempt, FinalAnswer, FinalCode, Frames, Hello, Message, OutcomeCode, Role, LONG_AGO,
+    Attempt, FinalAnswer, FinalCode, Frames, Hello, Message, OutcomeCode, Role, AGE_LONG_RUNNING,
 };
 use magpiewick_transport::{listen, Connection, Poll, PollEvents, UNTRACKED};
 use slab::Slab;
@@ -57,7 +57,7 @@
         let entry = self.clients.vacant_entry();
         let key = CLIENTS + entry.key();
         let mut connection = Connection::accepted(&self.poll, stream, key)?;
-        connection.queue(&Message::Hello(Hello::new(Role::Host, 0, 1, LONG_AGO)), UNTRACKED);
+        connection.queue(&Message::Hello(Hello::new(Role::Host, 0, 1, AGE_LONG_RUNNING)), UNTRACKED);
         entry.insert(connection);
         Ok(())
     }
@@ -79,7 +79,7 @@
         }
         let used = frames.consumed();
         if let Some(connection) = self.connection(key) {
-            connection.give_back(input, used);
+            connection.return_input(input, used);
         }
         match key.checked_sub(CLIENTS) {
             Some(client) if ended => _ = self.clients.try_remove(client),
--- a/crates/scenario/src/scenario_run.rs
+++ b/crates/scenario/src/scenario_run.rs
@@ -108,7 +108,7 @@
         hosts_without_coalescing: scenario.hosts_without_coalescing.clone(),
         without_overload_protection: options.without_overload_protection,
     };
-    let hosts = start_hosts(&program, host.start.hosts as usize)?;
+    let hosts = start_hosts(&program, host.scheduler.hosts as usize)?;
     let addresses = hosts.iter().map(|host| host.as_ref().map(|host| host.address)).collect();
     let session = Session::open(clock, scenario.duration, options.seed);
     let session = Session { record: true, defect: options.defect, ..session };
@@ -155,7 +155,7 @@
     ScenarioReport {
         ok: verdict.findings.is_empty() && ended_well,
         seed: options.seed,
-        hosts: settings.host.start.hosts as usize,
+        hosts: settings.host.scheduler.hosts as usize,
         nodes: settings.emulator.nodes.len(),
         seconds: settings.scenario.duration / 1000.0,
         sent: statistics.sent,
--- a/crates/scenario/src/seeded_defect.rs
+++ b/crates/scenario/src/seeded_defect.rs
@@ -98,7 +98,7 @@
 
 impl DefectInterceptor {
     fn new(defect: SeededDefect, host: &HostConfig) -> DefectInterceptor {
-        let classes = &host.start.classes;
+        let classes = &host.scheduler.classes;
         let unordered = |idempotency: Idempotency| -> Vec<u16> {
             let numbered = classes.iter().zip(0..);
             let matching = numbered.filter(|(class, _)| class.idempotency == idempotency && !class.ordered);
@@ -108,8 +108,8 @@
         let objective = |class: &u16| classes[usize::from(*class)].latency_objective;
         let longest = idempotent_classes.iter().max_by(|a, b| objective(a).total_cmp(&objective(b)));
         let delayed_class = longest.copied().unwrap_or(0);
-        let policies = &host.start.policies;
-        let rate_limited = host.volumes.iter().filter(|(_, volume)| policies[volume.plan].limit_rate > 0.0);
+        let policies = &host.scheduler.policies;
+        let rate_limited = host.volumes.iter().filter(|(_, volume)| policies[volume.policy].limit_rate > 0.0);
         DefectInterceptor {
             defect,
             attempts: 0,
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -50,7 +50,7 @@
         };
         let volumes = host.volumes.iter().map(|(id, volume)| ClientVolume {
             id: *id,
-            hosts: reachable_hosts(*id, volume.hosts),
+            hosts: reachable_hosts(*id, volume.host_count),
             surge: 1.0,
             last_requests: vec![(u64::MAX, 0); scenario.traffic.mixes.len()],
         });
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,6 +1,6 @@
 //! One connection that carries frames of the node protocol over a byte stream.
 
-use crate::{Ended, Poll, Stream};
+use crate::{Poll, Stream, StreamEnd};
 use magpiewick_node_protocol::{encode, Message};
 use std::collections::VecDeque;
 use std::io;
@@ -63,32 +63,32 @@
     }
 
     /// Reads what is there, up to a bound; true where more may be waiting.
-    pub fn fill(&mut self) -> Result<bool, Ended> {
+    pub fn fill(&mut self) -> Result<bool, StreamEnd> {
         self.stream.fill()
     }
 
     /// Takes out what was read, so that frames can be used while the connection is written to; the caller returns
-    /// it by [`Connection::give_back`].
+    /// it by [`Connection::return_input`].
     pub fn take_input(&mut self) -> Vec<u8> {
         self.stream.take_input()
     }
 
     /// Returns what [`Connection::take_input`] took; its first `used` bytes are dropped.
-    pub fn give_back(&mut self, input: Vec<u8>, used: usize) {
-        self.stream.give_back(input, used);
+    pub fn return_input(&mut self, input: Vec<u8>, used: usize) {
+        self.stream.return_input(input, used);
     }
 
     /// Queues a message. `token` names it to [`Connection::unwritten`], unless it is [`UNTRACKED`].
     pub fn queue(&mut self, message: &Message<'_>, token: u64) {
-        self.queue_for(message, token, Vec::new());
+        self.queue_with_tokens(message, token, Vec::new());
     }
 
     /// Queues a message that has several tokens.
-    pub fn queue_for(&mut self, message: &Message<'_>, token: u64, more_tokens: Vec<u64>) {
-        let start = self.stream.queued_in_all();
+    pub fn queue_with_tokens(&mut self, message: &Message<'_>, token: u64, more_tokens: Vec<u64>) {
+        let start = self.stream.total_queued();
         encode(message, self.stream.output());
         if token != UNTRACKED {
-            let end = self.stream.queued_in_all();
+            let end = self.stream.total_queued();
             self.unwritten.push_back(TrackedFrame { start, end, token, more_tokens });
         }
     }
@@ -104,9 +104,9 @@
     }
 
     /// Writes what the kernel takes.
-    pub fn flush(&mut self) -> Result<(), Ended> {
+    pub fn flush(&mut self) -> Result<(), StreamEnd> {
         let flushed = self.stream.flush();
-        let written = self.stream.written_in_all();
+        let written = self.stream.total_written();
         while self.unwritten.front().is_some_and(|frame| frame.end <= written) {
             self.unwritten.pop_front();
         }
@@ -114,7 +114,7 @@
     }
 
     /// Sets whether to read on. A peer that is not read from is slowed down by TCP's flow control.
-    pub fn set_reading(&mut self, reading: bool) -> Result<(), Ended> {
+    pub fn set_reading(&mut self, reading: bool) -> Result<(), StreamEnd> {
         self.stream.set_reading(reading)
     }
 
@@ -132,7 +132,7 @@
 
     /// Withdraws the tracked frames of which no byte was written.
     pub fn withdraw_unwritten(&mut self) -> Withdrawn {
-        let written = self.stream.written_in_all();
+        let written = self.stream.total_written();
         let partly_written = self.unwritten.front().is_some_and(|frame| frame.start < written);
         let withdrawn: Vec<TrackedFrame> = self.unwritten.drain(usize::from(partly_written)..).collect();
         for frame in withdrawn.iter().rev() {
--- a/crates/transport/src/connection/tests.rs
+++ b/crates/transport/src/connection/tests.rs
@@ -47,7 +47,7 @@
             found.push(t.request_id);
             used += n;
         }
-        to.give_back(input, used);
+        to.return_input(input, used);
     }
     found
 }
@@ -77,7 +77,7 @@
             found.push(t.request_id);
             used += n;
         }
-        to.give_back(input, used);
+        to.return_input(input, used);
     }
     let expected: Vec<u64> = (1..wanted as u64).chain([99]).collect();
     assert_eq!(found, expected);
@@ -113,6 +113,6 @@
             Err(ended) => break ended,
         }
     };
-    assert!(matches!(ended, Ended::Failed(_)));
+    assert!(matches!(ended, StreamEnd::Failed(_)));
     assert_eq!(refused.unwritten(), [1]);
 }
--- a/crates/transport/src/errors.rs
+++ b/crates/transport/src/errors.rs
@@ -9,11 +9,11 @@
     /// No connection waits to be accepted.
     Empty,
     /// This connection or this call failed; the next one may be accepted.
-    Next,
+    ConnectionFailed,
     /// No descriptor is left: another connection has to end before the next one can be accepted.
     OutOfDescriptors,
     /// The system is short of something else. Closing a connection does not help; it is tried again later.
-    Short,
+    OutOfResources,
 }
 
 fn errno(error: &io::Error) -> Option<Errno> {
@@ -32,7 +32,7 @@
 
 /// Whether a call failed because this process has as many descriptors as it may. Where the system has none left at
 /// all, closing one of this process frees it for any other.
-pub fn out_of_own_descriptors(error: &io::Error) -> bool {
+pub fn process_out_of_descriptors(error: &io::Error) -> bool {
     errno(error) == Some(Errno::MFILE)
 }
 
@@ -92,8 +92,8 @@
             | Errno::NONET
             | Errno::PERM
             | Errno::TIMEDOUT,
-        ) => AcceptError::Next,
-        _ => AcceptError::Short,
+        ) => AcceptError::ConnectionFailed,
+        _ => AcceptError::OutOfResources,
     }
 }
 
--- a/crates/transport/src/errors/tests.rs
+++ b/crates/transport/src/errors/tests.rs
@@ -19,9 +19,9 @@
         assert_eq!(of(errno), AcceptError::OutOfDescriptors);
     }
     for errno in [Errno::CONNABORTED, Errno::INTR, Errno::PROTO, Errno::PERM, Errno::NETUNREACH] {
-        assert_eq!(of(errno), AcceptError::Next, "{errno:?}");
+        assert_eq!(of(errno), AcceptError::ConnectionFailed, "{errno:?}");
     }
     for errno in [Errno::NOBUFS, Errno::NOMEM] {
-        assert_eq!(of(errno), AcceptError::Short, "{errno:?}");
+        assert_eq!(of(errno), AcceptError::OutOfResources, "{errno:?}");
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -10,11 +10,11 @@
 
 pub use connection::{Connection, Withdrawn, UNTRACKED};
 pub use errors::{
-    accept_error, descriptor_limit, error_origin, out_of_own_descriptors, AcceptError, ErrorOrigin,
+    accept_error, descriptor_limit, error_origin, process_out_of_descriptors, AcceptError, ErrorOrigin,
 };
 pub use loop_delay::LoopDelay;
 pub use poll::{Poll, PollEvents, Registered};
-pub use stream::{Ended, Stream};
+pub use stream::{Stream, StreamEnd};
 pub use timers::{Clock, Timers};
 
 use std::io;
--- a/crates/transport/src/poll.rs
+++ b/crates/transport/src/poll.rs
@@ -88,7 +88,7 @@
     }
 
     /// Sets whether readiness for reading and for writing is reported.
-    pub fn watch(&mut self, read: bool, write: bool) -> io::Result<()> {
+    pub fn set_interest(&mut self, read: bool, write: bool) -> io::Result<()> {
         let interest = Interest { read, write };
         if self.interest == interest {
             return Ok(());
--- a/crates/transport/src/stream.rs
+++ b/crates/transport/src/stream.rs
@@ -14,7 +14,7 @@
 
 /// Why a stream is over.
 #[derive(Debug, thiserror::Error)]
-pub enum Ended {
+pub enum StreamEnd {
     /// The peer closed it in order.
     #[error("closed by the other side")]
     Closed,
@@ -53,7 +53,7 @@
             _ => {}
         }
         let mut stream = Stream::over(poll, socket.into(), key, true)?;
-        stream.socket.watch(true, true)?;
+        stream.socket.set_interest(true, true)?;
         Ok(stream)
     }
 
@@ -83,16 +83,16 @@
     }
 
     /// Reads what is there, up to a bound; true where more may be waiting.
-    pub fn fill(&mut self) -> Result<bool, Ended> {
+    pub fn fill(&mut self) -> Result<bool, StreamEnd> {
         self.fill_to(self.input.len() + MAX_BYTES_PER_FILL)
     }
 
     /// Reads what is there until the input holds so many bytes; true where more may be waiting.
-    fn fill_to(&mut self, bound: usize) -> Result<bool, Ended> {
+    fn fill_to(&mut self, bound: usize) -> Result<bool, StreamEnd> {
         let mut chunk = [0; 16 << 10];
         while self.input.len() < bound {
             match self.socket.read(&mut chunk) {
-                Ok(0) => return Err(Ended::Closed),
+                Ok(0) => return Err(StreamEnd::Closed),
                 Ok(n) => {
                     self.input.extend_from_slice(&chunk[..n]);
                     if n < chunk.len() {
@@ -118,13 +118,13 @@
     }
 
     /// Takes out what was read, so that it can be used while the stream is written to; the caller returns it by
-    /// [`Stream::give_back`].
+    /// [`Stream::return_input`].
     pub fn take_input(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.input)
     }
 
     /// Returns what [`Stream::take_input`] took; its first `used` bytes are dropped.
-    pub fn give_back(&mut self, mut input: Vec<u8>, used: usize) {
+    pub fn return_input(&mut self, mut input: Vec<u8>, used: usize) {
         input.drain(..used);
         debug_assert!(self.input.is_empty(), "input was read while it was taken out");
         if input.is_empty() && input.capacity() > MAX_IDLE_CAPACITY {
@@ -134,7 +134,7 @@
     }
 
     /// The memory that both buffers take.
-    pub fn held(&self) -> usize {
+    pub fn buffer_capacity(&self) -> usize {
         self.input.capacity() + self.output.capacity()
     }
 
@@ -162,17 +162,17 @@
     }
 
     /// Bytes that were queued since the stream began.
-    pub fn queued_in_all(&self) -> u64 {
+    pub fn total_queued(&self) -> u64 {
         self.removed + self.output.len() as u64
     }
 
     /// Bytes that the kernel has taken since the stream began.
-    pub fn written_in_all(&self) -> u64 {
+    pub fn total_written(&self) -> u64 {
         self.removed + self.written as u64
     }
 
     /// Writes what the kernel takes.
-    pub fn flush(&mut self) -> Result<(), Ended> {
+    pub fn flush(&mut self) -> Result<(), StreamEnd> {
         if self.connecting {
             match self.socket.take_error()? {
                 Some(e) => return Err(e.into()),
@@ -191,13 +191,13 @@
         }
         if self.pending() == 0 || self.written > MAX_WRITTEN_KEPT {
             self.output.drain(..self.written);
-            self.removed = self.written_in_all();
+            self.removed = self.total_written();
             self.written = 0;
         }
         if self.output.is_empty() && self.output.capacity() > MAX_IDLE_CAPACITY {
             self.output = Vec::new();
         }
-        self.socket.watch(self.reading, self.pending() > 0)?;
+        self.socket.set_interest(self.reading, self.pending() > 0)?;
         Ok(())
     }
 
@@ -207,14 +207,14 @@
     }
 
     /// Sets whether to read on. A peer that is not read from is slowed down by TCP's flow control.
-    pub fn set_reading(&mut self, reading: bool) -> Result<(), Ended> {
+    pub fn set_reading(&mut self, reading: bool) -> Result<(), StreamEnd> {
         self.reading = reading;
-        self.socket.watch(reading, self.connecting || self.pending() > 0)?;
+        self.socket.set_interest(reading, self.connecting || self.pending() > 0)?;
         Ok(())
     }
 
     /// Whether the peer ended or broke the connection, also behind bytes that are not read.
-    pub fn peer_ended(&self) -> bool {
+    pub fn peer_closed(&self) -> bool {
         use rustix::event::{poll, PollFd, PollFlags, Timespec};
         let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         let mut descriptors = [PollFd::new(&*self.socket, PollFlags::RDHUP)];
--- a/crates/transport/src/timers.rs
+++ b/crates/transport/src/timers.rs
@@ -20,7 +20,7 @@
     }
 
     /// The time from `now` until `at`; zero where that has passed.
-    pub fn until(now: f64, at: f64) -> Duration {
+    pub fn duration_until(now: f64, at: f64) -> Duration {
         // Rounded up to the poller's resolution, or a loop would spin until a time within it.
         Duration::from_micros(((at - now).max(0.0) * 1000.0).ceil() as u64)
     }
@@ -49,13 +49,13 @@
     }
 
     /// When the next timer is due.
-    pub fn next_at(&self) -> Option<f64> {
+    pub fn next_due_at(&self) -> Option<f64> {
         self.heap.peek().map(|Reverse((at_us, ..))| *at_us as f64 / 1000.0)
     }
 
     /// Takes the next timer that is due by now.
-    pub fn due(&mut self, now: f64) -> Option<T> {
-        self.next_at().filter(|at| *at <= now)?;
+    pub fn pop_due(&mut self, now: f64) -> Option<T> {
+        self.next_due_at().filter(|at| *at <= now)?;
         self.heap.pop().map(|Reverse((.., timer))| timer)
     }
 }
