--- a/crates/cli/benches/hosts.rs
+++ b/crates/cli/benches/hosts.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use magpiewick_scenario::spread;
+use magpiewick_scenario::median_min_max;
 use std::path::Path;
 use std::time::{Duration, Instant};
 use support::host_settings::Limits;
@@ -58,7 +58,10 @@
         let served = load(&cluster, &format!("paced{repeat}"), PACED_CLIENTS, Some(interval));
         (cluster.host.cpu_ticks().unwrap() - before) as f64 * 1e4 / served as f64
     });
-    (spread(figures.collect())[0], [first, full, cluster.host.memory_kb()].map(|kb| kb as f64 / 1024.0))
+    (
+        median_min_max(figures.collect())[0],
+        [first, full, cluster.host.memory_kb()].map(|kb| kb as f64 / 1024.0),
+    )
 }
 
 fn main() {
@@ -80,7 +83,7 @@
         memory.push(memory_mb[1] / other.memory_mb[1]);
     }
     for (what, all) in [("processor time a request", ratios), ("memory at the fullest", memory)] {
-        let [median, least, most] = spread(all);
+        let [median, least, most] = median_min_max(all);
         println!("{what}: {median:.2} times the other host's ({least:.2} to {most:.2})");
     }
 }
--- a/crates/cli/src/commands/bench.rs
+++ b/crates/cli/src/commands/bench.rs
@@ -1,7 +1,7 @@
 //! `magpiewick bench`: what a host costs, beside a bare relay and clients connected straight to a node.
 
 use crate::error::{Error, ExitStatus};
-use magpiewick_scenario::{bench, bench_reads, Measured};
+use magpiewick_scenario::{bench, bench_reads, BenchmarkResult};
 use std::path::Path;
 
 #[derive(clap::Args)]
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-fn print_requests(all: &[Measured]) {
+fn print_requests(all: &[BenchmarkResult]) {
     println!(
         "{:9} {:>5} {:>24} {:>9} {:>22} {:>22} {:>22} {:>18} {:>24}",
         "way",
--- a/crates/cli/src/commands/scenario/report.rs
+++ b/crates/cli/src/commands/scenario/report.rs
@@ -124,6 +124,6 @@
         finding.host.unwrap_or(0),
         finding.node,
         finding.request_id,
-        finding.what
+        finding.description
     );
 }
--- a/crates/cli/src/commands/scenario/request_records.rs
+++ b/crates/cli/src/commands/scenario/request_records.rs
@@ -22,8 +22,8 @@
         ClientEvent::Answered { number, code, retry_after } => json!({
             "at_ms": at_ms, "try": number, "answer": answer_word(*code), "back_ms": retry_after
         }),
-        ClientEvent::BlockRead { number, block, mark } => json!({
-            "at_ms": at_ms, "try": number, "block": block, "found": mark
+        ClientEvent::BlockRead { number, block, idempotency_key } => json!({
+            "at_ms": at_ms, "try": number, "block": block, "found": idempotency_key
         }),
         ClientEvent::TimedOut { number } => json!({ "at_ms": at_ms, "try": number, "answer": "none" }),
         ClientEvent::ConnectionLost { number } => {
@@ -34,7 +34,7 @@
 
 fn request_record(at_ms: f64, request: &ClientRequest) -> Value {
     json!({
-        "at_ms": at_ms, "try": request.number, "command": request.mark, "host": request.host_number,
+        "at_ms": at_ms, "try": request.number, "command": request.idempotency_key, "host": request.host_number,
         "band": request.class, "volume": request.volume, "key": request.key, "limit_ms": request.timeout,
         "later": request.is_retry
     })
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -48,7 +48,7 @@
         Some(emulator) => {
             let services = EmulatorHandle::start(emulator, Clock::start(), None)?;
             services.execute(|emulator| emulator.disable_recording());
-            settings.host.list.address = services.list;
+            settings.host.list.address = services.list_address;
             Some(services)
         }
         None => None,
--- a/crates/cli/src/emulated_services.rs
+++ b/crates/cli/src/emulated_services.rs
@@ -27,8 +27,8 @@
     services.execute(|emulator| emulator.disable_recording());
     let addresses = services.query(|emulator| emulator.node_addresses()).unwrap_or_default();
     let address = match announced {
-        Announced::EndpointList => services.list,
-        Announced::FirstNode => addresses.first().map_or(services.list, |a| a.1),
+        Announced::EndpointList => services.list_address,
+        Announced::FirstNode => addresses.first().map_or(services.list_address, |a| a.1),
     };
     println!("ready {address}");
     io::stdout().flush()?;
--- a/crates/coalescing/src/lib.rs
+++ b/crates/coalescing/src/lib.rs
@@ -9,4 +9,4 @@
 
 pub use coalescer::{BatchLimits, Coalescer, PendingWrite};
 pub use overlap_lock::{OverlapLock, WriteRange};
-pub use split_read::{split_range, Progress, SplitRead};
+pub use split_read::{split_range, SplitRead, SplitReadProgress};
--- a/crates/coalescing/src/split_read.rs
+++ b/crates/coalescing/src/split_read.rs
@@ -31,7 +31,7 @@
 
 /// What a piece that arrived made of the read.
 #[derive(Debug, PartialEq)]
-pub enum Progress {
+pub enum SplitReadProgress {
     /// Other pieces are outstanding, or the read is over already.
     Pending,
     /// The read is complete: its payload.
@@ -80,22 +80,22 @@
     }
 
     /// The payload of a piece arrived.
-    pub fn on_received(&mut self, piece: usize, payload: Vec<u8>) -> Progress {
+    pub fn on_received(&mut self, piece: usize, payload: Vec<u8>) -> SplitReadProgress {
         if self.over || !matches!(self.pieces[piece], PieceState::InFlight) {
-            return Progress::Pending;
+            return SplitReadProgress::Pending;
         }
         self.bytes += payload.len();
         self.in_flight -= 1;
         self.outstanding -= 1;
         self.pieces[piece] = PieceState::Received(payload);
         if self.bytes > self.max_bytes {
-            return Progress::TooLarge;
+            return SplitReadProgress::TooLarge;
         }
         if self.outstanding > 0 {
-            return Progress::Pending;
+            return SplitReadProgress::Pending;
         }
         self.over = true;
-        Progress::Complete(self.reassemble())
+        SplitReadProgress::Complete(self.reassemble())
     }
 
     fn reassemble(&mut self) -> Vec<u8> {
--- a/crates/coalescing/tests/reference_models.rs
+++ b/crates/coalescing/tests/reference_models.rs
@@ -1,7 +1,7 @@
 //! Coalescing, the overlap lock and split reads against simple reference models, on generated requests.
 
 use magpiewick_coalescing::{
-    split_range, BatchLimits, Coalescer, OverlapLock, PendingWrite, Progress, SplitRead, WriteRange,
+    split_range, BatchLimits, Coalescer, OverlapLock, PendingWrite, SplitRead, SplitReadProgress, WriteRange,
 };
 use quickcheck::quickcheck;
 use std::collections::BTreeMap;
@@ -192,7 +192,7 @@
                 break;
             }
             let piece = out.remove(order.next().unwrap_or(0) % out.len());
-            if let Progress::Complete(all) = read.on_received(piece, pieces[piece].clone()) {
+            if let SplitReadProgress::Complete(all) = read.on_received(piece, pieces[piece].clone()) {
                 whole = Some(all);
             }
         }
@@ -207,13 +207,13 @@
         [read.start_next(), read.start_next(), read.start_next(), read.start_next()],
         [Some(0), Some(1), Some(2), None]
     );
-    assert_eq!(read.on_received(1, vec![0; 6]), Progress::Pending);
+    assert_eq!(read.on_received(1, vec![0; 6]), SplitReadProgress::Pending);
     assert_eq!(read.start_next(), Some(3));
     assert_eq!(read.cancel(), [0, 2, 3]);
     assert_eq!((read.cancel(), read.start_next()), (vec![], None), "it ends once");
-    assert_eq!(read.on_received(0, vec![1]), Progress::Pending, "a late piece is ignored");
+    assert_eq!(read.on_received(0, vec![1]), SplitReadProgress::Pending, "a late piece is ignored");
     let mut large = SplitRead::new(2, 2, 10);
     assert_eq!((large.start_next(), large.start_next()), (Some(0), Some(1)));
-    assert_eq!(large.on_received(0, vec![0; 8]), Progress::Pending);
-    assert_eq!(large.on_received(1, vec![0; 8]), Progress::TooLarge);
+    assert_eq!(large.on_received(0, vec![0; 8]), SplitReadProgress::Pending);
+    assert_eq!(large.on_received(1, vec![0; 8]), SplitReadProgress::TooLarge);
 }
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -56,7 +56,7 @@
     /// The seed of all that is drawn.
     pub seed: u64,
     /// Where the endpoint list service listens.
-    pub list: SocketAddr,
+    pub list_address: SocketAddr,
     /// How late the endpoint list service publishes an update.
     pub publication_delay: Ms,
     /// The work of a unit at a speed of 1.
@@ -116,7 +116,7 @@
     let classes = if classes.is_present() { classes.integers() } else { Vec::new() };
     Some(EmulatorConfig {
         seed: p.attribute("seed").integer_or(0..=u64::MAX, 1),
-        list: p.attribute("list").address_or(ANY_PORT),
+        list_address: p.attribute("list").address_or(ANY_PORT),
         publication_delay: p.attribute("list_late").duration_ms_or(0.0),
         unit_work: p.attribute("unit_work").duration_ms_or(1.0),
         request_work: p.attribute("command_work").duration_ms_or(0.0),
--- a/crates/emulator/src/deduplication.rs
+++ b/crates/emulator/src/deduplication.rs
@@ -18,14 +18,14 @@
     }
 
     /// Whether a request was executed within the window; notes it where it was not.
-    pub(crate) fn is_repeat(&mut self, now: Ms, scope: u64, mark: u64) -> bool {
+    pub(crate) fn is_repeat(&mut self, now: Ms, scope: u64, idempotency_key: u64) -> bool {
         let length = self.length;
         if self.executed.len() > CLEANUP_SIZE {
             self.executed.retain(|_, at| now - *at < length);
         }
-        let known = self.executed.get(&(scope, mark)).is_some_and(|at| now - at < length);
+        let known = self.executed.get(&(scope, idempotency_key)).is_some_and(|at| now - at < length);
         if !known {
-            self.executed.insert((scope, mark), now);
+            self.executed.insert((scope, idempotency_key), now);
         }
         known
     }
--- a/crates/emulator/src/emulator.rs
+++ b/crates/emulator/src/emulator.rs
@@ -100,7 +100,7 @@
         interceptor: Option<Box<dyn AttemptInterceptor>>,
     ) -> Result<Emulator, EmulatorError> {
         let poll = Poll::new().map_err(|source| EmulatorError::CreatePoller { source })?;
-        let (list_listener, list_address) = bind(&poll, config.list, LIST_KEY)?;
+        let (list_listener, list_address) = bind(&poll, config.list_address, LIST_KEY)?;
         let mut emulator = Emulator {
             rng: WyRand::new_seed(config.seed),
             nodes: config.nodes.iter().cloned().map(Node::new).collect(),
@@ -231,7 +231,7 @@
     }
 
     /// What the owner of each key holds.
-    pub fn stored(&mut self) -> Vec<StoredKey> {
+    pub fn stored_keys(&mut self) -> Vec<StoredKey> {
         self.map.stored()
     }
 
--- a/crates/emulator/src/execution.rs
+++ b/crates/emulator/src/execution.rs
@@ -79,7 +79,7 @@
             write: attempt.write,
             volume: attempt.volume,
             key: attempt.key,
-            mark: attempt.idempotency_key,
+            idempotency_key: attempt.idempotency_key,
             units: f64::from(attempt.units),
             blocks: attempt.blocks,
             version: attempt.version,
@@ -203,7 +203,7 @@
 
     /// Whether a node of the same deduplication scope has executed the request within the window.
     fn is_repeat(&mut self, node: usize, attempt: &ReceivedAttempt) -> bool {
-        if attempt.mark == 0 || !self.config.deduplicated_classes.contains(&attempt.class) {
+        if attempt.idempotency_key == 0 || !self.config.deduplicated_classes.contains(&attempt.class) {
             return false;
         }
         let config = &self.nodes[node].config;
@@ -212,7 +212,7 @@
             DeduplicationScope::Zone => u64::from(config.zone),
             DeduplicationScope::Shard => u64::from(config.shard),
         };
-        self.deduplication.is_repeat(self.now, scope, attempt.mark)
+        self.deduplication.is_repeat(self.now, scope, attempt.idempotency_key)
     }
 
     fn answer(&mut self, node: usize, attempt: &ReceivedAttempt, code: OutcomeCode, payload: &[u8]) {
@@ -304,7 +304,7 @@
         class: attempt.class,
         volume: attempt.volume,
         key: attempt.key,
-        mark: attempt.mark,
+        idempotency_key: attempt.idempotency_key,
         units: attempt.units,
         write: attempt.write,
         version: attempt.version,
@@ -320,7 +320,7 @@
         class: attempt.class,
         volume: attempt.volume,
         key: attempt.key,
-        mark: attempt.mark,
+        idempotency_key: attempt.idempotency_key,
         write: attempt.write,
         blocks: attempt.blocks.max(1),
     }
--- a/crates/emulator/src/handle.rs
+++ b/crates/emulator/src/handle.rs
@@ -17,7 +17,7 @@
     poll: Poll,
     thread: Option<JoinHandle<()>>,
     /// Where the endpoint list service listens.
-    pub list: SocketAddr,
+    pub list_address: SocketAddr,
 }
 
 impl EmulatorHandle {
@@ -29,11 +29,11 @@
     ) -> Result<EmulatorHandle, EmulatorError> {
         let (commands, inbox) = channel();
         let mut emulator = Emulator::new(config, clock, interceptor)?;
-        let (poll, list) = (emulator.poll(), emulator.list_address());
+        let (poll, list_address) = (emulator.poll(), emulator.list_address());
         let thread = std::thread::Builder::new().name("emulator".to_string());
         let thread = thread.spawn(move || emulator.run(&inbox));
         let thread = thread.map_err(|source| EmulatorError::StartThread { source })?;
-        Ok(EmulatorHandle { commands, poll, thread: Some(thread), list })
+        Ok(EmulatorHandle { commands, poll, thread: Some(thread), list_address })
     }
 
     /// Has the emulator do something between two turns of its event loop.
--- a/crates/emulator/src/node_event.rs
+++ b/crates/emulator/src/node_event.rs
@@ -41,7 +41,7 @@
         /// The key, or the first block.
         key: u64,
         /// The client's mark of the request.
-        mark: u64,
+        idempotency_key: u64,
         /// Units of work.
         units: f64,
         /// Whether it writes.
@@ -66,7 +66,7 @@
         /// The key, or the first block.
         key: u64,
         /// The client's mark of the request.
-        mark: u64,
+        idempotency_key: u64,
         /// Whether it writes.
         write: bool,
         /// Blocks from the key on.
--- a/crates/emulator/src/received_attempt.rs
+++ b/crates/emulator/src/received_attempt.rs
@@ -35,7 +35,7 @@
     /// The key, or the first block.
     pub key: u64,
     /// The client's mark of the request.
-    pub mark: u64,
+    pub idempotency_key: u64,
     /// Units of work.
     pub units: f64,
     /// Blocks from the key on; 0 where a key is a piece of data by itself.
--- a/crates/extents/src/extent_map.rs
+++ b/crates/extents/src/extent_map.rs
@@ -89,12 +89,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MapError {
     /// Earlier changes are missing; the snapshot must be requested.
-    #[error("changes of epoch {got} where {} is next", have + 1)]
-    Gap {
+    #[error("changes of epoch {received} where {} is next", current + 1)]
+    EpochGap {
         /// The epoch of the map.
-        have: u64,
+        current: u64,
         /// The epoch of the changes.
-        got: u64,
+        received: u64,
     },
     /// The changes were applied before.
     #[error("changes that were taken before")]
@@ -137,7 +137,7 @@
     },
     /// Extents that do not start at 0 or do not rise.
     #[error("the extents of volume {volume} leave a gap or overlap")]
-    Disorder {
+    NotContiguous {
         /// The volume.
         volume: u64,
     },
@@ -149,7 +149,7 @@
         let rises = extents.windows(2).all(|w| w[0].0 < w[1].0);
         let covers = extents.first().is_some_and(|e| e.0 == 0) && extents.last().is_some_and(|e| e.0 < size);
         if !rises || !covers {
-            return Err(MapError::Disorder { volume });
+            return Err(MapError::NotContiguous { volume });
         }
         let rows = extents.iter().map(|&(start, shard, version)| Row { start, shard, version });
         Ok(VolumeMap { size, rows: rows.collect() })
@@ -260,7 +260,7 @@
             return Err(MapError::AlreadyApplied);
         }
         if changes.epoch != self.epoch + 1 {
-            return Err(MapError::Gap { have: self.epoch, got: changes.epoch });
+            return Err(MapError::EpochGap { current: self.epoch, received: changes.epoch });
         }
         // Only the volumes that change are copied, so that an error leaves the map as it was.
         let mut changed: BTreeMap<u64, Option<VolumeMap>> = BTreeMap::new();
--- a/crates/extents/src/extent_map_view.rs
+++ b/crates/extents/src/extent_map_view.rs
@@ -134,7 +134,7 @@
         }
         let expected = self.partial_snapshot.take().filter(|s| (s.epoch, s.next_part) == (epoch, part));
         let Some(mut snapshot) = expected else {
-            return Err(MapError::Gap { have: self.epoch(), got: epoch });
+            return Err(MapError::EpochGap { current: self.epoch(), received: epoch });
         };
         snapshot.next_part += 1;
         snapshot.entries.extend_from_slice(entries);
@@ -188,7 +188,7 @@
         let volume = extents[0].volume;
         // Each extent ends where the next one starts, and the last one with the volume.
         if extents.windows(2).any(|pair| pair[0].end != pair[1].start) {
-            return Err(MapError::Disorder { volume });
+            return Err(MapError::NotContiguous { volume });
         }
         let rows: Vec<(u64, u32, u32)> = extents.iter().map(|e| (e.start, e.shard, e.version)).collect();
         let size = extents.last().map_or(0, |e| e.end);
--- a/crates/extents/src/extent_map_view/tests.rs
+++ b/crates/extents/src/extent_map_view/tests.rs
@@ -72,7 +72,7 @@
     assert_eq!((view.epoch(), view.locate(0.0, 1, 5)), (1, ExtentLocation::At { shard: 5, version: 1 }));
     assert_eq!(
         view.on_snapshot_part(9, 0, true, &[entry(1, 0, 9, 8, 3), entry(1, 10, 20, 8, 3)]),
-        Err(MapError::Disorder { volume: 1 })
+        Err(MapError::NotContiguous { volume: 1 })
     );
     assert_eq!(view.epoch(), 1);
 }
--- a/crates/extents/tests/extent_map.rs
+++ b/crates/extents/tests/extent_map.rs
@@ -107,7 +107,7 @@
     let mut map = ExtentMap::default();
     let create =
         |epoch| Changes { epoch, changes: vec![Change::Create { volume: epoch, size: 9, shard: 0 }] };
-    assert_eq!(map.apply(&create(2)), Err(MapError::Gap { have: 0, got: 2 }));
+    assert_eq!(map.apply(&create(2)), Err(MapError::EpochGap { current: 0, received: 2 }));
     assert_eq!(map.apply(&create(1)), Ok(()));
     assert_eq!(map.apply(&create(1)), Err(MapError::AlreadyApplied));
     assert_eq!((map.epoch(), map.extent_count()), (1, 1));
@@ -120,6 +120,6 @@
     let map = ExtentMap::new(7, BTreeMap::from([(1, volume)]));
     assert_eq!((map.extent_count(), map.memory_bytes()), (1_000_000, 16_000_000));
     assert_eq!(map.find(1, 4096 * 77 + 5).map(|e| (e.start, e.shard)), Some((4096 * 77, 17)));
-    assert_eq!(VolumeMap::new(1, 10, &[(0, 0, 1), (0, 1, 1)]), Err(MapError::Disorder { volume: 1 }));
-    assert_eq!(VolumeMap::new(1, 10, &[(3, 0, 1)]), Err(MapError::Disorder { volume: 1 }));
+    assert_eq!(VolumeMap::new(1, 10, &[(0, 0, 1), (0, 1, 1)]), Err(MapError::NotContiguous { volume: 1 }));
+    assert_eq!(VolumeMap::new(1, 10, &[(3, 0, 1)]), Err(MapError::NotContiguous { volume: 1 }));
 }
--- a/crates/gateway/src/event_loop/split_read_events.rs
+++ b/crates/gateway/src/event_loop/split_read_events.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::request_registry::{PartRef, Requester};
 use crate::split_reads::{FinishedPart, NewSplitRead};
-use magpiewick_coalescing::Progress;
+use magpiewick_coalescing::SplitReadProgress;
 use magpiewick_node_protocol::FinalCode;
 
 impl Gateway {
@@ -35,11 +35,11 @@
         }
         match self.connections.split_reads_mut().on_part_read(id, index, payload) {
             None => {}
-            Some(Progress::Pending) => self.request_parts(id),
-            Some(Progress::Complete(all)) => {
+            Some(SplitReadProgress::Pending) => self.request_parts(id),
+            Some(SplitReadProgress::Complete(all)) => {
                 self.connections.finish_split_read(id, FinalCode::Succeeded, 0.0, &all);
             }
-            Some(Progress::TooLarge) => {
+            Some(SplitReadProgress::TooLarge) => {
                 self.cancel_parts(id);
                 self.connections.finish_split_read(id, FinalCode::Rejected, 0.0, b"too-large");
             }
--- a/crates/gateway/src/split_reads.rs
+++ b/crates/gateway/src/split_reads.rs
@@ -3,7 +3,7 @@
 use crate::request_log::RequestLog;
 use crate::request_registry::ClientRef;
 use magpiewick::Ms;
-use magpiewick_coalescing::{Progress, SplitRead};
+use magpiewick_coalescing::{SplitRead, SplitReadProgress};
 use magpiewick_node_protocol::{ClientRequest, FinalCode, MAX_PAYLOAD_LENGTH};
 use std::collections::HashMap;
 
@@ -107,7 +107,12 @@
     }
 
     /// A part succeeded; returns how far the read is, none where it is over.
-    pub(crate) fn on_part_read(&mut self, id: u64, index: usize, payload: Vec<u8>) -> Option<Progress> {
+    pub(crate) fn on_part_read(
+        &mut self,
+        id: u64,
+        index: usize,
+        payload: Vec<u8>,
+    ) -> Option<SplitReadProgress> {
         Some(self.reads.get_mut(&id)?.read.on_received(index, payload))
     }
 
--- a/crates/scenario/src/audit/at_most_once.rs
+++ b/crates/scenario/src/audit/at_most_once.rs
@@ -25,11 +25,11 @@
     };
     let mut effects: HashMap<u64, u32> = HashMap::new();
     for (at, event) in run.evidence.node_events {
-        let NodeEvent::EffectApplied { node, host, class, mark, .. } = *event else { continue };
+        let NodeEvent::EffectApplied { node, host, class, idempotency_key, .. } = *event else { continue };
         if idempotency(class) == Idempotency::Idempotent {
             continue;
         }
-        let count = effects.entry(mark).or_default();
+        let count = effects.entry(idempotency_key).or_default();
         *count += 1;
         if *count == 2 {
             verdict.findings.push(Finding {
@@ -37,8 +37,8 @@
                 at: *at,
                 host: Some(host),
                 node: Some(node),
-                request_id: Some(mark),
-                what: "its effect took place twice".to_string(),
+                request_id: Some(idempotency_key),
+                description: "its effect took place twice".to_string(),
             });
         }
     }
@@ -51,8 +51,8 @@
     for (index, attempt) in attempts.iter().enumerate() {
         let earlier = attempts[..index].iter().find(|earlier| !earlier.known_not_executed(attempt.at));
         let Some(earlier) = earlier else { continue };
-        if let Some(what) = unsafe_repeat(run, tracked, earlier, attempt) {
-            verdict.add_attempt(Rule::AtMostOnce, attempt.at, attempt, what);
+        if let Some(description) = unsafe_repeat(run, tracked, earlier, attempt) {
+            verdict.add_attempt(Rule::AtMostOnce, attempt.at, attempt, description);
         }
     }
 }
--- a/crates/scenario/src/audit/data_integrity.rs
+++ b/crates/scenario/src/audit/data_integrity.rs
@@ -18,13 +18,13 @@
     }
     let stored = run.evidence.stored.iter();
     let stored: HashMap<(u64, u64), u64> =
-        stored.map(|key| ((key.volume, key.key), mark_of(&key.payload))).collect();
+        stored.map(|key| ((key.volume, key.key), idempotency_key_of(&key.payload))).collect();
     verdict.add_checked(Rule::DataIntegrity, last_writes.len());
     for ((volume, key), write) in last_writes {
         let held = stored.get(&(volume, key));
-        if held != Some(&write.mark) {
-            let what = format!("key {key} of volume {volume} holds {held:?}");
-            verdict.add_request(Rule::DataIntegrity, write.at, write.mark, what);
+        if held != Some(&write.idempotency_key) {
+            let description = format!("key {key} of volume {volume} holds {held:?}");
+            verdict.add_request(Rule::DataIntegrity, write.at, write.idempotency_key, description);
         }
     }
 }
@@ -35,21 +35,28 @@
         .node_events
         .iter()
         .filter_map(|(_, event)| match *event {
-            NodeEvent::EffectApplied { mark, .. } => Some(mark),
+            NodeEvent::EffectApplied { idempotency_key, .. } => Some(idempotency_key),
             _ => None,
         })
         .collect();
     for tracked in &run.requests {
-        let mark = tracked.request.mark;
-        if let Some((at, FinalCode::Succeeded)) = tracked.answer.filter(|_| !executed.contains(&mark)) {
-            verdict.add_request(Rule::DataIntegrity, at, mark, "succeeded though it was never executed");
+        let idempotency_key = tracked.request.idempotency_key;
+        if let Some((at, FinalCode::Succeeded)) =
+            tracked.answer.filter(|_| !executed.contains(&idempotency_key))
+        {
+            verdict.add_request(
+                Rule::DataIntegrity,
+                at,
+                idempotency_key,
+                "succeeded though it was never executed",
+            );
         }
     }
 }
 
 /// A written payload begins with the mark of its request.
-fn mark_of(payload: &[u8]) -> u64 {
-    payload.first_chunk::<8>().map_or(0, |mark| u64::from_le_bytes(*mark))
+fn idempotency_key_of(payload: &[u8]) -> u64 {
+    payload.first_chunk::<8>().map_or(0, |idempotency_key| u64::from_le_bytes(*idempotency_key))
 }
 
 /// Each block of a successful read holds what was stored there at some moment of the read.
@@ -57,24 +64,25 @@
     let tolerance = run.evidence.scenario.clock_tolerance;
     let mut writes: HashMap<(u64, u64), Vec<(Ms, u64)>> = HashMap::new();
     for write in run.evidence.block_writes() {
-        writes.entry(write.block).or_default().push((write.at, write.mark));
+        writes.entry(write.block).or_default().push((write.at, write.idempotency_key));
     }
     let by_number: HashMap<u64, usize> =
         run.requests.iter().enumerate().map(|(index, tracked)| (tracked.request.number, index)).collect();
     let mut checked = 0;
     for (at, event) in run.evidence.client_events {
-        let ClientEvent::BlockRead { number, block, mark } = *event else { continue };
+        let ClientEvent::BlockRead { number, block, idempotency_key } = *event else { continue };
         let Some(tracked) = by_number.get(&number).map(|index| &run.requests[*index]) else { continue };
         let (from, to, volume) = (tracked.sent_at - tolerance, at + tolerance, tracked.request.volume);
         let block_writes = writes.get(&(volume, block)).map_or(&[][..], |all| all);
         let first = block_writes.partition_point(|write| write.0 <= from);
         let last = block_writes.partition_point(|write| write.0 <= to);
-        let was_stored = block_writes[first.saturating_sub(1)..last].iter().any(|write| write.1 == mark);
-        let was_empty = first == 0 && mark == 0;
+        let was_stored =
+            block_writes[first.saturating_sub(1)..last].iter().any(|write| write.1 == idempotency_key);
+        let was_empty = first == 0 && idempotency_key == 0;
         checked += 1;
         if !was_stored && !was_empty {
-            let what = format!("block {block} of volume {volume} was read as {mark}");
-            verdict.add_request(Rule::DataIntegrity, *at, tracked.request.mark, what);
+            let description = format!("block {block} of volume {volume} was read as {idempotency_key}");
+            verdict.add_request(Rule::DataIntegrity, *at, tracked.request.idempotency_key, description);
         }
     }
     verdict.add_checked(Rule::DataIntegrity, checked);
@@ -100,7 +108,9 @@
                 let update = KnownVersion { start, end, received_at, version };
                 known.entry((host, volume)).or_default().push(update);
             }
-            NodeEvent::AttemptReceived { node, host, volume, key, mark, version, .. } if version > 0 => {
+            NodeEvent::AttemptReceived { node, host, volume, key, idempotency_key, version, .. }
+                if version > 0 =>
+            {
                 let of_volume = known.get(&(host, volume)).map_or(&[][..], |all| all);
                 let of_extent = of_volume
                     .iter()
@@ -112,8 +122,8 @@
                         at: *at,
                         host: Some(host),
                         node: Some(node),
-                        request_id: Some(mark),
-                        what: format!(
+                        request_id: Some(idempotency_key),
+                        description: format!(
                             "sent under version {version}, after version {} was known",
                             newer.version
                         ),
--- a/crates/scenario/src/audit/draining.rs
+++ b/crates/scenario/src/audit/draining.rs
@@ -20,8 +20,8 @@
         checked.insert(notification);
         let received_at = run.received_at(attempt.host, sent_at);
         if attempt.at > received_at + grace {
-            let what = format!("sent {:.0} ms after the notice", attempt.at - received_at);
-            verdict.add_attempt(Rule::Draining, attempt.at, attempt, what);
+            let description = format!("sent {:.0} ms after the notice", attempt.at - received_at);
+            verdict.add_attempt(Rule::Draining, attempt.at, attempt, description);
         }
     }
     verdict.add_checked(Rule::Draining, checked.len());
--- a/crates/scenario/src/audit/evidence.rs
+++ b/crates/scenario/src/audit/evidence.rs
@@ -55,13 +55,13 @@
     /// The effects of writes, block by block.
     pub(super) fn block_writes(&self) -> impl Iterator<Item = BlockWrite> + '_ {
         self.node_events.iter().flat_map(|(at, event)| {
-            let (host, volume, blocks, mark) = match *event {
-                NodeEvent::EffectApplied { host, volume, key, mark, write: true, blocks, .. } => {
-                    (host, volume, key..key + u64::from(blocks), mark)
-                }
+            let (host, volume, blocks, idempotency_key) = match *event {
+                NodeEvent::EffectApplied {
+                    host, volume, key, idempotency_key, write: true, blocks, ..
+                } => (host, volume, key..key + u64::from(blocks), idempotency_key),
                 _ => (0, 0, 0..0, 0),
             };
-            blocks.map(move |block| BlockWrite { at: *at, host, block: (volume, block), mark })
+            blocks.map(move |block| BlockWrite { at: *at, host, block: (volume, block), idempotency_key })
         })
     }
 }
@@ -74,7 +74,7 @@
     /// Volume and block.
     pub block: (u64, u64),
     /// The mark of the request.
-    pub mark: u64,
+    pub idempotency_key: u64,
 }
 
 /// A request as its client sent it, and how it ended for the client.
@@ -108,7 +108,7 @@
     pub attempt: u16,
     pub volume: u64,
     pub units: f64,
-    pub mark: u64,
+    pub idempotency_key: u64,
     /// When the node answered, and whether it executed the attempt.
     pub answered: Option<(Ms, bool)>,
     /// When the host stopped waiting, by a cancel or a closed connection.
@@ -167,13 +167,16 @@
 
     /// Assigns each attempt to the latest request of its mark that its host had taken by then.
     fn assign_attempts(&mut self, verdict: &mut Verdict) {
-        let mut by_mark: HashMap<(u64, u64), Vec<usize>> = HashMap::new();
+        let mut by_idempotency_key: HashMap<(u64, u64), Vec<usize>> = HashMap::new();
         for (index, tracked) in self.requests.iter().enumerate() {
-            by_mark.entry((tracked.request.host, tracked.request.mark)).or_default().push(index);
+            by_idempotency_key
+                .entry((tracked.request.host, tracked.request.idempotency_key))
+                .or_default()
+                .push(index);
         }
         let mut by_request_id: HashMap<(u64, u64), Option<usize>> = HashMap::new();
         for (index, attempt) in self.attempts.iter().enumerate() {
-            let candidates = by_mark.get(&(attempt.host, attempt.mark));
+            let candidates = by_idempotency_key.get(&(attempt.host, attempt.idempotency_key));
             let latest = || {
                 let mut taken = candidates?.iter().rev();
                 taken.find(|request| self.requests[**request].sent_at <= attempt.at).copied()
@@ -181,8 +184,8 @@
             match *by_request_id.entry((attempt.host, attempt.request_id)).or_insert_with(latest) {
                 Some(request) => self.requests[request].attempts.push(index),
                 None => {
-                    let what = "an attempt of a request that no client sent";
-                    verdict.add_attempt(Rule::FinalAnswer, attempt.at, attempt, what);
+                    let description = "an attempt of a request that no client sent";
+                    verdict.add_attempt(Rule::FinalAnswer, attempt.at, attempt, description);
                 }
             }
         }
@@ -201,16 +204,16 @@
             }
             ClientEvent::Answered { number, code, .. } => {
                 let Some(&index) = by_number.get(&number) else {
-                    let what = format!("an answer to {number}, which was never sent");
+                    let description = format!("an answer to {number}, which was never sent");
                     let (rule, at) = (Rule::FinalAnswer, *at);
-                    let finding = Finding { rule, at, host: None, node: None, request_id: None, what };
+                    let finding = Finding { rule, at, host: None, node: None, request_id: None, description };
                     verdict.findings.push(finding);
                     continue;
                 };
                 let tracked = &mut requests[index];
                 if tracked.answer.is_some() {
-                    let mark = tracked.request.mark;
-                    verdict.add_request(Rule::FinalAnswer, *at, mark, "a second final answer");
+                    let idempotency_key = tracked.request.idempotency_key;
+                    verdict.add_request(Rule::FinalAnswer, *at, idempotency_key, "a second final answer");
                 }
                 tracked.answer.get_or_insert((*at, code));
             }
@@ -235,7 +238,16 @@
     for (at, event) in evidence.node_events {
         match *event {
             NodeEvent::Started { node, incarnation, .. } => _ = incarnations.insert(node, incarnation),
-            NodeEvent::AttemptReceived { node, host, request_id, attempt, volume, units, mark, .. } => {
+            NodeEvent::AttemptReceived {
+                node,
+                host,
+                request_id,
+                attempt,
+                volume,
+                units,
+                idempotency_key,
+                ..
+            } => {
                 by_id.insert((host, request_id, attempt), attempts.len());
                 attempts.push(TrackedAttempt {
                     at: *at,
@@ -246,7 +258,7 @@
                     attempt,
                     volume,
                     units,
-                    mark,
+                    idempotency_key,
                     answered: None,
                     dropped: None,
                 });
--- a/crates/scenario/src/audit/final_answers.rs
+++ b/crates/scenario/src/audit/final_answers.rs
@@ -15,13 +15,13 @@
             continue;
         }
         if let Some(at) = missed_deadline(tracked, deadline) {
-            let what = format!("no final answer within {} ms", request.timeout);
-            verdict.add_request(Rule::FinalAnswer, at, request.mark, what);
+            let description = format!("no final answer within {} ms", request.timeout);
+            verdict.add_request(Rule::FinalAnswer, at, request.idempotency_key, description);
         }
         let over_at = tracked.over_at() + tolerance;
         for attempt in run.attempts_of(tracked).filter(|attempt| attempt.at > over_at) {
-            let what = format!("sent {:.0} ms after its end", attempt.at - over_at + tolerance);
-            verdict.add_attempt(Rule::FinalAnswer, attempt.at, attempt, what);
+            let description = format!("sent {:.0} ms after its end", attempt.at - over_at + tolerance);
+            verdict.add_attempt(Rule::FinalAnswer, attempt.at, attempt, description);
         }
     }
 }
--- a/crates/scenario/src/audit/ordering.rs
+++ b/crates/scenario/src/audit/ordering.rs
@@ -45,16 +45,16 @@
     let at = attempt.at;
     let stalled = run.is_stalled(earlier.request.host_number, earlier.sent_at, at);
     if earlier.over_at() > at + tolerance && !stalled {
-        let what = "sent while an earlier request of its key is not over";
-        verdict.add_attempt(Rule::Ordering, at, attempt, what);
+        let description = "sent while an earlier request of its key is not over";
+        verdict.add_attempt(Rule::Ordering, at, attempt, description);
     }
     for earlier_attempt in run.attempts_of(earlier) {
         let outcome = outcome_of(earlier_attempt, earlier);
         let needs_quiet_period = !outcome.is_answer && is_first_attempt;
         let allowed_at = if needs_quiet_period { outcome.at + quiet_period } else { outcome.at };
         if at + tolerance < allowed_at && outcome.at < f64::INFINITY || earlier_attempt.at > at {
-            let what = "sent while an earlier request of its key may run";
-            verdict.add_attempt(Rule::Ordering, at, attempt, what);
+            let description = "sent while an earlier request of its key may run";
+            verdict.add_attempt(Rule::Ordering, at, attempt, description);
         }
     }
 }
@@ -80,17 +80,17 @@
     for (sequence, tracked) in (0..).zip(&run.requests).filter(|(_, tracked)| tracked.request.write) {
         let request = &tracked.request;
         // A retry comes after whatever was sent meanwhile.
-        requests.insert((request.host, request.mark), (sequence, request.connection));
+        requests.insert((request.host, request.idempotency_key), (sequence, request.connection));
     }
     let mut latest: HashMap<(u64, (u64, u64), usize), u64> = HashMap::new();
     let mut checked = 0;
-    for BlockWrite { at, host, block, mark } in run.evidence.block_writes() {
-        let Some(&(sequence, connection)) = requests.get(&(host, mark)) else { continue };
+    for BlockWrite { at, host, block, idempotency_key } in run.evidence.block_writes() {
+        let Some(&(sequence, connection)) = requests.get(&(host, idempotency_key)) else { continue };
         let before = latest.entry((host, block, connection)).or_insert(sequence);
         checked += usize::from(*before != sequence);
         if *before > sequence {
-            let what = format!("block {} of volume {}: a later write ran first", block.1, block.0);
-            verdict.add_request(Rule::Ordering, at, mark, what);
+            let description = format!("block {} of volume {}: a later write ran first", block.1, block.0);
+            verdict.add_request(Rule::Ordering, at, idempotency_key, description);
         }
         *before = sequence.max(*before);
     }
--- a/crates/scenario/src/audit/rate_limits.rs
+++ b/crates/scenario/src/audit/rate_limits.rs
@@ -37,8 +37,8 @@
         bucket.filled_at = attempt.at;
         let tolerance = (BURST_TOLERANCE * policy.limit_burst).max(start.max_units);
         if bucket.tokens < -tolerance {
-            let what = format!("the volume's token bucket is {:.1} units below 0", -bucket.tokens);
-            verdict.add_attempt(Rule::RateLimits, attempt.at, attempt, what);
+            let description = format!("the volume's token bucket is {:.1} units below 0", -bucket.tokens);
+            verdict.add_attempt(Rule::RateLimits, attempt.at, attempt, description);
         }
     }
     verdict.add_checked(Rule::RateLimits, checked);
--- a/crates/scenario/src/audit/retry_budget.rs
+++ b/crates/scenario/src/audit/retry_budget.rs
@@ -24,8 +24,8 @@
             let taken = request_times.iter().filter(|time| in_window(**time, tolerance)).count();
             let allowed = budget.free + budget.share * taken as f64;
             if used as f64 > allowed {
-                let what = format!("{used} retries in a window with a budget of {allowed:.1}");
-                verdict.add_attempt(Rule::RetryBudget, retry.at, retry, what);
+                let description = format!("{used} retries in a window with a budget of {allowed:.1}");
+                verdict.add_attempt(Rule::RetryBudget, retry.at, retry, description);
             }
         }
     }
--- a/crates/scenario/src/audit/retry_storm.rs
+++ b/crates/scenario/src/audit/retry_storm.rs
@@ -66,9 +66,9 @@
 pub(super) fn check(evidence: &Evidence<'_>, expectation: &RetryStormExpectation, verdict: &mut Verdict) {
     let begin = run_begin(evidence);
     let weights = request_weights(evidence);
-    let sends = sends_by_mark(evidence);
+    let sends = sends_by_idempotency_key(evidence);
     let send_count: usize = sends.values().map(Vec::len).sum();
-    let quiet_earned_share = earned_share(&weights, begin, begin + expectation.quiet);
+    let quiet_earned_share = earned_share(&weights, begin, begin + expectation.quiet_duration);
     let mut report = RetryStormReport {
         quiet_earned_share,
         sends_per_request: send_count as f64 / weights.len().max(1) as f64,
@@ -78,7 +78,7 @@
         let mut node_return = NodeReturn { at_ms, nodes, ..NodeReturn::default() };
         measure_load(evidence, &sends, &mut node_return);
         let until = next_stop(evidence, at_ms).unwrap_or(begin + evidence.scenario.duration);
-        let target = expectation.recovers_to * quiet_earned_share;
+        let target = expectation.recovery_share * quiet_earned_share;
         node_return.recovered_ms = time_to_recover(&weights, at_ms, until, target);
         check_return(&node_return, expectation, until, verdict);
         report.returns.push(node_return);
@@ -94,17 +94,17 @@
     verdict: &mut Verdict,
 ) {
     let node = node_return.nodes.first().copied();
-    let mut add = |at: Ms, what: String| {
+    let mut add = |at: Ms, description: String| {
         let rule = Rule::RetryStorm;
-        verdict.findings.push(Finding { rule, at, host: None, node, request_id: None, what });
+        verdict.findings.push(Finding { rule, at, host: None, node, request_id: None, description });
     };
-    if node_return.peak_load > expectation.ceiling {
-        let what = format!("sent {:.2} times its capacity in {LOAD_SLOT} ms", node_return.peak_load);
-        add(node_return.peak_at_ms, what);
+    if node_return.peak_load > expectation.max_load {
+        let description = format!("sent {:.2} times its capacity in {LOAD_SLOT} ms", node_return.peak_load);
+        add(node_return.peak_at_ms, description);
     }
     let at = node_return.at_ms;
     match node_return.recovered_ms {
-        Some(after) if after <= expectation.recovers_in => {}
+        Some(after) if after <= expectation.max_recovery_time => {}
         // It stopped again before there was time to recover.
         None if until - at < 2.0 * WINDOW => {}
         Some(after) => add(at, format!("the earned weight had recovered only after {after:.0} ms")),
@@ -127,14 +127,14 @@
 /// The weight of each request, by when it was due first.
 fn request_weights(evidence: &Evidence<'_>) -> Vec<RequestWeight> {
     let classes = &evidence.host.start.classes;
-    let mut by_mark: HashMap<u64, usize> = HashMap::new();
+    let mut by_idempotency_key: HashMap<u64, usize> = HashMap::new();
     let mut by_number = HashMap::new();
     let mut weights: Vec<RequestWeight> = Vec::new();
     for (at, event) in evidence.client_events {
         match *event {
             ClientEvent::Sent(request) => {
                 by_number.insert(request.number, request);
-                by_mark.entry(request.mark).or_insert_with(|| {
+                by_idempotency_key.entry(request.idempotency_key).or_insert_with(|| {
                     let total = classes[usize::from(request.class)].priority_weight;
                     weights.push(RequestWeight { first_due: request.first_due, total, earned: 0.0 });
                     weights.len() - 1
@@ -144,7 +144,7 @@
                 let Some(request) = by_number.get(&number) else { continue };
                 let class = &classes[usize::from(request.class)];
                 let in_time = *at <= request.first_due + class.latency_objective;
-                if let Some(&index) = by_mark.get(&request.mark).filter(|_| in_time) {
+                if let Some(&index) = by_idempotency_key.get(&request.idempotency_key).filter(|_| in_time) {
                     weights[index].earned = class.priority_weight;
                 }
             }
@@ -189,11 +189,14 @@
     is_retry: bool,
 }
 
-fn sends_by_mark(evidence: &Evidence<'_>) -> HashMap<u64, Vec<Send>> {
+fn sends_by_idempotency_key(evidence: &Evidence<'_>) -> HashMap<u64, Vec<Send>> {
     let mut sends: HashMap<u64, Vec<Send>> = HashMap::new();
     for (at, event) in evidence.client_events {
         if let ClientEvent::Sent(request) = event {
-            sends.entry(request.mark).or_default().push(Send { at: *at, is_retry: request.is_retry });
+            sends
+                .entry(request.idempotency_key)
+                .or_default()
+                .push(Send { at: *at, is_retry: request.is_retry });
         }
     }
     sends
@@ -214,11 +217,12 @@
             NodeEvent::Overloaded { node } => {
                 node_return.overloads += u64::from(started.contains_key(&node));
             }
-            NodeEvent::AttemptReceived { node, mark, units, .. } => {
+            NodeEvent::AttemptReceived { node, idempotency_key, units, .. } => {
                 let warming_up = started.get(&node).filter(|start| *at < *start + warm_up);
                 let Some(&start) = warming_up else { continue };
                 *slots.entry((node, ((at - start) / LOAD_SLOT) as u64)).or_default() += units;
-                let latest = sends.get(&mark).and_then(|all| all.iter().rev().find(|send| send.at <= *at));
+                let latest =
+                    sends.get(&idempotency_key).and_then(|all| all.iter().rev().find(|send| send.at <= *at));
                 all_units += units;
                 retried_units += if latest.is_some_and(|send| send.is_retry) { units } else { 0.0 };
             }
--- a/crates/scenario/src/audit/tests.rs
+++ b/crates/scenario/src/audit/tests.rs
@@ -86,7 +86,7 @@
     fn sent(mut self, at: Ms, number: u64, class: u16) -> Events {
         let request = ClientRequest {
             number,
-            mark: number,
+            idempotency_key: number,
             host: HOST,
             host_number: 0,
             class,
@@ -110,19 +110,19 @@
     }
 
     /// An attempt of a request, of its own batch.
-    fn attempt(mut self, at: Ms, node: u32, mark: u64, attempt: u16) -> Events {
+    fn attempt(mut self, at: Ms, node: u32, idempotency_key: u64, attempt: u16) -> Events {
         let batch = self.node.len() as u64;
         self.node.push((
             at,
             NodeEvent::AttemptReceived {
                 node,
                 host: HOST,
-                request_id: mark,
+                request_id: idempotency_key,
                 attempt,
                 class: READ,
                 volume: 1,
                 key: 5,
-                mark,
+                idempotency_key,
                 units: 1.0,
                 write: false,
                 version: 1,
@@ -139,11 +139,20 @@
         self
     }
 
-    fn effect(mut self, at: Ms, node: u32, mark: u64, class: u16) -> Events {
-        let (request_id, host, volume, key, write) = (mark, HOST, 1, 5, class != READ);
+    fn effect(mut self, at: Ms, node: u32, idempotency_key: u64, class: u16) -> Events {
+        let (request_id, host, volume, key, write) = (idempotency_key, HOST, 1, 5, class != READ);
         let blocks = 1;
-        let event =
-            NodeEvent::EffectApplied { node, host, request_id, class, volume, key, mark, write, blocks };
+        let event = NodeEvent::EffectApplied {
+            node,
+            host,
+            request_id,
+            class,
+            volume,
+            key,
+            idempotency_key,
+            write,
+            blocks,
+        };
         self.node.push((at, event));
         self
     }
@@ -153,8 +162,8 @@
         self
     }
 
-    fn stored(mut self, mark: u64) -> Events {
-        self.stored = vec![StoredKey { volume: 1, key: 5, payload: mark.to_le_bytes().to_vec() }];
+    fn stored(mut self, idempotency_key: u64) -> Events {
+        self.stored = vec![StoredKey { volume: 1, key: 5, payload: idempotency_key.to_le_bytes().to_vec() }];
         self
     }
 
--- a/crates/scenario/src/audit/verdict.rs
+++ b/crates/scenario/src/audit/verdict.rs
@@ -80,7 +80,8 @@
     #[serde(rename = "command")]
     pub request_id: Option<u64>,
     /// What happened, in words.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 /// The result of an audit.
@@ -160,21 +161,34 @@
         rule: Rule,
         at: Ms,
         attempt: &TrackedAttempt,
-        what: impl Into<String>,
+        description: impl Into<String>,
     ) {
         self.findings.push(Finding {
             rule,
             at,
             host: Some(attempt.host),
             node: Some(attempt.node),
-            request_id: Some(attempt.mark),
-            what: what.into(),
+            request_id: Some(attempt.idempotency_key),
+            description: description.into(),
         });
     }
 
     /// Adds a breach that concerns a request, by its mark.
-    pub(super) fn add_request(&mut self, rule: Rule, at: Ms, mark: u64, what: impl Into<String>) {
-        let request_id = Some(mark);
-        self.findings.push(Finding { rule, at, host: None, node: None, request_id, what: what.into() });
+    pub(super) fn add_request(
+        &mut self,
+        rule: Rule,
+        at: Ms,
+        idempotency_key: u64,
+        description: impl Into<String>,
+    ) {
+        let request_id = Some(idempotency_key);
+        self.findings.push(Finding {
+            rule,
+            at,
+            host: None,
+            node: None,
+            request_id,
+            description: description.into(),
+        });
     }
 }
--- a/crates/scenario/src/benchmark.rs
+++ b/crates/scenario/src/benchmark.rs
@@ -31,7 +31,7 @@
 /// The figures of one way from clients to nodes, at one number of nodes: medians, and the least and most of the
 /// repeats.
 #[derive(Serialize)]
-pub struct Measured {
+pub struct BenchmarkResult {
     /// The way: through a host, through the relay, or straight to a node.
     pub way: &'static str,
     /// How many nodes there were.
@@ -59,7 +59,7 @@
 
 /// How long reads of many blocks take to their last byte.
 #[derive(Serialize)]
-pub struct ReadMeasured {
+pub struct ReadBenchmarkResult {
     /// How many nodes there were.
     pub nodes: usize,
     /// Whether reads are split, in a volume of many extents; else the volume is one extent on one node.
@@ -74,7 +74,7 @@
 }
 
 /// The median, least and most of some figures.
-pub fn spread(mut figures: Vec<f64>) -> [f64; 3] {
+pub fn median_min_max(mut figures: Vec<f64>) -> [f64; 3] {
     figures.sort_by(f64::total_cmp);
     [figures[figures.len() / 2], figures[0], figures[figures.len() - 1]]
 }
@@ -85,7 +85,7 @@
     program: &Path,
     node_counts: &[usize],
     rate: Option<f64>,
-) -> Result<Vec<Measured>, ScenarioError> {
+) -> Result<Vec<BenchmarkResult>, ScenarioError> {
     let mut all = Vec::new();
     for &nodes in node_counts {
         let text = settings_text(nodes);
@@ -95,7 +95,7 @@
 }
 
 /// Measures large reads at these numbers of nodes: one client that always has one in flight.
-pub fn bench_reads(program: &Path, node_counts: &[usize]) -> Result<Vec<ReadMeasured>, ScenarioError> {
+pub fn bench_reads(program: &Path, node_counts: &[usize]) -> Result<Vec<ReadBenchmarkResult>, ScenarioError> {
     let mut all = Vec::new();
     for &nodes in node_counts {
         for split in [false, true] {
@@ -172,11 +172,11 @@
     text + "}\n"
 }
 
-fn host_program(program: &Path, file: &Path, list: SocketAddr) -> HostProgram {
+fn host_program(program: &Path, file: &Path, list_address: SocketAddr) -> HostProgram {
     HostProgram {
         program: program.to_path_buf(),
         file: file.to_path_buf(),
-        list,
+        list_address,
         seed: 1,
         hosts_without_coalescing: Vec::new(),
         without_overload_protection: false,
@@ -194,24 +194,24 @@
     file: &Path,
     settings: Settings,
     split: bool,
-) -> Result<Vec<ReadMeasured>, ScenarioError> {
+) -> Result<Vec<ReadBenchmarkResult>, ScenarioError> {
     let Settings { host, scenario, emulator } = settings;
     let nodes = emulator.nodes.len();
     let emulator = start_emulator(emulator)?;
-    let process = HostProcess::start(&host_program(program, file, emulator.list), 0)?;
+    let process = HostProcess::start(&host_program(program, file, emulator.list_address), 0)?;
     let mut all = Vec::new();
     for slow in [false, true] {
         let slowdown = if slow { SLOWDOWN } else { 1.0 };
         _ = emulator.query(move |emulator| emulator.change_faults(0, |faults| faults.slowdown = slowdown));
         let measure_once = |seed| {
-            let session = Session::open(Clock::start(), MEASURING_TIME, seed);
+            let session = Session::open_loop(Clock::start(), MEASURING_TIME, seed);
             let session = Session { in_flight: Some(1), ..session };
             offer_session(&host, &scenario, process.address, &session)
         };
         let reports = (0..REPEATS).map(measure_once).collect::<Result<Vec<_>, ScenarioError>>()?;
-        let figure = |of: fn(&LoadReport) -> f64| spread(reports.iter().map(of).collect());
+        let figure = |of: fn(&LoadReport) -> f64| median_min_max(reports.iter().map(of).collect());
         let (p50_ms, p99_ms) = (figure(|report| report.p50_ms), figure(|report| report.p99_ms));
-        all.push(ReadMeasured { nodes, split, slow, p50_ms, p99_ms });
+        all.push(ReadBenchmarkResult { nodes, split, slow, p50_ms, p99_ms });
     }
     Ok(all)
 }
@@ -242,7 +242,7 @@
         seed: u64,
     ) -> Result<LoadReport, ScenarioError> {
         let mut scenario = scenario.clone();
-        let session = Session::open(Clock::start(), MEASURING_TIME, seed);
+        let session = Session::open_loop(Clock::start(), MEASURING_TIME, seed);
         let session = match load {
             Load::Flood => {
                 scenario.traffic.rate = 1.0;
@@ -276,7 +276,7 @@
     let nodes: Vec<SocketAddr> = nodes.into_iter().map(|node| node.1).collect();
     let mut relay = Command::new(program);
     relay.arg("relay").args(nodes.iter().map(SocketAddr::to_string));
-    let host = HostProcess::start(&host_program(program, file, emulator.list), 0)?;
+    let host = HostProcess::start(&host_program(program, file, emulator.list_address), 0)?;
     let relay = HostProcess::run(relay)?;
     let mut ways = vec![
         Way { name: "host", address: host.address, process: Some(host) },
@@ -293,7 +293,7 @@
     file: &Path,
     settings: Settings,
     rate: Option<f64>,
-) -> Result<Vec<Measured>, ScenarioError> {
+) -> Result<Vec<BenchmarkResult>, ScenarioError> {
     let Settings { host, scenario, emulator } = settings;
     let nodes = emulator.nodes.len();
     let emulator = start_emulator(emulator)?;
@@ -308,7 +308,7 @@
         }
     }
     let memory_flooded = memory()?;
-    let max_rates: Vec<[f64; 3]> = max_rates.into_iter().map(spread).collect();
+    let max_rates: Vec<[f64; 3]> = max_rates.into_iter().map(median_min_max).collect();
     let rate = rate.unwrap_or(max_rates[0][0] / 2.0);
     let mut samples: Vec<Vec<RateSample>> = ways.iter().map(|_| Vec::new()).collect();
     for seed in 0..REPEATS {
@@ -322,8 +322,8 @@
     let memory_after = memory()?;
     let measured = ways.iter().zip(max_rates).zip(samples).enumerate();
     let measured = measured.map(|(i, ((way, max_a_second), samples))| {
-        let figure = |of: fn(&RateSample) -> f64| spread(samples.iter().map(of).collect());
-        Measured {
+        let figure = |of: fn(&RateSample) -> f64| median_min_max(samples.iter().map(of).collect());
+        BenchmarkResult {
             way: way.name,
             nodes,
             max_a_second,
--- a/crates/scenario/src/client_event.rs
+++ b/crates/scenario/src/client_event.rs
@@ -9,7 +9,7 @@
     /// Counts what clients sent over the run.
     pub number: u64,
     /// Identifies the request over its retries; what it writes begins with it.
-    pub mark: u64,
+    pub idempotency_key: u64,
     /// The incarnation of the host that took it.
     pub host: u64,
     /// The number of that host.
@@ -57,7 +57,7 @@
         /// The block.
         block: u64,
         /// The mark of the request that wrote it.
-        mark: u64,
+        idempotency_key: u64,
     },
     /// It stopped waiting.
     TimedOut {
--- a/crates/scenario/src/client_loop.rs
+++ b/crates/scenario/src/client_loop.rs
@@ -218,7 +218,7 @@
         let mix = &self.workload.traffic().mixes[drawn.mix];
         let request = ClientRequest {
             number,
-            mark: number,
+            idempotency_key: number,
             host: 0,
             host_number: drawn.host,
             class: mix.class,
@@ -270,8 +270,8 @@
         let size = if mix.write { mix.payload * request.blocks.max(1) as usize } else { 0 };
         // Each block that is written begins with the request's mark, by which the audit identifies it.
         for block in self.payload[..size].chunks_mut(mix.payload.max(1)) {
-            let mark_size = block.len().min(8);
-            block[..mark_size].copy_from_slice(&request.mark.to_le_bytes()[..mark_size]);
+            let key_size = block.len().min(8);
+            block[..key_size].copy_from_slice(&request.idempotency_key.to_le_bytes()[..key_size]);
         }
         let message = wire::ClientRequest {
             request_id: request.number,
@@ -279,7 +279,7 @@
             write: mix.write,
             volume: request.volume,
             key: request.key,
-            idempotency_key: request.mark,
+            idempotency_key: request.idempotency_key,
             units: request.units as f32,
             client_timeout_us: (request.timeout * 1000.0) as u32,
             blocks: request.blocks,
@@ -372,9 +372,14 @@
         let blocks = request.blocks.max(1);
         let size = (payload.len() / blocks as usize).max(1);
         for n in 0..u64::from(blocks) {
-            let mark = payload.get(n as usize * size..).and_then(|block| block.first_chunk::<8>());
-            let mark = mark.map_or(0, |mark| u64::from_le_bytes(*mark));
-            self.record(ClientEvent::BlockRead { number: request.number, block: request.key + n, mark });
+            let idempotency_key = payload.get(n as usize * size..).and_then(|block| block.first_chunk::<8>());
+            let idempotency_key =
+                idempotency_key.map_or(0, |idempotency_key| u64::from_le_bytes(*idempotency_key));
+            self.record(ClientEvent::BlockRead {
+                number: request.number,
+                block: request.key + n,
+                idempotency_key,
+            });
         }
     }
 
--- a/crates/scenario/src/config.rs
+++ b/crates/scenario/src/config.rs
@@ -66,13 +66,13 @@
 #[derive(Clone, Debug)]
 pub struct RetryStormExpectation {
     /// The most units that a node that came back may be sent in 100 ms, as a multiple of its capacity in them.
-    pub ceiling: f64,
+    pub max_load: f64,
     /// For how long the traffic is quiet at the beginning.
-    pub quiet: Ms,
+    pub quiet_duration: Ms,
     /// The part of the quiet traffic's earned weight that counts as recovered.
-    pub recovers_to: f64,
+    pub recovery_share: f64,
     /// The time within which it recovers.
-    pub recovers_in: Ms,
+    pub max_recovery_time: Ms,
 }
 
 /// The traffic of the clients.
@@ -165,10 +165,10 @@
 
 fn read_retry_storm(p: &SettingsBlock<'_>) -> RetryStormExpectation {
     RetryStormExpectation {
-        ceiling: p.attribute("ceiling").number(),
-        quiet: p.attribute("quiet").duration_ms(),
-        recovers_to: p.attribute("recovers_to").fraction_or(0.9),
-        recovers_in: p.attribute("recovers_in").duration_ms_or(10_000.0),
+        max_load: p.attribute("ceiling").number(),
+        quiet_duration: p.attribute("quiet").duration_ms(),
+        recovery_share: p.attribute("recovers_to").fraction_or(0.9),
+        max_recovery_time: p.attribute("recovers_in").duration_ms_or(10_000.0),
     }
 }
 
--- a/crates/scenario/src/host_process.rs
+++ b/crates/scenario/src/host_process.rs
@@ -18,7 +18,7 @@
     /// Its settings file.
     pub file: PathBuf,
     /// The address of the endpoint list service.
-    pub list: SocketAddr,
+    pub list_address: SocketAddr,
     /// The seed, to which each host adds its number.
     pub seed: u64,
     /// The numbers of hosts that coalesce nothing.
@@ -42,7 +42,7 @@
         command.args(["--number", &number.to_string(), "--listen", "127.0.0.1:0"]);
         command.args([
             "--list",
-            &program.list.to_string(),
+            &program.list_address.to_string(),
             "--seed",
             &(program.seed + number as u64).to_string(),
         ]);
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -21,7 +21,7 @@
 pub use audit::{
     audit, Evidence, Finding, HostStatistics, NodeReturn, RetryStormReport, Rule, Stall, Verdict,
 };
-pub use benchmark::{bench, bench_reads, spread, Measured, ReadMeasured};
+pub use benchmark::{bench, bench_reads, median_min_max, BenchmarkResult, ReadBenchmarkResult};
 pub use client_event::{ClientEvent, ClientRequest};
 pub use client_statistics::ClientStatistics;
 pub use config::{
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -49,7 +49,7 @@
     address: SocketAddr,
     seed: u64,
 ) -> Result<LoadReport, ScenarioError> {
-    offer_session(host, scenario, address, &Session::open(Clock::start(), scenario.duration, seed))
+    offer_session(host, scenario, address, &Session::open_loop(Clock::start(), scenario.duration, seed))
 }
 
 /// Offers a session's traffic to one address.
--- a/crates/scenario/src/load_generator.rs
+++ b/crates/scenario/src/load_generator.rs
@@ -38,7 +38,7 @@
 
 impl Session {
     /// Traffic at its rate for a time that begins shortly.
-    pub fn open(clock: Clock, duration: Ms, seed: u64) -> Session {
+    pub fn open_loop(clock: Clock, duration: Ms, seed: u64) -> Session {
         let begin = clock.now() + SETTLING_TIME;
         let end = begin + duration;
         Session { clock, begin, end, seed, record: false, defect: None, in_flight: None }
--- a/crates/scenario/src/scenario_run.rs
+++ b/crates/scenario/src/scenario_run.rs
@@ -103,14 +103,14 @@
     let program = HostProgram {
         program: program.to_path_buf(),
         file: file.to_path_buf(),
-        list: handle.list,
+        list_address: handle.list_address,
         seed: options.seed << 16 | 1,
         hosts_without_coalescing: scenario.hosts_without_coalescing.clone(),
         without_overload_protection: options.without_overload_protection,
     };
     let hosts = start_hosts(&program, host.start.hosts as usize)?;
     let addresses = hosts.iter().map(|host| host.as_ref().map(|host| host.address)).collect();
-    let session = Session::open(clock, scenario.duration, options.seed);
+    let session = Session::open_loop(clock, scenario.duration, options.seed);
     let session = Session { record: true, defect: options.defect, ..session };
     let clients = LoadGenerator::start(host, scenario, addresses, &session)?;
     let mut script = HostScript { program, hosts, clients: &clients, clock, stalls: Vec::new(), error: None };
@@ -218,7 +218,7 @@
     emulator: &EmulatorConfig,
     defect: Option<SeededDefect>,
 ) -> Vec<StoredKey> {
-    let mut stored = handle.query(|emulator| emulator.stored()).unwrap_or_default();
+    let mut stored = handle.query(|emulator| emulator.stored_keys()).unwrap_or_default();
     if is_data_defect(defect) && emulator.extents_per_volume == 0 {
         stored.pop();
     }
