--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -142,7 +142,7 @@
 
     /// Returns the memory that the buffers take, except for the open request.
     pub(crate) fn memory_bytes(&self) -> usize {
-        self.stream.held() + self.queue.memory_bytes()
+        self.stream.buffer_capacity() + self.queue.memory_bytes()
     }
 
     /// Returns whether the socket has unread input.
@@ -152,7 +152,7 @@
 
     /// Returns whether the client has closed its connection, even where input before the end is unread.
     pub(crate) fn has_disconnected(&self) -> bool {
-        self.stream.peer_ended()
+        self.stream.peer_closed()
     }
 
     /// Returns whether input is read.
@@ -230,7 +230,7 @@
     /// Limits the pipelined requests to `limit` bytes. Requests beyond the limit are counted, and each is rejected in
     /// order.
     pub(crate) fn bound_pipelined(&mut self, limit: usize) {
-        self.queue.bound(limit);
+        self.queue.limit_buffered(limit);
     }
 
     /// Takes the next step of the queue. `host_closed`: reading is not resumed, and only input that was already read is
@@ -313,7 +313,7 @@
 
     /// Returns the time since which the operating system has accepted no output; none where no output is pending.
     fn note_written(&mut self, now: Ms) -> Option<Ms> {
-        let written = self.stream.written_in_all();
+        let written = self.stream.total_written();
         self.write_blocked = match self.write_blocked {
             _ if self.stream.pending() == 0 => None,
             Some(blocked) if blocked.written == written => Some(blocked),
--- a/crates/platform/src/endpoint_discovery.rs
+++ b/crates/platform/src/endpoint_discovery.rs
@@ -8,10 +8,12 @@
 use crate::memory_limit::{BufferOwner, BufferUse};
 use crate::reactor::{ConnectionKey, ConnectionKind, Reactor};
 use crate::response_stream::{CompleteResponse, ReceiveError, ResponseStream};
-use magpiewick::{Answered, EndpointClient, EndpointUpdate, Failure, Ms, Step, Target, Validity, Verdict};
+use magpiewick::{
+    AnswerHead, CallFailure, EndpointClient, EndpointUpdate, Ms, PollStep, PollTarget, Validity, Verdict,
+};
 use magpiewick_exchange::{ExchangeHistory, ReceivedResponse, ResponseMismatch};
 use magpiewick_http1::{self as http1, Response};
-use magpiewick_transport::{error_origin, Ended, ErrorOrigin, Stream};
+use magpiewick_transport::{error_origin, ErrorOrigin, Stream, StreamEnd};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
@@ -21,51 +23,51 @@
 const MIN_WATCH_SHARE: f64 = 0.5;
 
 /// Returns the request target of a poll.
-fn poll_path(target: Target) -> String {
+fn poll_path(target: PollTarget) -> String {
     match target {
-        Target::Whole => LIST_PATH.to_string(),
-        Target::Changes { after, hold: wait } => format!("{LIST_PATH}?after={after}&wait_ms={wait}"),
+        PollTarget::Snapshot => LIST_PATH.to_string(),
+        PollTarget::Delta { after, hold: wait } => format!("{LIST_PATH}?after={after}&wait_ms={wait}"),
     }
 }
 
 /// Returns the time for which discovery may hold a poll while nothing changes.
-fn poll_wait(target: Target) -> Ms {
+fn poll_wait(target: PollTarget) -> Ms {
     match target {
-        Target::Whole => 0.0,
-        Target::Changes { hold, .. } => hold,
+        PollTarget::Snapshot => 0.0,
+        PollTarget::Delta { hold, .. } => hold,
     }
 }
 
 /// Returns the class of failure that an error on a connection means for discovery.
-fn failure_of(error: &io::Error) -> Failure {
+fn failure_of(error: &io::Error) -> CallFailure {
     match (error_origin(error), error.kind()) {
-        (ErrorOrigin::Local, _) => Failure::Local,
-        (_, ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted) => Failure::ConnectionLost,
-        (_, ErrorKind::BrokenPipe | ErrorKind::NotConnected) => Failure::ConnectionLost,
-        (_, ErrorKind::TimedOut) => Failure::ConnectTimedOut,
-        (ErrorOrigin::Remote, _) => Failure::Unreachable,
+        (ErrorOrigin::Local, _) => CallFailure::LocalResources,
+        (_, ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted) => CallFailure::ConnectionLost,
+        (_, ErrorKind::BrokenPipe | ErrorKind::NotConnected) => CallFailure::ConnectionLost,
+        (_, ErrorKind::TimedOut) => CallFailure::ConnectTimedOut,
+        (ErrorOrigin::Remote, _) => CallFailure::Unreachable,
     }
 }
 
 /// Reason of a failed poll, and the class of failure it means for discovery.
 struct PollFailure {
     error: PollError,
-    class: Failure,
+    class: CallFailure,
 }
 
 impl PollFailure {
     fn unusable(error: PollError) -> PollFailure {
-        PollFailure { error, class: Failure::Unusable }
+        PollFailure { error, class: CallFailure::InvalidAnswer }
     }
 }
 
-impl From<Ended> for PollFailure {
-    fn from(ended: Ended) -> PollFailure {
+impl From<StreamEnd> for PollFailure {
+    fn from(ended: StreamEnd) -> PollFailure {
         match ended {
-            Ended::Closed => {
-                PollFailure { error: PollError::ConnectionClosed, class: Failure::ConnectionLost }
+            StreamEnd::Closed => {
+                PollFailure { error: PollError::ConnectionClosed, class: CallFailure::ConnectionLost }
             }
-            Ended::Failed(error) => {
+            StreamEnd::Failed(error) => {
                 PollFailure { class: failure_of(&error), error: PollError::ConnectionFailed(error) }
             }
         }
@@ -77,7 +79,9 @@
     match response.status {
         STATUS_OK => EndpointList::from_slice(&response.body)
             .map_err(|error| PollFailure::unusable(PollError::MalformedList(error))),
-        status @ 500..=599 => Err(PollFailure { error: PollError::Status(status), class: Failure::Rejected }),
+        status @ 500..=599 => {
+            Err(PollFailure { error: PollError::Status(status), class: CallFailure::Rejected })
+        }
         status => Err(PollFailure::unusable(PollError::Status(status))),
     }
 }
@@ -112,8 +116,12 @@
     /// Returns whether a response is a repetition of an earlier poll's response: it has the same content, and arrived
     /// long before discovery would have ended its wait for changes.
     fn is_repeated(&self, response: &Response, poll: PollInFlight, now: Ms) -> bool {
-        let received =
-            ReceivedResponse { status: response.status, body: &response.body, trailing: &[], names: None };
+        let received = ReceivedResponse {
+            status: response.status,
+            body: &response.body,
+            trailing: &[],
+            request_id: None,
+        };
         let is_duplicate = self.history.verify(&received, "") == Err(ResponseMismatch::DuplicateResponse);
         is_duplicate && now - poll.started_at < poll.wait * MIN_WATCH_SHARE
     }
@@ -162,14 +170,14 @@
     }
 
     /// Returns the next step that is due; none where no step is due.
-    pub(crate) fn next_step(&mut self, now: Ms) -> Option<Step> {
-        self.client.due(now)
+    pub(crate) fn next_step(&mut self, now: Ms) -> Option<PollStep> {
+        self.client.next_step(now)
     }
 
     /// Returns the latest time for the next call of [`EndpointDiscovery::next_step`] and the next check of the
     /// validity.
     pub(crate) fn wake_at(&self, now: Ms) -> Ms {
-        self.client.wakes_at(now)
+        self.client.next_wakeup_at(now)
     }
 
     /// Checks the validity of the list, and returns a change.
@@ -204,8 +212,8 @@
 
     /// Records the start of a poll. [`EndpointDiscovery::open_connection`] and then [`EndpointDiscovery::send_poll`]
     /// follow.
-    pub(crate) fn begin_poll(&mut self, now: Ms, poll: u64, target: Target) {
-        let late = self.client.calls_out() - 1;
+    pub(crate) fn begin_poll(&mut self, now: Ms, poll: u64, target: PollTarget) {
+        let late = self.client.calls_in_flight() - 1;
         self.log.poll_started(now, poll, late, self.address, &poll_path(target));
     }
 
@@ -236,7 +244,7 @@
         &mut self,
         reactor: &mut Reactor,
         poll: u64,
-        target: Target,
+        target: PollTarget,
         connection: io::Result<ConnectionKey>,
     ) {
         let key = match connection {
@@ -320,7 +328,7 @@
             Err(ReceiveError::ConnectionLost) => {
                 // A partial response shows that the peer is a server that sends responses.
                 let partial = connection.responses.has_partial_response();
-                let class = if partial { Failure::Unusable } else { Failure::ConnectionLost };
+                let class = if partial { CallFailure::InvalidAnswer } else { CallFailure::ConnectionLost };
                 return Err(PollFailure { error: PollError::ConnectionClosed, class });
             }
         };
@@ -330,8 +338,12 @@
         if connection.is_repeated(&response, poll, now) {
             return Err(PollFailure::unusable(PollError::MalformedResponse));
         }
-        let received =
-            ReceivedResponse { status: response.status, body: &response.body, trailing: &[], names: None };
+        let received = ReceivedResponse {
+            status: response.status,
+            body: &response.body,
+            trailing: &[],
+            request_id: None,
+        };
         connection.history.record(now, &received);
         let list = parse_list_response(&response)?;
         connection.in_flight = None;
@@ -347,10 +359,10 @@
     ) -> Option<ReceivedList> {
         let (now, PollAnswer { poll: PollInFlight { poll, started_at, .. }, list, last }) =
             (reactor.now(), answer);
-        let from_current_address = self.client.is_present(poll);
+        let from_current_address = self.client.is_to_current_address(poll);
         let (generation, records) = (list.generation, list.records.len());
-        let summary = Answered { generation, whole: list.complete, lines: records };
-        let verdict = self.client.answered(now, poll, summary);
+        let head = AnswerHead { generation, is_snapshot: list.complete, endpoint_count: records };
+        let verdict = self.client.answered(now, poll, head);
         let reusable = from_current_address && !last && verdict != Verdict::Gap;
         if reusable && self.idle_connection.is_none() {
             self.idle_connection = Some(key);
@@ -358,7 +370,7 @@
             self.close(reactor, key);
         }
         let update = match verdict {
-            Verdict::Take(update) => update,
+            Verdict::Apply(update) => update,
             Verdict::Gap => {
                 self.log_failure(now, poll, from_current_address, &PollError::GenerationGap);
                 return None;
@@ -394,7 +406,7 @@
     }
 
     fn on_poll_failed(&mut self, now: Ms, poll: u64, failure: &PollFailure) {
-        let from_current_address = self.client.is_present(poll);
+        let from_current_address = self.client.is_to_current_address(poll);
         self.client.failed(now, poll, failure.class);
         self.log_failure(now, poll, from_current_address, &failure.error);
     }
@@ -424,7 +436,7 @@
         self.log.reloaded(ReloadResult::AddressChanged);
         tracing::info!(
             %former, %address, generation = self.client.generation(),
-            polls_in_flight = self.client.calls_out(), "discovery_address_changed"
+            polls_in_flight = self.client.calls_in_flight(), "discovery_address_changed"
         );
         if let Some(key) = self.idle_connection.take() {
             self.close(reactor, key);
@@ -444,7 +456,7 @@
         retry_in: Option<Ms>,
     ) {
         if first {
-            self.client.reload_refused(now);
+            self.client.reload_rejected(now);
         }
         self.log.reload_failed(now, error, self.address, retry_in);
     }
@@ -455,8 +467,8 @@
             address = %self.address, generation = self.client.generation(), validity = ?self.validity,
             age_ms = self.client.age(now).round(),
             next_poll_in_ms = (self.client.next_call_at() - now).round(),
-            polls_in_flight = self.client.calls_out(),
-            former_polls_in_flight = self.client.former_calls_out(),
+            polls_in_flight = self.client.calls_in_flight(),
+            former_polls_in_flight = self.client.former_calls_in_flight(),
             counts = ?self.log.counts(), "discovery_metrics_reported"
         );
     }
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! Endpoint list in discovery's format, and the timing of polls; free of I/O.
 
-use magpiewick::{EndpointState, FreshnessRules, Ms, Pace};
+use magpiewick::{EndpointState, FreshnessRules, Ms, PollTiming};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -40,10 +40,10 @@
 /// `drain_grace`: time for which an endpoint may still receive requests after its drain was announced, where lists are
 /// pushed. Pushed lists are polled from the host's own agent, and a change binds whether or not the host has read it,
 /// so a failed poll must be detected and repeated within the drain grace.
-pub(crate) fn pace(max_poll_interval: Option<Ms>, drain_grace: Option<Ms>) -> Pace {
+pub(crate) fn pace(max_poll_interval: Option<Ms>, drain_grace: Option<Ms>) -> PollTiming {
     let Some(max_poll_interval) = max_poll_interval else {
         let grace = drain_grace.unwrap_or(0.0).max(MIN_DRAIN_GRACE_MS);
-        return Pace {
+        return PollTiming {
             hold: (PUSHED_WAIT_SHARE * grace).min(WATCH_WAIT_MS).floor(),
             first_hold: 0.0,
             grace: (PUSHED_LATE_SHARE * grace).min(WATCH_LATE_MS),
@@ -52,7 +52,7 @@
             max_poll_interval: grace,
         };
     };
-    Pace {
+    PollTiming {
         hold: WATCH_WAIT_MS,
         first_hold: FIRST_POLL_WAIT_MS,
         grace: WATCH_LATE_MS,
@@ -77,15 +77,15 @@
     match drain_grace {
         // A pushed change binds at once, and the grace covers a stall of the process.
         Some(grace) => FreshnessRules {
-            binds_after: grace.max(MIN_DRAIN_GRACE_MS),
-            binds_after_reload: BINDING_DELAY_AFTER_RELOAD_MS,
-            stall: 0.0,
+            binding_delay: grace.max(MIN_DRAIN_GRACE_MS),
+            binding_delay_after_reload: BINDING_DELAY_AFTER_RELOAD_MS,
+            max_stall: 0.0,
             unresponsive_when_down: true,
         },
         None => FreshnessRules {
-            binds_after: BINDING_DELAY_MS,
-            binds_after_reload: BINDING_DELAY_AFTER_RELOAD_MS,
-            stall: MAX_PROCESS_STALL_MS,
+            binding_delay: BINDING_DELAY_MS,
+            binding_delay_after_reload: BINDING_DELAY_AFTER_RELOAD_MS,
+            max_stall: MAX_PROCESS_STALL_MS,
             unresponsive_when_down: false,
         },
     }
--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -54,10 +54,10 @@
         // Discovery stops answering at once, the host detects the failure, and the next poll is answered.
         let detected_after = pace.hold + pace.grace;
         assert!(
-            detected_after + pace.first_hold + pace.grace <= 0.9 * rules.binds_after,
+            detected_after + pace.first_hold + pace.grace <= 0.9 * rules.binding_delay,
             "{grace}: {pace:?}"
         );
-        assert!(rules.binds_after >= 100.0 && pace.hold >= 1.0);
+        assert!(rules.binding_delay >= 100.0 && pace.hold >= 1.0);
     }
 }
 
@@ -65,5 +65,5 @@
 fn an_unanswered_poll_is_detected_and_repeated_before_a_change_binds() {
     let (pace, rules) = (pace(Some(10_000.0), None), freshness_rules(None));
     let repeated_after = pace.hold + pace.grace + pace.first_hold + pace.first_grace;
-    assert!(repeated_after <= rules.binds_after - rules.stall, "{repeated_after} ms");
+    assert!(repeated_after <= rules.binding_delay - rules.max_stall, "{repeated_after} ms");
 }
--- a/crates/platform/src/proxy/upstreams.rs
+++ b/crates/platform/src/proxy/upstreams.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Records that an endpoint sent unrequested bytes: none of its connections is reused until its distrust period is
-    /// over.
+    /// Records that an endpoint sent unrequested bytes: none of its connections is reused until the reuse policy
+    /// permits reuse again.
     fn on_unsolicited_bytes(&mut self, endpoint: u32, serial: u64, bytes: usize, idle_ms: Ms) {
         let id = self.endpoints.id(endpoint);
         self.log.unsolicited_bytes_received(self.reactor.now(), id, serial, bytes, idle_ms);
@@ -221,7 +221,7 @@
             status: response.status,
             body: &response.body,
             trailing,
-            names: response.header("x-request-id"),
+            request_id: response.header("x-request-id"),
         };
         let id = self.requests.get(attempt.request_id).map_or("", OpenRequest::id);
         if let Err(mismatch) = self.upstreams.verify(key, &received, id) {
--- a/crates/platform/src/response_stream.rs
+++ b/crates/platform/src/response_stream.rs
@@ -1,7 +1,7 @@
 //! Stream of responses on a connection on which this host sends requests.
 
 use magpiewick_http1::{MalformedResponse, Response, ResponseReader};
-use magpiewick_transport::{Ended, Stream};
+use magpiewick_transport::{Stream, StreamEnd};
 use thiserror::Error;
 
 /// Reason why no further response can be read from a connection.
@@ -49,7 +49,7 @@
 
     /// Returns the memory that the buffers take.
     pub(crate) fn memory_bytes(&self) -> usize {
-        self.stream.held() + self.reader.memory_bytes()
+        self.stream.buffer_capacity() + self.reader.memory_bytes()
     }
 
     /// Returns whether neither bytes nor the end of the stream have arrived since the last response.
@@ -79,9 +79,9 @@
         let input = self.stream.take_input();
         let (used, response) = self.reader.read(&input)?;
         let trailing = input[used..].to_vec();
-        self.stream.give_back(input, used);
+        self.stream.return_input(input, used);
         let response = match (response, &ended) {
-            (None, Some(Ended::Closed)) if trailing.is_empty() => self.reader.on_end_of_stream(),
+            (None, Some(StreamEnd::Closed)) if trailing.is_empty() => self.reader.on_end_of_stream(),
             (response, _) => response,
         };
         match response {
--- a/crates/platform/src/upstream_pool.rs
+++ b/crates/platform/src/upstream_pool.rs
@@ -5,7 +5,7 @@
 use crate::reactor::{ConnectionKey, ConnectionKind, Reactor, Timer};
 use crate::upstream_connection::{UpstreamConnection, RESPONSE_STALL_MS};
 use magpiewick::Ms;
-use magpiewick_exchange::{CommonResponses, EndpointTrust, ReceivedResponse, ResponseMismatch};
+use magpiewick_exchange::{CommonResponses, ConnectionReusePolicy, ReceivedResponse, ResponseMismatch};
 use magpiewick_transport::Stream;
 use std::io;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 pub(crate) struct UpstreamPool {
     connections: ConnectionTable<UpstreamConnection>,
     idle: IdlePool,
-    trust: EndpointTrust,
+    reuse: ConnectionReusePolicy,
     common: CommonResponses,
     max_connections: usize,
     connect_timeout: Ms,
@@ -44,7 +44,7 @@
         UpstreamPool {
             connections: ConnectionTable::default(),
             idle: IdlePool::new(idle_timeout),
-            trust: EndpointTrust::default(),
+            reuse: ConnectionReusePolicy::default(),
             common: CommonResponses::default(),
             max_connections,
             connect_timeout: connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT_MS),
@@ -103,7 +103,7 @@
 
     /// Takes an idle connection that has been idle for long enough to be reused.
     pub(crate) fn take_idle(&mut self, now: Ms, endpoint: u32) -> Option<ConnectionKey> {
-        self.idle.take(now, endpoint, self.trust.min_idle())
+        self.idle.take(now, endpoint, self.reuse.min_idle())
     }
 
     /// Removes the longest idle connection from the idle pool, to free its slot for another.
@@ -133,8 +133,8 @@
     /// endpoint has ever sent unrequested bytes and different requests receive this same response: a copy could not be
     /// distinguished from the next response.
     pub(crate) fn may_reuse(&self, endpoint: u32, response: &ReceivedResponse<'_>) -> bool {
-        let is_ambiguous = self.trust.has_offended(endpoint) && self.common.contains(response);
-        self.trust.may_reuse(endpoint, response.status) && !is_ambiguous
+        let is_ambiguous = self.reuse.has_sent_unsolicited_bytes(endpoint) && self.common.contains(response);
+        self.reuse.may_reuse(endpoint, response.status) && !is_ambiguous
     }
 
     /// Checks that a response on a connection belongs to the request in flight.
@@ -145,7 +145,8 @@
         request_id: &str,
     ) -> Result<(), ResponseMismatch> {
         let Some(connection) = self.get(key) else { return Ok(()) };
-        let common = Some(&self.common).filter(|_| !self.trust.has_offended(connection.endpoint()));
+        let common =
+            Some(&self.common).filter(|_| !self.reuse.has_sent_unsolicited_bytes(connection.endpoint()));
         connection.verify(response, request_id, common)
     }
 
@@ -153,30 +154,30 @@
     pub(crate) fn record_exchange(&mut self, now: Ms, key: ConnectionKey, response: &ReceivedResponse<'_>) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.record_exchange(now, response);
-        self.trust.advance(now);
+        self.reuse.advance(now);
         if response.trailing.is_empty() {
-            self.trust.on_exchange(connection.endpoint());
+            self.reuse.on_exchange(connection.endpoint());
         }
         if self.common.record(connection.serial(), response) {
-            self.trust.on_common_response(response.digest());
+            self.reuse.on_common_response(response.digest());
         }
     }
 
     /// Records a response that, by its content alone, may be a copy of an earlier one: no connection of the endpoint is
-    /// reused until the response is known to be common, or until the endpoint's distrust period is over.
+    /// reused until the response is known to be common, or until the reuse policy permits reuse again.
     pub(crate) fn suspect_copy(&mut self, endpoint: u32, response: &ReceivedResponse<'_>, idle_ms: Ms) {
-        self.trust.on_suspected_copy(endpoint, response.digest(), idle_ms);
+        self.reuse.on_suspected_copy(endpoint, response.digest(), idle_ms);
     }
 
-    /// Records that an endpoint sent unrequested bytes: none of its connections is reused until its distrust period is
-    /// over.
+    /// Records that an endpoint sent unrequested bytes: none of its connections is reused until the reuse policy
+    /// permits reuse again.
     pub(crate) fn on_unsolicited_bytes(&mut self, endpoint: u32, idle_ms: Ms) {
-        self.trust.on_unsolicited_bytes(endpoint, idle_ms);
+        self.reuse.on_unsolicited_bytes(endpoint, idle_ms);
     }
 
     /// Removes the state of an endpoint that is no longer listed.
     pub(crate) fn remove_endpoint(&mut self, endpoint: u32) {
-        self.trust.forget(endpoint);
+        self.reuse.remove_endpoint(endpoint);
     }
 
     /// Returns the connections with an attempt of which no byte was written.
--- a/crates/scenario/src/audit/rate_limits.rs
+++ b/crates/scenario/src/audit/rate_limits.rs
@@ -15,7 +15,7 @@
 }
 
 pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
-    let start = &run.evidence.host.start;
+    let start = &run.evidence.host.scheduler;
     let mut known_requests: HashSet<(u64, u64)> = HashSet::new();
     let mut buckets: HashMap<u64, TokenBucket> = HashMap::new();
     let mut checked = 0;
@@ -25,7 +25,7 @@
             continue;
         }
         let Some(volume) = run.evidence.host.volumes.get(&attempt.volume) else { continue };
-        let policy = &start.policies[volume.plan];
+        let policy = &start.policies[volume.policy];
         if policy.limit_rate <= 0.0 {
             continue;
         }
@@ -37,8 +37,8 @@
         bucket.filled_at = attempt.at;
         let tolerance = (BURST_TOLERANCE * policy.limit_burst).max(start.max_units);
         if bucket.tokens < -tolerance {
-            let what = format!("the volume's token bucket is {:.1} units below 0", -bucket.tokens);
-            verdict.add_attempt(Rule::RateLimits, attempt.at, attempt, what);
+            let description = format!("the volume's token bucket is {:.1} units below 0", -bucket.tokens);
+            verdict.add_attempt(Rule::RateLimits, attempt.at, attempt, description);
         }
     }
     verdict.add_checked(Rule::RateLimits, checked);
