--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -311,7 +311,8 @@
         }
     }
 
-    /// Returns the time since which the operating system has accepted no output; none where no output is pending.
+    /// Updates and returns the time since which the operating system has accepted no output; none where no output is
+    /// pending.
     fn note_written(&mut self, now: Ms) -> Option<Ms> {
         let written = self.stream.total_written();
         self.write_blocked = match self.write_blocked {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -33,7 +33,7 @@
     File {
         /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Cause of the failure.
         source: FileError,
     },
 }
@@ -170,12 +170,12 @@
 
     /// Creates the discovery client, which starts from the cached endpoint list.
     pub(crate) fn endpoint_client(&self, now: Ms) -> EndpointClient {
-        let pace = endpoint_list::pace(self.max_poll_interval, self.settings.drain_grace);
+        let timing = endpoint_list::poll_timing(self.max_poll_interval, self.settings.drain_grace);
         let rules = endpoint_list::freshness_rules(self.settings.drain_grace);
         let cached = self.cached_list.as_ref().filter(|list| !list.records.is_empty());
         let as_of = endpoint_list::cached_list_as_of(now, self.is_list_pushed());
         let generation = cached.map(|list| list.generation);
-        EndpointClient::new(pace, rules, self.scheduler.seed, now, as_of, generation)
+        EndpointClient::new(timing, rules, self.scheduler.seed, now, as_of, generation)
     }
 }
 
--- a/crates/platform/src/connection_table.rs
+++ b/crates/platform/src/connection_table.rs
@@ -25,8 +25,8 @@
         if self.slots.len() <= key {
             self.slots.resize_with(key + 1, || None);
         }
-        let before = self.slots[key].replace(Box::new(connection));
-        assert!(before.is_none(), "connection key {key} is in use");
+        let previous = self.slots[key].replace(Box::new(connection));
+        assert!(previous.is_none(), "connection key {key} is in use");
         self.count += 1;
     }
 
--- a/crates/platform/src/connection_table/tests.rs
+++ b/crates/platform/src/connection_table/tests.rs
@@ -8,14 +8,14 @@
         let (mut table, mut model) = (ConnectionTable::default(), BTreeMap::new());
         steps.into_iter().all(|(key, value)| {
             let key = usize::from(key % 16);
-            let same_before = match model.contains_key(&key) {
+            let same_result = match model.contains_key(&key) {
                 true => table.remove(key) == model.remove(&key) && table.remove(key).is_none(),
                 false => {
                     table.insert(key, value);
                     model.insert(key, value).is_none()
                 }
             };
-            same_before
+            same_result
                 && table.len() == model.len()
                 && table.get(key) == model.get(&key)
                 && table.get_mut(key) == model.get_mut(&key)
--- a/crates/platform/src/discovery_log.rs
+++ b/crates/platform/src/discovery_log.rs
@@ -19,7 +19,7 @@
     /// The connection failed before a response was complete.
     #[error("the connection failed before the response was complete: {0}")]
     ConnectionFailed(#[source] std::io::Error),
-    /// The connection ended before a response was complete.
+    /// The connection was closed before a response was complete.
     #[error("the connection was closed before the response was complete")]
     ConnectionClosed,
     /// The response has an error status.
@@ -96,7 +96,7 @@
     pub service_down: u64,
 }
 
-/// Writes the log lines and keeps the counters.
+/// Writer of the log lines, with their counters.
 pub(crate) struct DiscoveryLog {
     limit: LogLimit,
     counts: DiscoveryCounts,
--- a/crates/platform/src/endpoint_discovery.rs
+++ b/crates/platform/src/endpoint_discovery.rs
@@ -270,8 +270,8 @@
         let carries_poll = |connection: &DiscoveryConnection| {
             connection.in_flight.is_some_and(|in_flight| in_flight.poll == poll)
         };
-        let found = self.connections.iter().find(|(_, connection)| carries_poll(connection));
-        if let Some(key) = found.map(|(key, _)| key) {
+        let carrier = self.connections.iter().find(|(_, connection)| carries_poll(connection));
+        if let Some(key) = carrier.map(|(key, _)| key) {
             self.close(reactor, key);
             self.log.poll_cancelled(reactor.now(), poll);
         }
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -40,7 +40,7 @@
 /// `drain_grace`: time for which an endpoint may still receive requests after its drain was announced, where lists are
 /// pushed. Pushed lists are polled from the host's own agent, and a change binds whether or not the host has read it,
 /// so a failed poll must be detected and repeated within the drain grace.
-pub(crate) fn pace(max_poll_interval: Option<Ms>, drain_grace: Option<Ms>) -> PollTiming {
+pub(crate) fn poll_timing(max_poll_interval: Option<Ms>, drain_grace: Option<Ms>) -> PollTiming {
     let Some(max_poll_interval) = max_poll_interval else {
         let grace = drain_grace.unwrap_or(0.0).max(MIN_DRAIN_GRACE_MS);
         return PollTiming {
@@ -159,7 +159,7 @@
 pub(crate) struct EndpointList {
     /// Generation of the list.
     pub generation: u64,
-    /// True if the list is complete; otherwise it contains only the changes.
+    /// True if the list is complete; false if the list contains only the changes.
     pub complete: bool,
     /// Records in the order of their ids.
     pub records: Vec<EndpointRecord>,
--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -50,20 +50,20 @@
 #[test]
 fn an_unanswered_poll_of_pushed_lists_is_detected_within_the_drain_grace() {
     for grace in [0.0, 100.0, 250.0, 500.0, 1000.0, 60_000.0] {
-        let (pace, rules) = (pace(None, Some(grace)), freshness_rules(Some(grace)));
+        let (timing, rules) = (poll_timing(None, Some(grace)), freshness_rules(Some(grace)));
         // Discovery stops answering at once, the host detects the failure, and the next poll is answered.
-        let detected_after = pace.hold + pace.grace;
+        let detected_after = timing.hold + timing.grace;
         assert!(
-            detected_after + pace.first_hold + pace.grace <= 0.9 * rules.binding_delay,
-            "{grace}: {pace:?}"
+            detected_after + timing.first_hold + timing.grace <= 0.9 * rules.binding_delay,
+            "{grace}: {timing:?}"
         );
-        assert!(rules.binding_delay >= 100.0 && pace.hold >= 1.0);
+        assert!(rules.binding_delay >= 100.0 && timing.hold >= 1.0);
     }
 }
 
 #[test]
 fn an_unanswered_poll_is_detected_and_repeated_before_a_change_binds() {
-    let (pace, rules) = (pace(Some(10_000.0), None), freshness_rules(None));
-    let repeated_after = pace.hold + pace.grace + pace.first_hold + pace.first_grace;
+    let (timing, rules) = (poll_timing(Some(10_000.0), None), freshness_rules(None));
+    let repeated_after = timing.hold + timing.grace + timing.first_hold + timing.first_grace;
     assert!(repeated_after <= rules.binding_delay - rules.max_stall, "{repeated_after} ms");
 }
--- a/crates/platform/src/event_loop.rs
+++ b/crates/platform/src/event_loop.rs
@@ -20,7 +20,7 @@
 const LISTENER_KEY: usize = 0;
 const SIGTERM_KEY: usize = 1;
 const SIGHUP_KEY: usize = 2;
-/// Limit of the connections accepted in one iteration of the event loop.
+/// Limit of the connections accepted in one batch.
 const ACCEPT_BATCH_SIZE: usize = 64;
 /// Limit of the batches accepted when the host closes its listener: the operating system queues at most some hundreds
 /// of connections.
@@ -297,7 +297,8 @@
         }
     }
 
-    /// Closes a client's connection and cancels its open request, whose response has no recipient any more.
+    /// Closes a client's connection, and reports the disconnect to the engine for the open request, whose response then
+    /// has no recipient.
     fn close_client(&mut self, key: ConnectionKey, reason: ClientCloseReason) {
         let Some(request) = self.proxy.close_client(key, reason) else { return };
         self.engine.on_client_disconnect(self.proxy.now(), request);
--- a/crates/platform/src/incoming_request.rs
+++ b/crates/platform/src/incoming_request.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Volume and piece named by a path.
+/// Volume and piece that are named by a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PathIds {
     volume: u64,
--- a/crates/platform/src/proxy.rs
+++ b/crates/platform/src/proxy.rs
@@ -178,8 +178,9 @@
     ) -> Vec<ConnectionKey> {
         let clients = self.clients.iter().map(|(key, client)| {
             // A client awaits a response to all input that it has sent.
-            let owed = client.open_request().is_some() || client.has_pipelined_input();
-            let owner = if owed { BufferOwner::AwaitingResponse } else { BufferOwner::SendingResponse };
+            let awaits_response = client.open_request().is_some() || client.has_pipelined_input();
+            let owner =
+                if awaits_response { BufferOwner::AwaitingResponse } else { BufferOwner::SendingResponse };
             let request = client.open_request().map_or(0, |number| self.requests.memory_bytes(number));
             BufferUse { owner, bytes: client.memory_bytes() + request, key }
         });
@@ -231,7 +232,7 @@
 
     /// Ends a request, and returns the client for its single response, if the client still awaits one. An attempt that
     /// is not written completely is withdrawn, so that no work for the request starts later.
-    #[must_use = "the client is owed its response"]
+    #[must_use = "the client awaits its response"]
     fn end_request(&mut self, number: u64) -> Option<ConnectionKey> {
         let client = self.requests.take_client(number);
         self.withdraw_if_unwritten(number);
--- a/crates/platform/src/proxy/attempts.rs
+++ b/crates/platform/src/proxy/attempts.rs
@@ -87,8 +87,8 @@
     /// Ends an attempt in flight because its time is over or its result is no longer needed.
     pub(crate) fn end_attempt_early(&mut self, number: u64, attempt: u32, end: AttemptEnd) {
         let in_flight = self.requests.get(number).and_then(OpenRequest::in_flight);
-        let same = in_flight.filter(|in_flight| in_flight.attempt == attempt);
-        if let Some(key) = same.and_then(|in_flight| in_flight.connection) {
+        let matching = in_flight.filter(|in_flight| in_flight.attempt == attempt);
+        if let Some(key) = matching.and_then(|in_flight| in_flight.connection) {
             self.fail_upstream(key, end);
         }
     }
--- a/crates/platform/src/proxy/clients.rs
+++ b/crates/platform/src/proxy/clients.rs
@@ -202,7 +202,7 @@
         self.send_response(key, &OutgoingResponse { status, headers: &[], body, close: false });
     }
 
-    /// Queues a response for a client, which is the only one to its request.
+    /// Queues the single response to a client's request.
     pub(super) fn send_response(&mut self, key: ConnectionKey, response: &OutgoingResponse<'_>) {
         let now = self.reactor.now();
         let host_closed = self.shutdown.is_closed(now);
@@ -253,9 +253,9 @@
 
     /// Returns the clients that were found disconnected when an attempt was about to be written for them.
     pub(crate) fn take_disconnected_clients(&mut self) -> Vec<ConnectionKey> {
-        let mut found = self.clients.take_disconnected();
-        found.retain(|key| self.clients.get(*key).is_some_and(|client| client.has_disconnected()));
-        found
+        let mut disconnected = self.clients.take_disconnected();
+        disconnected.retain(|key| self.clients.get(*key).is_some_and(|client| client.has_disconnected()));
+        disconnected
     }
 
     /// Returns the client connections that are not closing.
--- a/crates/platform/src/proxy/upstreams.rs
+++ b/crates/platform/src/proxy/upstreams.rs
@@ -148,8 +148,8 @@
         Ok(key)
     }
 
-    /// Takes an idle connection on which, as far as can be determined, no data of an earlier exchange can arrive any
-    /// more.
+    /// Takes an idle connection on which, as far as can be determined, no further data of an earlier exchange can
+    /// arrive.
     pub(super) fn take_idle_upstream(&mut self, endpoint: u32) -> Option<ConnectionKey> {
         loop {
             let key = self.upstreams.take_idle(self.reactor.now(), endpoint)?;
--- a/crates/platform/src/reactor.rs
+++ b/crates/platform/src/reactor.rs
@@ -12,7 +12,7 @@
 /// arrived during the stall from fresh input.
 const MAX_POLL_WAIT_MS: Ms = 25.0;
 
-/// Identifies a connection while it is open; keys are reused.
+/// Key that identifies a connection while the connection is open; keys are reused.
 pub(crate) type ConnectionKey = usize;
 
 /// Kind of the connection that a key identifies.
@@ -59,7 +59,7 @@
     }
 }
 
-/// Waits for events, stores the time of the current iteration of the event loop, and allocates connection keys.
+/// Poller of a host, with the time of the current iteration of the event loop, the timers and the connection keys.
 pub(crate) struct Reactor {
     poll: Poll,
     clock: Clock,
--- a/crates/platform/src/reload.rs
+++ b/crates/platform/src/reload.rs
@@ -15,7 +15,7 @@
 pub(crate) enum ReloadEvent {
     /// The file could not be used, and is read again after a wait.
     Failed {
-        /// Cause.
+        /// Cause of the failure.
         error: ConfigError,
         /// True if this is the first failure since the reload was requested.
         first: bool,
--- a/crates/platform/src/request_log.rs
+++ b/crates/platform/src/request_log.rs
@@ -66,8 +66,8 @@
     UnsolicitedBytes,
     /// The endpoint closed the connection while it was idle.
     ClosedWhileIdle,
-    /// The response requested it, ended with the connection, was followed by further bytes, or arrived before its
-    /// request was written completely.
+    /// The response requested the close, ended with the connection, was followed by further bytes, or arrived before
+    /// its request was written completely.
     AfterResponse,
     /// The attempt on the connection ended without a complete response.
     Attempt(AttemptEnd),
@@ -118,7 +118,7 @@
     pub endpoint: Option<&'a str>,
 }
 
-/// Writes the log lines and keeps the counters.
+/// Writer of the log lines, with their counters.
 pub(crate) struct RequestLog {
     refused: LogLimit,
     not_served: LogLimit,
--- a/crates/platform/src/request_registry.rs
+++ b/crates/platform/src/request_registry.rs
@@ -154,7 +154,7 @@
     }
 
     /// Returns the client that awaits the response, and removes it from the request.
-    #[must_use = "the client is owed its response"]
+    #[must_use = "the client awaits its response"]
     pub(crate) fn take_client(&mut self, number: u64) -> Option<ConnectionKey> {
         self.requests.get_mut(&number)?.client.take()
     }
--- a/crates/platform/src/upstream_connection.rs
+++ b/crates/platform/src/upstream_connection.rs
@@ -42,7 +42,7 @@
     pub request_id: u64,
     /// True if the operating system accepted the last byte of the request.
     pub written: bool,
-    /// Time at which this was detected.
+    /// Time at which the completed write was detected.
     pub written_at: Option<Ms>,
 }
 
@@ -67,7 +67,7 @@
     Partial { first: bool },
     /// A complete response arrived.
     Response(CompleteResponse),
-    /// No response can arrive any more.
+    /// No further response can arrive.
     Failed(ReceiveError),
 }
 
