--- a/crates/scenario/src/audit/at_most_once.rs
+++ b/crates/scenario/src/audit/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Rule 2: no effect twice, and no attempt and no rejection that could bring one.
+//! Checks rule 2: no request takes effect twice, and no attempt or rejection makes a second effect possible.
 
 use super::evidence::{Run, TrackedAttempt, TrackedRequest};
 use super::verdict::{Finding, Rule, Verdict};
@@ -45,7 +45,7 @@
     verdict.add_checked(Rule::AtMostOnce, effects.len());
 }
 
-/// Finds attempts that repeat one which may have been executed, where no deduplication covers them.
+/// Finds attempts that repeat a possibly executed attempt outside the deduplication scope or window.
 fn check_attempts(run: &Run<'_>, tracked: &TrackedRequest, verdict: &mut Verdict) {
     let attempts: Vec<&TrackedAttempt> = run.attempts_of(tracked).collect();
     for (index, attempt) in attempts.iter().enumerate() {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Finds a rejection of a request that may have been executed: the client would retry it.
+/// Finds a rejection of a request that may have been executed, because the client would retry the request.
 fn check_rejection(run: &Run<'_>, tracked: &TrackedRequest, verdict: &mut Verdict) {
     let Some((at, FinalCode::Rejected)) = tracked.answer else { return };
     let class = &run.evidence.host.start.classes[usize::from(tracked.request.class)];
--- a/crates/scenario/src/audit/data_integrity.rs
+++ b/crates/scenario/src/audit/data_integrity.rs
@@ -1,5 +1,5 @@
-//! Data integrity: keys hold what was written last, reads return what was stored in their time, and no attempt
-//! leaves under a version of an extent older than its host was sent.
+//! Checks data integrity: each key stores the payload written last, reads return payloads stored during the read,
+//! and no attempt is sent under an older extent version than the host has received.
 
 use super::evidence::{BlockWrite, Run};
 use super::verdict::{Finding, Rule, Verdict};
@@ -9,7 +9,8 @@
 use magpiewick_node_protocol::FinalCode;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Each key holds, at its owner, what was written to it last, and no request succeeded without being executed.
+/// Checks that the owner of each key stores the payload written last, and that no request succeeded without being
+/// executed.
 pub(super) fn check_stored(run: &Run<'_>, verdict: &mut Verdict) {
     check_successes(run, verdict);
     let mut last_writes: BTreeMap<(u64, u64), BlockWrite> = BTreeMap::new();
@@ -21,9 +22,9 @@
         stored.map(|key| ((key.volume, key.key), idempotency_key_of(&key.payload))).collect();
     verdict.add_checked(Rule::DataIntegrity, last_writes.len());
     for ((volume, key), write) in last_writes {
-        let held = stored.get(&(volume, key));
-        if held != Some(&write.idempotency_key) {
-            let description = format!("key {key} of volume {volume} holds {held:?}");
+        let stored_key = stored.get(&(volume, key));
+        if stored_key != Some(&write.idempotency_key) {
+            let description = format!("key {key} of volume {volume} holds {stored_key:?}");
             verdict.add_request(Rule::DataIntegrity, write.at, write.idempotency_key, description);
         }
     }
@@ -54,12 +55,13 @@
     }
 }
 
-/// A written payload begins with the mark of its request.
+/// Returns the idempotency key of the request that wrote a payload, which begins with the key; 0 for a shorter
+/// payload.
 fn idempotency_key_of(payload: &[u8]) -> u64 {
     payload.first_chunk::<8>().map_or(0, |idempotency_key| u64::from_le_bytes(*idempotency_key))
 }
 
-/// Each block of a successful read holds what was stored there at some moment of the read.
+/// Checks that each block of a successful read contains the payload stored there at some time during the read.
 pub(super) fn check_reads(run: &Run<'_>, verdict: &mut Verdict) {
     let tolerance = run.evidence.scenario.clock_tolerance;
     let mut writes: HashMap<(u64, u64), Vec<(Ms, u64)>> = HashMap::new();
@@ -88,35 +90,35 @@
     verdict.add_checked(Rule::DataIntegrity, checked);
 }
 
-/// A version of an extent that a host was sent.
-struct KnownVersion {
+/// A version of an extent that was sent to a host.
+struct ReceivedVersion {
     start: u64,
     end: u64,
     received_at: Ms,
     version: u32,
 }
 
-/// No attempt leaves under a version of an extent that is older than what its host was sent.
+/// Checks that no attempt is sent under an older extent version than the host has received.
 pub(super) fn check_versions(run: &Run<'_>, verdict: &mut Verdict) {
     let tolerance = run.evidence.scenario.clock_tolerance;
-    let mut known: HashMap<(u64, u64), Vec<KnownVersion>> = HashMap::new();
+    let mut received_versions: HashMap<(u64, u64), Vec<ReceivedVersion>> = HashMap::new();
     let mut checked = 0;
     for (at, event) in run.evidence.node_events {
         match *event {
             NodeEvent::MapUpdateSent { host, volume, start, end, version } => {
                 let received_at = run.received_at(host, *at);
-                let update = KnownVersion { start, end, received_at, version };
-                known.entry((host, volume)).or_default().push(update);
+                let update = ReceivedVersion { start, end, received_at, version };
+                received_versions.entry((host, volume)).or_default().push(update);
             }
             NodeEvent::AttemptReceived { node, host, volume, key, idempotency_key, version, .. }
                 if version > 0 =>
             {
-                let of_volume = known.get(&(host, volume)).map_or(&[][..], |all| all);
-                let of_extent = of_volume
+                let of_volume = received_versions.get(&(host, volume)).map_or(&[][..], |all| all);
+                let versions_of_extent = of_volume
                     .iter()
                     .filter(|k| k.start <= key && key < k.end && at - k.received_at > tolerance);
-                checked += usize::from(of_extent.clone().next().is_some());
-                if let Some(newer) = of_extent.clone().find(|known| known.version > version) {
+                checked += usize::from(versions_of_extent.clone().next().is_some());
+                if let Some(newer) = versions_of_extent.clone().find(|received| received.version > version) {
                     verdict.findings.push(Finding {
                         rule: Rule::DataIntegrity,
                         at: *at,
--- a/crates/scenario/src/audit/draining.rs
+++ b/crates/scenario/src/audit/draining.rs
@@ -1,4 +1,5 @@
-//! Rule 3: nothing new goes to a node later than the grace after a host was notified that it drains.
+//! Checks rule 3: no attempt is sent to a draining node once the grace period after the host's notification has
+//! passed.
 
 use super::evidence::Run;
 use super::verdict::{Rule, Verdict};
@@ -6,7 +7,7 @@
 use magpiewick_emulator::NodeEvent;
 use std::collections::{HashMap, HashSet};
 
-/// The incarnation of a host, a node and the node's incarnation.
+/// Incarnation of a host, number of a node, and incarnation of the node.
 type Notification = (u64, u32, u64);
 
 pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
--- a/crates/scenario/src/audit/evidence.rs
+++ b/crates/scenario/src/audit/evidence.rs
@@ -1,4 +1,4 @@
-//! The evidence of a run, and the requests and attempts reconstructed from it.
+//! Evidence of a run, and the requests and attempts reconstructed from the evidence.
 
 use super::verdict::{Finding, Rule, Verdict};
 use crate::client_event::{ClientEvent, ClientRequest};
@@ -9,42 +9,42 @@
 use magpiewick_node_protocol::FinalCode;
 use std::collections::HashMap;
 
-/// A host that the script stopped for a while.
+/// A period during which the script suspended a host process.
 #[derive(Clone, Copy, Debug)]
 pub struct Stall {
-    /// The host's number.
+    /// Number of the host.
     pub host: usize,
-    /// When it was stopped.
+    /// Time at which the host was suspended.
     pub from: Ms,
-    /// When it continued.
+    /// Time at which the host continued.
     pub to: Ms,
 }
 
-/// All that is known of a run.
+/// Everything recorded during a run.
 pub struct Evidence<'a> {
-    /// The settings of the hosts.
+    /// Settings of the hosts.
     pub host: &'a HostConfig,
-    /// The settings of the emulated services.
+    /// Settings of the emulated services.
     pub emulator: &'a EmulatorConfig,
-    /// The settings of the scenario.
+    /// Settings of the scenario.
     pub scenario: &'a ScenarioConfig,
-    /// What nodes and the endpoint list service saw, by time.
+    /// Events recorded by nodes and the endpoint list service, by time.
     pub node_events: &'a [(Ms, NodeEvent)],
-    /// What clients saw, by time.
+    /// Events recorded by clients, by time.
     pub client_events: &'a [(Ms, ClientEvent)],
-    /// Hosts that the script stopped for a while.
+    /// Periods during which the script suspended a host process.
     pub stalls: &'a [Stall],
-    /// What the owner of each key holds at the end.
+    /// Payload that the owner of each key stores at the end of the run.
     pub stored: &'a [StoredKey],
 }
 
 impl Evidence<'_> {
-    /// The node of a number.
+    /// Returns the settings of the node with a number.
     pub(super) fn node(&self, number: u32) -> Option<&NodeConfig> {
         self.emulator.nodes.iter().find(|node| node.number == number)
     }
 
-    /// Units that a node can do in a millisecond, so long after it started to warm up.
+    /// Returns the units of work that a node can execute per millisecond at a time since its start.
     pub(super) fn units_per_ms(&self, node: &NodeConfig, since_start: Ms) -> f64 {
         let slow_start = self.emulator.slow_start;
         let warmed_up = (1.0 - slow_start.initial_capacity) * since_start / slow_start.duration;
@@ -52,7 +52,7 @@
         node.cores as f64 * node.speed / self.emulator.unit_work * capacity
     }
 
-    /// The effects of writes, block by block.
+    /// Returns the effects of writes, block by block.
     pub(super) fn block_writes(&self) -> impl Iterator<Item = BlockWrite> + '_ {
         self.node_events.iter().flat_map(|(at, event)| {
             let (host, volume, blocks, idempotency_key) = match *event {
@@ -69,70 +69,70 @@
 /// The effect of a write on one block.
 pub(super) struct BlockWrite {
     pub at: Ms,
-    /// The incarnation of the host that sent it.
+    /// Incarnation of the host that sent the request.
     pub host: u64,
-    /// Volume and block.
+    /// Number of the volume, and block within the volume.
     pub block: (u64, u64),
-    /// The mark of the request.
+    /// Idempotency key of the request.
     pub idempotency_key: u64,
 }
 
-/// A request as its client sent it, and how it ended for the client.
+/// A request as sent by its client, and its end from the client's point of view.
 pub(super) struct TrackedRequest {
     pub request: ClientRequest,
     pub sent_at: Ms,
     pub answer: Option<(Ms, FinalCode)>,
-    /// When the client stopped waiting, or lost its connection.
-    pub ended: Option<Ms>,
-    /// Indexes of its attempts.
+    /// Time at which the client timed out or lost its connection.
+    pub gave_up_at: Option<Ms>,
+    /// Indexes of the attempts of the request.
     pub attempts: Vec<usize>,
 }
 
 impl TrackedRequest {
-    /// When it was over for its client; infinite where it never was.
-    pub(super) fn over_at(&self) -> Ms {
+    /// Returns the time at which the request was over for its client; infinite if the request never ended.
+    pub(super) fn ended_at(&self) -> Ms {
         let answered = self.answer.map_or(f64::INFINITY, |answer| answer.0);
-        answered.min(self.ended.unwrap_or(f64::INFINITY))
+        answered.min(self.gave_up_at.unwrap_or(f64::INFINITY))
     }
 }
 
-/// An attempt as a node saw it.
+/// An attempt as received by a node.
 pub(super) struct TrackedAttempt {
     pub at: Ms,
     pub node: u32,
-    /// The node's incarnation that received it.
+    /// Incarnation of the node that received the attempt.
     pub incarnation: u64,
-    /// The incarnation of the host that sent it.
+    /// Incarnation of the host that sent the request.
     pub host: u64,
     pub request_id: u64,
     pub attempt: u16,
     pub volume: u64,
     pub units: f64,
     pub idempotency_key: u64,
-    /// When the node answered, and whether it executed the attempt.
+    /// Time of the node's answer, and whether the node executed the attempt.
     pub answered: Option<(Ms, bool)>,
-    /// When the host stopped waiting, by a cancel or a closed connection.
-    pub dropped: Option<Ms>,
+    /// Time at which the host stopped waiting: it sent a cancel or closed the connection.
+    pub abandoned_at: Option<Ms>,
 }
 
 impl TrackedAttempt {
-    /// Whether the node had answered by then that it did not execute the attempt.
+    /// Returns whether the node had answered by the given time that it did not execute the attempt.
     pub(super) fn known_not_executed(&self, by: Ms) -> bool {
         self.answered.is_some_and(|(at, executed)| !executed && at <= by)
     }
 }
 
-/// A run: its evidence, and the requests and attempts reconstructed from it.
+/// Evidence of a run, and the requests and attempts reconstructed from the evidence.
 pub(super) struct Run<'a> {
     pub evidence: &'a Evidence<'a>,
     pub requests: Vec<TrackedRequest>,
     pub attempts: Vec<TrackedAttempt>,
-    /// The numbers of hosts by incarnation.
+    /// Numbers of hosts by incarnation.
     pub host_numbers: HashMap<u64, usize>,
 }
 
 impl<'a> Run<'a> {
-    /// Reconstructs a run; what fits no request is a finding.
+    /// Reconstructs a run; an event that belongs to no request becomes a finding.
     pub(super) fn reconstruct(evidence: &'a Evidence<'a>, verdict: &mut Verdict) -> Run<'a> {
         let requests = reconstruct_requests(evidence, verdict);
         let attempts = reconstruct_attempts(evidence);
@@ -144,7 +144,7 @@
         run
     }
 
-    /// The attempts of a request.
+    /// Returns the attempts of a request.
     pub(super) fn attempts_of<'b>(
         &'b self,
         request: &'b TrackedRequest,
@@ -152,12 +152,12 @@
         request.attempts.iter().map(|index| &self.attempts[*index])
     }
 
-    /// Whether a host was stopped at some time within a span.
+    /// Returns whether a host process was suspended at some time within a period.
     pub(super) fn is_stalled(&self, host: usize, from: Ms, to: Ms) -> bool {
         self.evidence.stalls.iter().any(|stall| stall.host == host && stall.from <= to && stall.to >= from)
     }
 
-    /// When a host could read what it was sent: at once, or when it continued after a stall.
+    /// Returns the time at which a host could read a message: the time of sending, or the end of a stall.
     pub(super) fn received_at(&self, host: u64, sent_at: Ms) -> Ms {
         let number = self.host_numbers.get(&host);
         let stalls = self.evidence.stalls.iter();
@@ -165,7 +165,8 @@
         stalls.map(|stall| stall.to).fold(sent_at, f64::max)
     }
 
-    /// Assigns each attempt to the latest request of its mark that its host had taken by then.
+    /// Assigns each attempt to the latest request with its idempotency key that a client had sent to its host
+    /// before the attempt.
     fn assign_attempts(&mut self, verdict: &mut Verdict) {
         let mut by_idempotency_key: HashMap<(u64, u64), Vec<usize>> = HashMap::new();
         for (index, tracked) in self.requests.iter().enumerate() {
@@ -178,8 +179,8 @@
         for (index, attempt) in self.attempts.iter().enumerate() {
             let candidates = by_idempotency_key.get(&(attempt.host, attempt.idempotency_key));
             let latest = || {
-                let mut taken = candidates?.iter().rev();
-                taken.find(|request| self.requests[**request].sent_at <= attempt.at).copied()
+                let mut sent_earlier = candidates?.iter().rev();
+                sent_earlier.find(|request| self.requests[**request].sent_at <= attempt.at).copied()
             };
             match *by_request_id.entry((attempt.host, attempt.request_id)).or_insert_with(latest) {
                 Some(request) => self.requests[request].attempts.push(index),
@@ -199,8 +200,8 @@
         match *event {
             ClientEvent::Sent(request) => {
                 by_number.insert(request.number, requests.len());
-                let (answer, ended, attempts) = (None, None, Vec::new());
-                requests.push(TrackedRequest { request, sent_at: *at, answer, ended, attempts });
+                let (answer, gave_up_at, attempts) = (None, None, Vec::new());
+                requests.push(TrackedRequest { request, sent_at: *at, answer, gave_up_at, attempts });
             }
             ClientEvent::Answered { number, code, .. } => {
                 let Some(&index) = by_number.get(&number) else {
@@ -220,7 +221,7 @@
             ClientEvent::BlockRead { .. } => {}
             ClientEvent::TimedOut { number } | ClientEvent::ConnectionLost { number } => {
                 if let Some(&index) = by_number.get(&number) {
-                    requests[index].ended = Some(*at);
+                    requests[index].gave_up_at = Some(*at);
                 }
             }
         }
@@ -228,7 +229,7 @@
     requests
 }
 
-/// How many attempts back the outstanding ones of a closed connection are searched for.
+/// Number of latest attempts that are searched for the outstanding attempts of a closed connection.
 const CLOSED_CONNECTION_SEARCH: usize = 10_000;
 
 fn reconstruct_attempts(evidence: &Evidence<'_>) -> Vec<TrackedAttempt> {
@@ -260,7 +261,7 @@
                     units,
                     idempotency_key,
                     answered: None,
-                    dropped: None,
+                    abandoned_at: None,
                 });
             }
             NodeEvent::Answered { host, request_id, attempt, executed, .. } => {
@@ -270,13 +271,13 @@
             }
             NodeEvent::AttemptCancelled { host, request_id, attempt, .. } => {
                 if let Some(&index) = by_id.get(&(host, request_id, attempt)) {
-                    attempts[index].dropped.get_or_insert(*at);
+                    attempts[index].abandoned_at.get_or_insert(*at);
                 }
             }
             NodeEvent::ConnectionClosed { node, host } => {
                 let recent = attempts.iter_mut().rev().take(CLOSED_CONNECTION_SEARCH);
                 let outstanding = recent.filter(|a| a.node == node && a.host == host && a.answered.is_none());
-                outstanding.for_each(|attempt| _ = attempt.dropped.get_or_insert(*at));
+                outstanding.for_each(|attempt| _ = attempt.abandoned_at.get_or_insert(*at));
             }
             _ => {}
         }
--- a/crates/scenario/src/audit/final_answers.rs
+++ b/crates/scenario/src/audit/final_answers.rs
@@ -1,4 +1,4 @@
-//! Rule 1: one final answer in time, and no attempt after it.
+//! Checks rule 1: each request gets one final answer in time, and no attempt is sent after the final answer.
 
 use super::evidence::{Run, TrackedRequest};
 use super::verdict::{Rule, Verdict};
@@ -18,19 +18,20 @@
             let description = format!("no final answer within {} ms", request.timeout);
             verdict.add_request(Rule::FinalAnswer, at, request.idempotency_key, description);
         }
-        let over_at = tracked.over_at() + tolerance;
-        for attempt in run.attempts_of(tracked).filter(|attempt| attempt.at > over_at) {
-            let description = format!("sent {:.0} ms after its end", attempt.at - over_at + tolerance);
+        let end_tolerated_until = tracked.ended_at() + tolerance;
+        for attempt in run.attempts_of(tracked).filter(|attempt| attempt.at > end_tolerated_until) {
+            let description =
+                format!("sent {:.0} ms after its end", attempt.at - end_tolerated_until + tolerance);
             verdict.add_attempt(Rule::FinalAnswer, attempt.at, attempt, description);
         }
     }
 }
 
-/// When it was clear that no answer came in time. A connection that ended earlier excuses its host, which was
-/// killed.
+/// Returns the time at which a request missed its deadline, if it did. A request whose connection ended earlier is
+/// not counted, because its host was killed.
 fn missed_deadline(tracked: &TrackedRequest, deadline: Ms) -> Option<Ms> {
-    match (tracked.answer, tracked.ended) {
-        (None, Some(ended)) => (ended >= deadline - 1.0).then_some(ended),
+    match (tracked.answer, tracked.gave_up_at) {
+        (None, Some(gave_up_at)) => (gave_up_at >= deadline - 1.0).then_some(gave_up_at),
         (None, None) => Some(deadline),
         (Some((at, _)), _) => (at > deadline).then_some(at),
     }
--- a/crates/scenario/src/audit/mod.rs
+++ b/crates/scenario/src/audit/mod.rs
@@ -1,7 +1,8 @@
-//! Audits the seven rules from what nodes and clients saw. Pure: events in, a verdict out.
+//! Audits the seven rules from the events recorded by nodes and clients. The audit is a pure function from events
+//! to a verdict.
 //!
-//! The audit is a model of the rules written for correctness, not speed. It is independent of the scheduler: they
-//! share no code but the types of the settings.
+//! The audit is a model of the rules written for correctness, not speed. It is independent of the scheduler: the
+//! two share only the types of the settings.
 
 mod at_most_once;
 mod data_integrity;
@@ -22,7 +23,7 @@
 
 use evidence::Run;
 
-/// Audits a run.
+/// Audits the evidence of a run and returns the verdict.
 pub fn audit(evidence: &Evidence<'_>) -> Verdict {
     let expectation = &evidence.scenario.retry_storm;
     let mut verdict = Verdict::default();
--- a/crates/scenario/src/audit/ordering.rs
+++ b/crates/scenario/src/audit/ordering.rs
@@ -1,12 +1,12 @@
-//! Rule 5: requests of one key at one host run one at a time in the order taken, and overlapping writes of one
-//! connection take effect in the order sent.
+//! Checks rule 5: requests for one key at one host run one at a time in the order received, and overlapping writes
+//! of one connection take effect in the order sent.
 
 use super::evidence::{BlockWrite, Run, TrackedAttempt, TrackedRequest};
 use super::verdict::{Rule, Verdict};
 use crate::Ms;
 use std::collections::{BTreeMap, HashMap};
 
-/// How many earlier requests of a key are compared with each; those before them were over long ago.
+/// Number of earlier requests for a key that are compared with each request; still earlier requests are over.
 const COMPARED_REQUESTS: usize = 64;
 
 pub(super) fn check_keys(run: &Run<'_>, verdict: &mut Verdict) {
@@ -32,7 +32,7 @@
     verdict.add_checked(Rule::Ordering, checked);
 }
 
-/// Checks an attempt of a later request against an earlier request of its key.
+/// Checks an attempt of a later request against an earlier request for the same key.
 fn check_pair(
     run: &Run<'_>,
     earlier: &TrackedRequest,
@@ -44,7 +44,7 @@
     let quiet_period = run.evidence.host.start.ordering_quiet_period;
     let at = attempt.at;
     let stalled = run.is_stalled(earlier.request.host_number, earlier.sent_at, at);
-    if earlier.over_at() > at + tolerance && !stalled {
+    if earlier.ended_at() > at + tolerance && !stalled {
         let description = "sent while an earlier request of its key is not over";
         verdict.add_attempt(Rule::Ordering, at, attempt, description);
     }
@@ -59,19 +59,19 @@
     }
 }
 
-/// When a host knew the outcome of an attempt at the earliest.
+/// Earliest time at which a host can have received the outcome of an attempt.
 struct Outcome {
     at: Ms,
-    /// Whether the node answered; else the attempt may still run, and the key needs a quiet period.
+    /// Set if the node answered. Without an answer the attempt may still run, and the key needs a quiet period.
     is_answer: bool,
 }
 
 fn outcome_of(attempt: &TrackedAttempt, tracked: &TrackedRequest) -> Outcome {
-    match (attempt.answered, attempt.dropped) {
+    match (attempt.answered, attempt.abandoned_at) {
         (Some((at, _)), None) => Outcome { at, is_answer: true },
-        (Some((at, _)), Some(dropped)) if at <= dropped => Outcome { at, is_answer: true },
-        (_, Some(dropped)) => Outcome { at: dropped, is_answer: false },
-        (None, None) => Outcome { at: tracked.over_at(), is_answer: false },
+        (Some((at, _)), Some(abandoned_at)) if at <= abandoned_at => Outcome { at, is_answer: true },
+        (_, Some(abandoned_at)) => Outcome { at: abandoned_at, is_answer: false },
+        (None, None) => Outcome { at: tracked.ended_at(), is_answer: false },
     }
 }
 
@@ -79,20 +79,20 @@
     let mut requests: HashMap<(u64, u64), (u64, usize)> = HashMap::new();
     for (sequence, tracked) in (0..).zip(&run.requests).filter(|(_, tracked)| tracked.request.write) {
         let request = &tracked.request;
-        // A retry comes after whatever was sent meanwhile.
+        // A retry is ordered after the requests that were sent before the retry.
         requests.insert((request.host, request.idempotency_key), (sequence, request.connection));
     }
     let mut latest: HashMap<(u64, (u64, u64), usize), u64> = HashMap::new();
     let mut checked = 0;
     for BlockWrite { at, host, block, idempotency_key } in run.evidence.block_writes() {
         let Some(&(sequence, connection)) = requests.get(&(host, idempotency_key)) else { continue };
-        let before = latest.entry((host, block, connection)).or_insert(sequence);
-        checked += usize::from(*before != sequence);
-        if *before > sequence {
+        let highest_sequence = latest.entry((host, block, connection)).or_insert(sequence);
+        checked += usize::from(*highest_sequence != sequence);
+        if *highest_sequence > sequence {
             let description = format!("block {} of volume {}: a later write ran first", block.1, block.0);
             verdict.add_request(Rule::Ordering, at, idempotency_key, description);
         }
-        *before = sequence.max(*before);
+        *highest_sequence = sequence.max(*highest_sequence);
     }
     verdict.add_checked(Rule::Ordering, checked);
 }
--- a/crates/scenario/src/audit/rate_limits.rs
+++ b/crates/scenario/src/audit/rate_limits.rs
@@ -1,14 +1,15 @@
-//! Rule 7: what all hosts together send for a volume stays within its rate limit.
+//! Checks rule 7: the requests that all hosts together send for a volume stay within its rate limit.
 
 use super::evidence::Run;
 use super::verdict::{Rule, Verdict};
 use crate::Ms;
 use std::collections::{HashMap, HashSet};
 
-/// The part of a burst by which hosts that know little of each other may exceed the limit together.
+/// Fraction of the burst by which all hosts together may exceed the limit, because each host has only delayed
+/// information about the others.
 const BURST_TOLERANCE: f64 = 0.1;
 
-/// A token bucket that may be overdrawn.
+/// A token bucket whose balance may become negative.
 struct TokenBucket {
     tokens: f64,
     filled_at: Ms,
@@ -16,12 +17,12 @@
 
 pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
     let start = &run.evidence.host.start;
-    let mut known_requests: HashSet<(u64, u64)> = HashSet::new();
+    let mut counted_requests: HashSet<(u64, u64)> = HashSet::new();
     let mut buckets: HashMap<u64, TokenBucket> = HashMap::new();
     let mut checked = 0;
     for attempt in &run.attempts {
-        // The first attempt of a request draws its units.
-        if !known_requests.insert((attempt.host, attempt.request_id)) {
+        // Only the first attempt of a request takes tokens.
+        if !counted_requests.insert((attempt.host, attempt.request_id)) {
             continue;
         }
         let Some(volume) = run.evidence.host.volumes.get(&attempt.volume) else { continue };
--- a/crates/scenario/src/audit/retry_budget.rs
+++ b/crates/scenario/src/audit/retry_budget.rs
@@ -1,11 +1,11 @@
-//! Rule 6: the retries of one host in any window stay within its retry budget.
+//! Checks rule 6: the retries of one host within any window stay within its retry budget.
 
 use super::evidence::{Run, TrackedAttempt};
 use super::verdict::{Rule, Verdict};
 use crate::Ms;
 use std::collections::BTreeMap;
 
-/// What one incarnation of a host took and retried.
+/// Requests received and retries sent by one incarnation of a host.
 #[derive(Default)]
 struct HostLoad<'a> {
     request_times: Vec<Ms>,
@@ -21,8 +21,8 @@
             let in_window =
                 |time: Ms, margin: Ms| time > retry.at - budget.window - margin && time <= retry.at + margin;
             let used = retries[..=index].iter().filter(|r| in_window(r.at, -tolerance)).count();
-            let taken = request_times.iter().filter(|time| in_window(**time, tolerance)).count();
-            let allowed = budget.free + budget.share * taken as f64;
+            let received = request_times.iter().filter(|time| in_window(**time, tolerance)).count();
+            let allowed = budget.free + budget.share * received as f64;
             if used as f64 > allowed {
                 let description = format!("{used} retries in a window with a budget of {allowed:.1}");
                 verdict.add_attempt(Rule::RetryBudget, retry.at, retry, description);
--- a/crates/scenario/src/audit/retry_storm.rs
+++ b/crates/scenario/src/audit/retry_storm.rs
@@ -1,5 +1,5 @@
-//! Retry storms: what nodes that came back were sent, and how soon clients were served as before. Pure, as the
-//! rest of the audit.
+//! Measures retry storms: the load sent to nodes after a restart, and the time until clients earn their usual
+//! priority weight again. Pure functions, like the other checks of the audit.
 
 use super::evidence::Evidence;
 use super::verdict::{Finding, Rule, Verdict};
@@ -11,58 +11,59 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The length of the slots in which the load on a node is compared with its ceiling.
+/// Length of the slots over which the load on a node is compared with the highest allowed load.
 const LOAD_SLOT: Ms = 100.0;
-/// The span over which the earned weight is averaged; nodes that start within it count as one return.
+/// Window over which the earned weight is averaged; nodes that restart within one window count as one return.
 const WINDOW: Ms = 1000.0;
-/// How far apart the examined windows begin.
+/// Interval between the starts of the examined windows.
 const WINDOW_STEP: Ms = 250.0;
 
-/// Nodes that came back together, or one.
+/// The restart of one node, or of several nodes within one window.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct NodeReturn {
-    /// When the first of them started.
+    /// Time at which the first of the nodes started.
     pub at_ms: Ms,
-    /// Their numbers.
+    /// Numbers of the nodes.
     pub nodes: Vec<u32>,
-    /// The most units that one of them was sent in 100 ms, as a multiple of its capacity in them.
+    /// Highest load on one of the nodes: units received within 100 ms, as a multiple of its capacity during the
+    /// 100 ms.
     #[serde(rename = "most_load")]
     pub peak_load: f64,
-    /// When that was.
+    /// Time of the highest load.
     #[serde(rename = "most_at_ms")]
     pub peak_at_ms: Ms,
-    /// The part of the units they were sent while they warmed up that were clients' retries.
+    /// Share of clients' retries in the units that the nodes received while warming up.
     #[serde(rename = "later")]
     pub retry_share: f64,
-    /// How often one of them was overloaded and stopped.
+    /// Number of times that one of the nodes was overloaded and stopped.
     #[serde(rename = "fell")]
     pub overloads: u64,
-    /// After what time the earned weight had recovered; `None` where it had not when the next node stopped, or at
-    /// the end.
+    /// Time from the restart until the earned weight recovered; `None` if the weight had not recovered when the
+    /// next node stopped, or at the end of the run.
     pub recovered_ms: Option<Ms>,
 }
 
-/// What the retry storms of a run came to.
+/// Results of the retry storms of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RetryStormReport {
-    /// The part of the priority weight earned within the latency objective while the traffic was quiet.
+    /// Fraction of the priority weight that was earned within the latency objective during the quiet period.
     #[serde(rename = "quiet_payoff")]
     pub quiet_earned_share: f64,
-    /// How often clients sent a request, on average.
+    /// Mean number of times that clients sent a request.
     #[serde(rename = "tries")]
     pub sends_per_request: f64,
-    /// The returns of nodes, by time.
+    /// Restarts of nodes, by time.
     pub returns: Vec<NodeReturn>,
 }
 
-/// The priority weight of a request, and what was earned of it within the latency objective.
+/// Priority weight of a request, and the weight earned within the latency objective.
 struct RequestWeight {
     first_due: Ms,
     total: f64,
     earned: f64,
 }
 
-/// Checks what a scenario expects of retry storms.
+/// Checks a scenario's expectations of retry storms.
 pub(super) fn check(evidence: &Evidence<'_>, expectation: &RetryStormExpectation, verdict: &mut Verdict) {
     let begin = run_begin(evidence);
     let weights = request_weights(evidence);
@@ -74,7 +75,7 @@
         sends_per_request: send_count as f64 / weights.len().max(1) as f64,
         returns: Vec::new(),
     };
-    for (at_ms, nodes) in returns(evidence.node_events) {
+    for (at_ms, nodes) in grouped_restarts(evidence.node_events) {
         let mut node_return = NodeReturn { at_ms, nodes, ..NodeReturn::default() };
         measure_load(evidence, &sends, &mut node_return);
         let until = next_stop(evidence, at_ms).unwrap_or(begin + evidence.scenario.duration);
@@ -105,7 +106,7 @@
     let at = node_return.at_ms;
     match node_return.recovered_ms {
         Some(after) if after <= expectation.max_recovery_time => {}
-        // It stopped again before there was time to recover.
+        // The next node stopped before two windows had passed, so there was no time to recover.
         None if until - at < 2.0 * WINDOW => {}
         Some(after) => add(at, format!("the earned weight had recovered only after {after:.0} ms")),
         None => add(at, "the earned weight had not recovered when the next node stopped".to_string()),
@@ -124,7 +125,7 @@
     evidence.node_events.iter().find_map(stops)
 }
 
-/// The weight of each request, by when it was due first.
+/// Returns the weight of each request, sorted by the time at which the request was first due.
 fn request_weights(evidence: &Evidence<'_>) -> Vec<RequestWeight> {
     let classes = &evidence.host.start.classes;
     let mut by_idempotency_key: HashMap<u64, usize> = HashMap::new();
@@ -155,7 +156,7 @@
     weights
 }
 
-/// The part of the weight of a span that was earned.
+/// Returns the fraction of the priority weight of a period that was earned.
 fn earned_share(weights: &[RequestWeight], from: Ms, to: Ms) -> f64 {
     let first = weights.partition_point(|weight| weight.first_due < from);
     let last = weights.partition_point(|weight| weight.first_due < to);
@@ -164,26 +165,26 @@
     earned / f64::max(total, 1e-9)
 }
 
-/// The starts of nodes that warm up and had stopped before, those within a window together.
-fn returns(node_events: &[(Ms, NodeEvent)]) -> Vec<(Ms, Vec<u32>)> {
+/// Returns the starts of nodes that warm up and had stopped before; starts within one window are grouped.
+fn grouped_restarts(node_events: &[(Ms, NodeEvent)]) -> Vec<(Ms, Vec<u32>)> {
     let mut stopped = HashSet::new();
-    let mut returns: Vec<(Ms, Vec<u32>)> = Vec::new();
+    let mut restarts: Vec<(Ms, Vec<u32>)> = Vec::new();
     for (at, event) in node_events {
         match *event {
             NodeEvent::Stopped { node, .. } => _ = stopped.insert(node),
             NodeEvent::Started { node, warming_up: true, .. } if stopped.remove(&node) => {
-                match returns.last_mut() {
+                match restarts.last_mut() {
                     Some((first, nodes)) if at - *first < WINDOW => nodes.push(node),
-                    _ => returns.push((*at, vec![node])),
+                    _ => restarts.push((*at, vec![node])),
                 }
             }
             _ => {}
         }
     }
-    returns
+    restarts
 }
 
-/// A time at which a client sent a request.
+/// One sending of a request by a client.
 struct Send {
     at: Ms,
     is_retry: bool,
@@ -202,7 +203,7 @@
     sends
 }
 
-/// Measures what the nodes of a return were sent until they were warm, or stopped again.
+/// Measures the load on restarted nodes until the nodes have warmed up or stopped again.
 fn measure_load(evidence: &Evidence<'_>, sends: &HashMap<u64, Vec<Send>>, node_return: &mut NodeReturn) {
     let (warm_up, begin) = (evidence.emulator.slow_start.duration, node_return.at_ms);
     let mut started: HashMap<u32, Ms> = HashMap::new();
@@ -241,7 +242,7 @@
     }
 }
 
-/// After what time the earned share reached the target over a whole window.
+/// Returns the time until the earned share reached the target over a whole window.
 fn time_to_recover(weights: &[RequestWeight], at: Ms, until: Ms, target: f64) -> Option<Ms> {
     let steps = ((until - at - WINDOW) / WINDOW_STEP).max(0.0) as u32;
     let starts = (0..=steps).map(|step| at + f64::from(step) * WINDOW_STEP);
--- a/crates/scenario/src/audit/retry_storm/tests.rs
+++ b/crates/scenario/src/audit/retry_storm/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn nodes_that_start_within_a_window_are_one_return() {
+fn nodes_started_within_one_window_form_one_return() {
     let started = |node, warming_up| NodeEvent::Started { node, incarnation: 1, warming_up };
     let stopped = |node| NodeEvent::Stopped { node, incarnation: 1 };
     let events = [
@@ -14,12 +14,12 @@
         (950.0, stopped(1)),
         (2000.0, started(1, true)),
     ];
-    assert_eq!(returns(&events), [(500.0, vec![1, 2]), (2000.0, vec![1])]);
+    assert_eq!(grouped_restarts(&events), [(500.0, vec![1, 2]), (2000.0, vec![1])]);
 }
 
 #[test]
-fn the_earned_weight_has_recovered_when_a_whole_window_has() {
-    // One request each 10 ms; from 4 s on all are served, before that half of them.
+fn recovery_requires_the_target_over_a_whole_window() {
+    // One request every 10 ms: half of the requests succeed during the first 4 s, and all requests after 4 s.
     let weights: Vec<RequestWeight> = (0..1000)
         .map(|i| RequestWeight {
             first_due: f64::from(i) * 10.0,
--- a/crates/scenario/src/audit/slow_start.rs
+++ b/crates/scenario/src/audit/slow_start.rs
@@ -1,4 +1,4 @@
-//! Rule 4: what all hosts together send to a node that warms up does not overload it.
+//! Checks rule 4: the requests that all hosts together send to a warming node do not overload the node.
 
 use super::evidence::{Run, TrackedAttempt};
 use super::verdict::{Finding, Rule, Verdict};
@@ -24,7 +24,7 @@
     }
 }
 
-/// Finds the first window in which a node was sent more than it tolerates.
+/// Finds the first window in which a node received more units of work than it tolerates.
 fn check_start(run: &Run<'_>, node: &NodeConfig, incarnation: u64, start: Ms, verdict: &mut Verdict) {
     let slow_start = run.evidence.emulator.slow_start;
     let window = slow_start.overload_window;
--- a/crates/scenario/src/audit/statistics.rs
+++ b/crates/scenario/src/audit/statistics.rs
@@ -1,4 +1,5 @@
-//! Figures of a run: what each host did, the priority weight earned, and what stale maps cost.
+//! Calculates statistics of a run: the work of each host, the earned priority weight, and the effects of stale
+//! maps.
 
 use super::evidence::Run;
 use super::verdict::{HostStatistics, Verdict};
@@ -6,10 +7,10 @@
 use magpiewick_node_protocol::FinalCode;
 use std::collections::HashSet;
 
-/// Reads of more blocks than this count as long.
+/// Number of blocks above which a read counts as long.
 const LONG_READ_BLOCKS: u32 = 16;
 
-/// Counts attempts that reached a node which did not serve the data, and how their requests ended.
+/// Counts attempts received by a node that did not serve the extent, and the final answers to their requests.
 pub(super) fn count_stale_attempts(run: &Run<'_>, verdict: &mut Verdict) {
     let stale = run.evidence.node_events.iter().filter_map(|(_, event)| match *event {
         NodeEvent::Answered { host, request_id, shard_moved: true, .. } => Some((host, request_id)),
@@ -32,23 +33,23 @@
     verdict.extents_switched = switches.count() as u64;
 }
 
-/// What one host's clients saw.
+/// Statistics of the clients of one host.
 #[derive(Clone, Default)]
-struct ClientSide {
+struct ClientMeasurements {
     total_weight: f64,
     earned_weight: f64,
     writes: u64,
     long_read_times: Vec<f64>,
 }
 
-/// Writes that one host sent to nodes, and the nodes' requests that carried them.
+/// Numbers of writes that one host sent to nodes, and of node requests that carried the writes.
 #[derive(Clone, Copy, Default)]
-struct NodeSide {
+struct NodeMeasurements {
     writes: u64,
     requests: u64,
 }
 
-/// Fills in what each host did, and the priority weight of all.
+/// Fills in the statistics of each host, and the total and earned priority weight.
 pub(super) fn measure_hosts(run: &Run<'_>, verdict: &mut Verdict) {
     let clients = measure_clients(run);
     let nodes = measure_nodes(run);
@@ -73,9 +74,9 @@
         .collect();
 }
 
-fn measure_clients(run: &Run<'_>) -> Vec<ClientSide> {
+fn measure_clients(run: &Run<'_>) -> Vec<ClientMeasurements> {
     let start = &run.evidence.host.start;
-    let mut hosts = vec![ClientSide::default(); start.hosts as usize];
+    let mut hosts = vec![ClientMeasurements::default(); start.hosts as usize];
     for tracked in &run.requests {
         let request = &tracked.request;
         let class = &start.classes[usize::from(request.class)];
@@ -93,22 +94,22 @@
     hosts
 }
 
-fn measure_nodes(run: &Run<'_>) -> Vec<NodeSide> {
-    let mut hosts = vec![NodeSide::default(); run.evidence.host.start.hosts as usize];
-    let mut known_batches: HashSet<u64> = HashSet::new();
-    let mut known_writes: HashSet<(usize, u64)> = HashSet::new();
+fn measure_nodes(run: &Run<'_>) -> Vec<NodeMeasurements> {
+    let mut hosts = vec![NodeMeasurements::default(); run.evidence.host.start.hosts as usize];
+    let mut counted_batches: HashSet<u64> = HashSet::new();
+    let mut counted_writes: HashSet<(usize, u64)> = HashSet::new();
     for (_, event) in run.evidence.node_events {
         let NodeEvent::AttemptReceived { host, write: true, batch, request_id, .. } = *event else {
             continue;
         };
         let Some(&host) = run.host_numbers.get(&host) else { continue };
-        hosts[host].writes += u64::from(known_writes.insert((host, request_id)));
-        hosts[host].requests += u64::from(known_batches.insert(batch));
+        hosts[host].writes += u64::from(counted_writes.insert((host, request_id)));
+        hosts[host].requests += u64::from(counted_batches.insert(batch));
     }
     hosts
 }
 
-/// A quantile of sorted times; 0 where there are none.
-fn quantile(sorted: &[f64], part: f64) -> f64 {
-    sorted.get((sorted.len() as f64 * part) as usize).copied().unwrap_or(0.0)
+/// Returns a quantile of sorted times; 0 for an empty slice.
+fn quantile(sorted: &[f64], fraction: f64) -> f64 {
+    sorted.get((sorted.len() as f64 * fraction) as usize).copied().unwrap_or(0.0)
 }
--- a/crates/scenario/src/audit/tests.rs
+++ b/crates/scenario/src/audit/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule against events made by hand: a run that keeps it, and one that breaks it.
+//! Checks each rule with synthetic events: one run that complies with the rule, and one that violates the rule.
 
 use super::*;
 use crate::client_event::{ClientEvent, ClientRequest};
@@ -74,7 +74,7 @@
 const WRITE: u16 = 1;
 const ORDER: u16 = 2;
 
-/// The events of a run.
+/// Events of a run.
 #[derive(Default)]
 struct Events {
     client: Vec<(Ms, ClientEvent)>,
@@ -109,7 +109,7 @@
         self
     }
 
-    /// An attempt of a request, of its own batch.
+    /// Adds an attempt that forms a batch of one request.
     fn attempt(mut self, at: Ms, node: u32, idempotency_key: u64, attempt: u16) -> Events {
         let batch = self.node.len() as u64;
         self.node.push((
@@ -184,13 +184,13 @@
         })
     }
 
-    /// The rules that the run breaks, and when.
-    fn broken(self) -> Vec<(Rule, Ms)> {
+    /// Returns the violated rules and the times of the violations.
+    fn violations(self) -> Vec<(Rule, Ms)> {
         self.audit().findings.iter().map(|finding| (finding.rule, finding.at)).collect()
     }
 }
 
-/// A request that succeeds at its first attempt.
+/// Returns the events of a request that succeeds at its first attempt.
 fn success(class: u16) -> Events {
     let events = Events::default().sent(0.0, 1, class).attempt(10.0, 0, 1, 0).effect(20.0, 0, 1, class);
     let events = events.outcome(20.0, 0, 1, 0, true).answered(30.0, 1, FinalCode::Succeeded);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_request_that_succeeds_breaks_nothing_and_earns_its_weight() {
+fn a_successful_request_violates_no_rule_and_earns_its_weight() {
     let verdict = success(READ).audit();
     assert!(verdict.findings.is_empty(), "{:?}", verdict.findings);
     assert_eq!((verdict.total_weight, verdict.earned_weight), (3.0, 3.0));
@@ -210,99 +210,103 @@
 }
 
 #[test]
-fn a_missing_late_or_second_answer_and_an_attempt_after_the_end_are_found() {
-    assert_eq!(Events::default().sent(0.0, 1, READ).broken(), [(Rule::FinalAnswer, 1060.0)]);
+fn missing_late_and_duplicate_answers_and_attempts_after_the_end_are_findings() {
+    assert_eq!(Events::default().sent(0.0, 1, READ).violations(), [(Rule::FinalAnswer, 1060.0)]);
     let late = Events::default().sent(0.0, 1, READ).answered(1061.0, 1, FinalCode::Rejected);
-    assert_eq!(late.broken(), [(Rule::FinalAnswer, 1061.0)]);
+    assert_eq!(late.violations(), [(Rule::FinalAnswer, 1061.0)]);
     let second = success(READ).answered(40.0, 1, FinalCode::Rejected);
-    assert_eq!(second.broken(), [(Rule::FinalAnswer, 40.0)]);
-    assert_eq!(success(READ).attempt(90.0, 0, 1, 1).broken(), []);
-    assert_eq!(success(READ).attempt(91.0, 0, 1, 1).broken(), [(Rule::FinalAnswer, 91.0)]);
-    assert_eq!(Events::default().attempt(5.0, 0, 9, 0).broken(), [(Rule::FinalAnswer, 5.0)]);
+    assert_eq!(second.violations(), [(Rule::FinalAnswer, 40.0)]);
+    assert_eq!(success(READ).attempt(90.0, 0, 1, 1).violations(), []);
+    assert_eq!(success(READ).attempt(91.0, 0, 1, 1).violations(), [(Rule::FinalAnswer, 91.0)]);
+    assert_eq!(Events::default().attempt(5.0, 0, 9, 0).violations(), [(Rule::FinalAnswer, 5.0)]);
 }
 
 #[test]
-fn a_second_effect_or_an_unsafe_repeat_or_rejection_is_found() {
+fn second_effects_and_unsafe_retries_and_rejections_are_findings() {
     let order = || Events::default().sent(0.0, 1, ORDER).attempt(10.0, 0, 1, 0);
     let repeated = order().attempt(20.0, 0, 1, 1).answered(30.0, 1, FinalCode::Failed);
-    assert_eq!(repeated.broken(), [(Rule::AtMostOnce, 20.0)]);
+    assert_eq!(repeated.violations(), [(Rule::AtMostOnce, 20.0)]);
     let not_executed = order().outcome(15.0, 0, 1, 0, false).attempt(20.0, 0, 1, 1);
-    assert_eq!(not_executed.answered(30.0, 1, FinalCode::Failed).broken(), []);
-    assert_eq!(order().answered(30.0, 1, FinalCode::Rejected).broken(), [(Rule::AtMostOnce, 30.0)]);
-    assert_eq!(success(ORDER).effect(25.0, 0, 1, ORDER).broken(), [(Rule::AtMostOnce, 25.0)]);
+    assert_eq!(not_executed.answered(30.0, 1, FinalCode::Failed).violations(), []);
+    assert_eq!(order().answered(30.0, 1, FinalCode::Rejected).violations(), [(Rule::AtMostOnce, 30.0)]);
+    assert_eq!(success(ORDER).effect(25.0, 0, 1, ORDER).violations(), [(Rule::AtMostOnce, 25.0)]);
     let write = || Events::default().sent(0.0, 1, WRITE).attempt(10.0, 0, 1, 0);
-    assert_eq!(write().attempt(20.0, 0, 1, 1).answered(30.0, 1, FinalCode::Failed).broken(), []);
+    assert_eq!(write().attempt(20.0, 0, 1, 1).answered(30.0, 1, FinalCode::Failed).violations(), []);
     let other_zone = write().attempt(20.0, 1, 1, 1).answered(30.0, 1, FinalCode::Failed);
-    assert_eq!(other_zone.broken(), [(Rule::AtMostOnce, 20.0)]);
+    assert_eq!(other_zone.violations(), [(Rule::AtMostOnce, 20.0)]);
 }
 
 #[test]
-fn an_attempt_long_after_a_drain_notice_is_found() {
+fn an_attempt_after_the_drain_grace_period_is_a_finding() {
     let notified = |at: Ms| {
         let (host, node, incarnation) = (HOST, 0, 4);
         let started = NodeEvent::Started { node, incarnation, warming_up: false };
         let notice = NodeEvent::DrainNotified { host, node, incarnation };
         let events = Events::default().event(0.0, started).event(10.0, notice).sent(0.0, 1, READ);
-        events.attempt(at, 0, 1, 0).answered(500.0, 1, FinalCode::Failed).broken()
+        events.attempt(at, 0, 1, 0).answered(500.0, 1, FinalCode::Failed).violations()
     };
     assert_eq!(notified(320.0), []);
     assert_eq!(notified(321.0), [(Rule::Draining, 321.0)]);
 }
 
 #[test]
-fn a_key_s_next_request_waits_for_the_end_of_the_earlier_one_and_for_the_quiet_period() {
+fn the_next_request_for_a_key_waits_for_the_earlier_request_and_the_quiet_period() {
     let second = |at: Ms| {
         let first = Events::default().sent(0.0, 1, WRITE).sent(1.0, 2, WRITE).attempt(10.0, 0, 1, 0);
         let first = first.answered(100.0, 1, FinalCode::Failed);
-        first.attempt(at, 0, 2, 0).answered(400.0, 2, FinalCode::Failed).broken()
+        first.attempt(at, 0, 2, 0).answered(400.0, 2, FinalCode::Failed).violations()
     };
-    // Unanswered, the first attempt may run until its client's answer, and 100 ms of quiet follow.
+    // The unanswered first attempt may run until the client's answer; a quiet period of 100 ms follows.
     assert_eq!(second(140.0), []);
     assert_eq!(second(139.0), [(Rule::Ordering, 139.0)]);
     assert_eq!(second(39.0), [(Rule::Ordering, 39.0); 2]);
 }
 
 #[test]
-fn retries_beyond_the_budget_are_found() {
+fn retries_beyond_the_budget_are_findings() {
     let retried = |attempts: u16| {
         let events = Events::default().sent(0.0, 1, READ);
         let events = (0..attempts)
             .fold(events, |events, attempt| events.attempt(10.0 + 100.0 * f64::from(attempt), 0, 1, attempt));
-        events.answered(900.0, 1, FinalCode::Failed).broken()
+        events.answered(900.0, 1, FinalCode::Failed).violations()
     };
-    // A budget of 1.1 retries; those within the clock tolerance of a retry are not counted with it.
+    // The budget is 1.1 retries; retries within the clock tolerance of a retry are not counted against the same
+    // window.
     assert_eq!(retried(3), []);
     assert_eq!(retried(4), [(Rule::RetryBudget, 310.0)]);
 }
 
 #[test]
-fn requests_beyond_a_volume_s_rate_limit_are_found() {
-    // A bucket of 20 may be overdrawn by the 4 units of the largest request.
+fn requests_beyond_the_rate_limit_of_a_volume_are_findings() {
+    // The bucket of 20 units may be overdrawn by the 4 units of the largest request.
     let flooded = |count: u64| {
         let events = (1..=count).fold(Events::default(), |events, n| {
             events.sent(0.0, n, READ).attempt(10.0, 0, n, 0).answered(30.0, n, FinalCode::Failed)
         });
-        events.broken()
+        events.violations()
     };
     assert_eq!(flooded(24), []);
     assert_eq!(flooded(25), [(Rule::RateLimits, 10.0)]);
 }
 
 #[test]
-fn lost_data_and_a_success_that_never_ran_are_found() {
-    assert_eq!(success(WRITE).broken(), []);
-    assert_eq!(success(WRITE).stored(8).broken(), [(Rule::DataIntegrity, 20.0)]);
+fn lost_data_and_success_without_execution_are_findings() {
+    assert_eq!(success(WRITE).violations(), []);
+    assert_eq!(success(WRITE).stored(8).violations(), [(Rule::DataIntegrity, 20.0)]);
     let unexecuted = Events::default().sent(0.0, 1, READ).attempt(10.0, 0, 1, 0);
-    assert_eq!(unexecuted.answered(30.0, 1, FinalCode::Succeeded).broken(), [(Rule::DataIntegrity, 30.0)]);
+    assert_eq!(
+        unexecuted.answered(30.0, 1, FinalCode::Succeeded).violations(),
+        [(Rule::DataIntegrity, 30.0)]
+    );
 }
 
 #[test]
-fn an_attempt_under_an_outdated_version_of_an_extent_is_found() {
+fn an_attempt_under_an_outdated_extent_version_is_a_finding() {
     let sent_at = |at: Ms| {
         let (host, volume, start, end, version) = (HOST, 1, 0, 10, 2);
         let update = NodeEvent::MapUpdateSent { host, volume, start, end, version };
         let events = Events::default().event(10.0, update).sent(0.0, 1, READ).attempt(at, 0, 1, 0);
-        events.answered(500.0, 1, FinalCode::Failed).broken()
+        events.answered(500.0, 1, FinalCode::Failed).violations()
     };
     assert_eq!(sent_at(70.0), []);
     assert_eq!(sent_at(71.0), [(Rule::DataIntegrity, 71.0)]);
--- a/crates/scenario/src/audit/verdict.rs
+++ b/crates/scenario/src/audit/verdict.rs
@@ -1,4 +1,4 @@
-//! What an audit found.
+//! Results of an audit.
 
 use super::evidence::TrackedAttempt;
 use super::retry_storm::RetryStormReport;
@@ -9,23 +9,23 @@
 /// A rule that the audit checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A request gets exactly one final answer, in time, and no attempt is sent after it.
+    /// A request gets exactly one final answer, in time, and no attempt is sent after the final answer.
     FinalAnswer,
-    /// No effect takes place twice.
+    /// A request takes effect at most once.
     AtMostOnce,
-    /// Nothing new goes to a node that drains.
+    /// No new attempt is sent to a draining node.
     Draining,
-    /// A node that warms up is not overloaded.
+    /// A warming node is not overloaded.
     SlowStart,
-    /// Requests of one key run in the order taken.
+    /// Requests for one key run in the order received.
     Ordering,
-    /// The retries of a host stay within its retry budget.
+    /// Retries of a host stay within its retry budget.
     RetryBudget,
-    /// The requests of a volume stay within its rate limit.
+    /// Requests for a volume stay within its rate limit.
     RateLimits,
-    /// Beyond the seven: an acknowledged write is where its data lies.
+    /// In addition to the seven rules: an acknowledged write is stored at the owner of its data.
     DataIntegrity,
-    /// Beyond the seven: what a scenario expects of retry storms, where it states something.
+    /// In addition to the seven rules: the scenario's expectations of retry storms hold, if it states any.
     RetryStorm,
 }
 
@@ -43,7 +43,7 @@
         Rule::RetryStorm,
     ];
 
-    /// The rule's name on the command line and in reports.
+    /// Returns the name of the rule on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Rule::FinalAnswer => "lost",
@@ -65,97 +65,97 @@
     }
 }
 
-/// One breach of a rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Finding {
-    /// The rule that was broken.
+    /// Rule that was violated.
     pub rule: Rule,
-    /// Milliseconds since the run began.
+    /// Time of the violation, in milliseconds since the run began.
     pub at: Ms,
-    /// The incarnation of the host that broke it, where it was one host.
+    /// Incarnation of the host that violated the rule, if a single host did.
     pub host: Option<u64>,
-    /// The node concerned.
+    /// Number of the node concerned.
     pub node: Option<u32>,
-    /// The client's mark of the request.
+    /// Idempotency key of the request.
     #[serde(rename = "command")]
     pub request_id: Option<u64>,
-    /// What happened, in words.
+    /// Description of the violation.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// The result of an audit.
+/// Result of an audit.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// How many cases were checked, by the name of the rule.
+    /// Number of checked cases, by the name of the rule.
     pub checked: BTreeMap<&'static str, u64>,
-    /// All breaches, by time.
+    /// All violations, by time.
     pub findings: Vec<Finding>,
-    /// The priority weight of all requests.
+    /// Priority weight of all requests.
     #[serde(rename = "due")]
     pub total_weight: f64,
-    /// The priority weight of the requests that succeeded within their latency objective.
+    /// Priority weight of the requests that succeeded within their latency objective.
     #[serde(rename = "reached")]
     pub earned_weight: f64,
-    /// Attempts that nodes received.
+    /// Number of attempts that nodes received.
     #[serde(rename = "hand_offs")]
     pub attempts: u64,
-    /// Attempts after the first one of a request.
+    /// Number of attempts after the first attempt of a request.
     #[serde(rename = "further")]
     pub retries: u64,
-    /// Attempts that reached a node which did not serve the data.
+    /// Number of attempts received by a node that did not serve the extent.
     #[serde(rename = "stale")]
     pub stale_attempts: u64,
-    /// Requests with stale attempts that succeeded.
+    /// Number of requests with stale attempts that succeeded.
     #[serde(rename = "stale_settled")]
     pub stale_succeeded: u64,
-    /// Requests with stale attempts that were rejected.
+    /// Number of requests with stale attempts that were rejected.
     #[serde(rename = "stale_bounced")]
     pub stale_rejected: u64,
-    /// Requests with stale attempts that failed.
+    /// Number of requests with stale attempts that failed.
     #[serde(rename = "stale_scrapped")]
     pub stale_failed: u64,
-    /// Changes of extents' owners or versions.
+    /// Number of changes of owners or versions of extents.
     #[serde(rename = "switched")]
     pub extents_switched: u64,
-    /// What each host did, by number.
+    /// Statistics of each host, by number.
     pub by_host: Vec<HostStatistics>,
-    /// What retry storms came to, where the scenario states an expectation.
+    /// Results of retry storms, if the scenario states an expectation.
     #[serde(rename = "storms", skip_serializing_if = "Option::is_none")]
     pub retry_storms: Option<RetryStormReport>,
 }
 
-/// What one host did.
+/// Statistics of one host.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct HostStatistics {
-    /// The host's number.
+    /// Number of the host.
     pub host: usize,
-    /// Writes that clients sent to it, without retries.
+    /// Number of writes that clients sent to the host, without retries.
     pub writes: u64,
-    /// Writes that it sent to nodes.
+    /// Number of writes that the host sent to nodes.
     #[serde(rename = "sent")]
     pub writes_sent: u64,
-    /// The nodes' requests in which it sent them.
+    /// Number of node requests that carried the writes.
     #[serde(rename = "node_commands")]
     pub node_requests: u64,
-    /// The part of the total priority weight that it earned within the latency objective.
+    /// Fraction of the total priority weight that the host earned within the latency objective.
     #[serde(rename = "payoff")]
     pub earned_share: f64,
-    /// Successful reads of many blocks.
+    /// Number of successful reads of many blocks.
     pub long_reads: u64,
-    /// Their median time to the last byte.
+    /// Median time to the last byte of long reads.
     pub long_p50_ms: f64,
-    /// Their 99th percentile time to the last byte.
+    /// 99th percentile time to the last byte of long reads.
     pub long_p99_ms: f64,
 }
 
 impl Verdict {
-    /// Counts checked cases of a rule.
+    /// Adds to the number of checked cases of a rule.
     pub(super) fn add_checked(&mut self, rule: Rule, count: usize) {
         *self.checked.entry(rule.name()).or_default() += count as u64;
     }
 
-    /// Adds a breach by an attempt.
+    /// Adds a violation by an attempt.
     pub(super) fn add_attempt(
         &mut self,
         rule: Rule,
@@ -173,7 +173,7 @@
         });
     }
 
-    /// Adds a breach that concerns a request, by its mark.
+    /// Adds a violation that concerns a request, identified by its idempotency key.
     pub(super) fn add_request(
         &mut self,
         rule: Rule,
--- a/crates/scenario/src/benchmark.rs
+++ b/crates/scenario/src/benchmark.rs
@@ -1,5 +1,5 @@
-//! Measures what a host costs: requests a second, latency, processor time and memory, against a bare relay and
-//! against clients directly at a node, in one run with the same emulated services and clients.
+//! Measures the overhead of a host: requests per second, latency, processor time and memory, compared with a bare
+//! relay and with clients connected directly to a node, in one run with the same emulated services and clients.
 
 use crate::config::{read_config, Config, ScenarioConfig};
 use crate::error::ScenarioError;
@@ -16,71 +16,72 @@
 use std::path::Path;
 use std::process::Command;
 
-/// How long each figure is measured.
+/// Duration of each measurement.
 const MEASURING_TIME: Ms = 2000.0;
-/// How often each figure is measured, for its spread.
+/// Number of measurements of each figure, from which median, minimum and maximum are taken.
 const REPEATS: u64 = 3;
-/// Requests in flight at the highest load.
+/// Number of requests in flight at the highest load.
 const FLOOD_IN_FLIGHT: usize = 256;
-/// Blocks of a large read.
+/// Number of blocks of a large read.
 const READ_BLOCKS: u64 = 64;
-/// How many times as long a slow node takes.
+/// Factor by which the work of a slow node takes longer.
 const SLOWDOWN: f64 = 4.0;
 const BYTES_PER_MB: f64 = (1 << 20) as f64;
 
-/// The figures of one way from clients to nodes, at one number of nodes: medians, and the least and most of the
-/// repeats.
+/// Figures of one path from clients to nodes, for one number of nodes: median, minimum and maximum of the
+/// repetitions.
 #[derive(Serialize)]
 pub struct BenchmarkResult {
-    /// The way: through a host, through the relay, or straight to a node.
+    /// Path of the requests: through a host, through the relay, or directly to a node.
     pub way: &'static str,
-    /// How many nodes there were.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Requests a second at the highest load.
+    /// Requests per second at the highest load.
     #[serde(rename = "most_a_second")]
     pub max_a_second: [f64; 3],
-    /// Requests a second at which the figures below were taken.
+    /// Requests per second at which the following figures are measured.
     #[serde(rename = "at")]
     pub rate: f64,
-    /// The median latency.
+    /// Median latency.
     pub p50_ms: [f64; 3],
-    /// The 99th percentile latency.
+    /// 99th percentile of the latency.
     pub p99_ms: [f64; 3],
-    /// The 99.9th percentile latency.
+    /// 99.9th percentile of the latency.
     pub p999_ms: [f64; 3],
-    /// Processor time a request of the process between clients and nodes; 0 where there is none.
+    /// Processor time per request of the process between clients and nodes; 0 without a process between them.
     pub cpu_us: [f64; 3],
-    /// Its resident memory: before any load, after the highest load, and after the figures above.
+    /// Resident memory of the process between clients and nodes: before any load, after the highest load, and
+    /// after the preceding figures.
     pub memory_mb: [f64; 3],
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     #[serde(rename = "bounced")]
     pub rejected: u64,
 }
 
-/// How long reads of many blocks take to their last byte.
+/// Time to the last byte of reads of many blocks.
 #[derive(Serialize)]
 pub struct ReadBenchmarkResult {
-    /// How many nodes there were.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Whether reads are split, in a volume of many extents; else the volume is one extent on one node.
+    /// Set if reads are split in a volume of many extents; otherwise the volume is one extent on one node.
     #[serde(rename = "cut")]
     pub split: bool,
-    /// Whether one node, the one that holds the whole volume where it is one extent, is slowed down.
+    /// Set if one node is slowed down; in a volume of one extent, the node that stores the volume.
     pub slow: bool,
-    /// The median time.
+    /// Median time.
     pub p50_ms: [f64; 3],
-    /// The 99th percentile time.
+    /// 99th percentile of the time.
     pub p99_ms: [f64; 3],
 }
 
-/// The median, least and most of some figures.
+/// Returns the median, minimum and maximum of some figures.
 pub fn median_min_max(mut figures: Vec<f64>) -> [f64; 3] {
     figures.sort_by(f64::total_cmp);
     [figures[figures.len() / 2], figures[0], figures[figures.len() - 1]]
 }
 
-/// Measures at these numbers of nodes, latencies at `rate` or half of what the host can do at the most. Straight
-/// to a node only where there is one, as a client does not route.
+/// Measures each path at each number of nodes. Latencies are measured at `rate`, by default half of the host's
+/// highest rate. The direct path is measured only with a single node, because clients do not route requests.
 pub fn bench(
     program: &Path,
     node_counts: &[usize],
@@ -89,32 +90,34 @@
     let mut all = Vec::new();
     for &nodes in node_counts {
         let text = settings_text(nodes);
-        all.extend(with_file(&text, |file, settings| measure_ways(program, file, settings, rate))?);
+        all.extend(with_settings_file(&text, |file, settings| measure_paths(program, file, settings, rate))?);
     }
     Ok(all)
 }
 
-/// Measures large reads at these numbers of nodes: one client that always has one in flight.
+/// Measures large reads at each number of nodes, with one client that always has one read in flight.
 pub fn bench_reads(program: &Path, node_counts: &[usize]) -> Result<Vec<ReadBenchmarkResult>, ScenarioError> {
     let mut all = Vec::new();
     for &nodes in node_counts {
         for split in [false, true] {
             let text = read_settings_text(nodes, split);
-            all.extend(with_file(&text, |file, settings| measure_reads(program, file, settings, split))?);
+            all.extend(with_settings_file(&text, |file, settings| {
+                measure_reads(program, file, settings, split)
+            })?);
         }
     }
     Ok(all)
 }
 
-/// The settings of a measurement.
+/// Settings of a measurement.
 struct Settings {
     host: HostConfig,
     scenario: ScenarioConfig,
     emulator: EmulatorConfig,
 }
 
-/// Reads a text as a settings file, and keeps it in a file while it is used.
-fn with_file<T>(
+/// Parses a settings text, and keeps the text in a temporary file during the measurement.
+fn with_settings_file<T>(
     text: &str,
     measure: impl FnOnce(&Path, Settings) -> Result<T, ScenarioError>,
 ) -> Result<T, ScenarioError> {
@@ -122,8 +125,8 @@
         let Config { host, emulator, scenario } = read_config(root, 1)?;
         Some(Settings { host, scenario: scenario?, emulator: emulator? })
     });
-    let settings = settings.map_err(|faults| ScenarioError::FaultySettings(faults.to_string()))?;
-    let missing_block = || ScenarioError::FaultySettings("a block is missing".to_string());
+    let settings = settings.map_err(|faults| ScenarioError::InvalidSettings(faults.to_string()))?;
+    let missing_block = || ScenarioError::InvalidSettings("a block is missing".to_string());
     let settings = settings.ok_or_else(missing_block)?;
     let file = std::env::temp_dir().join(format!("magpiewick-bench-{}.hcl", std::process::id()));
     let file_error = |source| ScenarioError::SettingsFile { path: file.clone(), source };
@@ -150,7 +153,7 @@
 
 fn read_settings_text(nodes: usize, split: bool) -> String {
     let shards: Vec<String> = (0..nodes).map(|n| n.to_string()).collect();
-    // Extents of four blocks, so that a read touches as many nodes as there are.
+    // Extents of four blocks, so that a read involves all nodes.
     let (extents, piece) = if split { (256, READ_BLOCKS) } else { (1, 1 << 20) };
     let text = format!(
         "host {{\n  most_units = {READ_BLOCKS}\n}}\nlog {{\n  level = \"error\"\n}}\nlist {{\n  map = true\n}}\n\
@@ -216,15 +219,15 @@
     Ok(all)
 }
 
-/// A way from clients to nodes.
-struct Way {
+/// A path from clients to nodes.
+struct RequestPath {
     name: &'static str,
     address: SocketAddr,
-    /// The process between them.
+    /// Process between clients and nodes.
     process: Option<HostProcess>,
 }
 
-impl Way {
+impl RequestPath {
     fn cpu_seconds(&self) -> Result<f64, ScenarioError> {
         self.process.as_ref().map_or(Ok(0.0), |process| process.usage().map(|usage| usage.0))
     }
@@ -259,36 +262,40 @@
 
 #[derive(Clone, Copy)]
 enum Load {
-    /// As much as the way can do.
+    /// The highest rate that the path supports.
     Flood,
-    /// Requests a second.
+    /// A number of requests per second.
     Rate(f64),
 }
 
-/// A report at a rate, and the processor time of a request.
+/// Report of a load at a fixed rate, and the processor time per request.
 struct RateSample {
     report: LoadReport,
     cpu_us: f64,
 }
 
-fn start_ways(program: &Path, file: &Path, emulator: &EmulatorHandle) -> Result<Vec<Way>, ScenarioError> {
+fn start_paths(
+    program: &Path,
+    file: &Path,
+    emulator: &EmulatorHandle,
+) -> Result<Vec<RequestPath>, ScenarioError> {
     let nodes = emulator.query(|emulator| emulator.node_addresses()).unwrap_or_default();
     let nodes: Vec<SocketAddr> = nodes.into_iter().map(|node| node.1).collect();
     let mut relay = Command::new(program);
     relay.arg("relay").args(nodes.iter().map(SocketAddr::to_string));
     let host = HostProcess::start(&host_program(program, file, emulator.list_address), 0)?;
     let relay = HostProcess::run(relay)?;
-    let mut ways = vec![
-        Way { name: "host", address: host.address, process: Some(host) },
-        Way { name: "relay", address: relay.address, process: Some(relay) },
+    let mut paths = vec![
+        RequestPath { name: "host", address: host.address, process: Some(host) },
+        RequestPath { name: "relay", address: relay.address, process: Some(relay) },
     ];
     if let [node] = nodes[..] {
-        ways.push(Way { name: "straight", address: node, process: None });
+        paths.push(RequestPath { name: "straight", address: node, process: None });
     }
-    Ok(ways)
+    Ok(paths)
 }
 
-fn measure_ways(
+fn measure_paths(
     program: &Path,
     file: &Path,
     settings: Settings,
@@ -297,34 +304,34 @@
     let Settings { host, scenario, emulator } = settings;
     let nodes = emulator.nodes.len();
     let emulator = start_emulator(emulator)?;
-    let ways = start_ways(program, file, &emulator)?;
-    let memory = || ways.iter().map(Way::memory_mb).collect::<Result<Vec<f64>, ScenarioError>>();
+    let paths = start_paths(program, file, &emulator)?;
+    let memory = || paths.iter().map(RequestPath::memory_mb).collect::<Result<Vec<f64>, ScenarioError>>();
     let memory_idle = memory()?;
-    // The ways take turns, so that a change of the machine's speed affects all alike.
-    let mut max_rates: Vec<Vec<f64>> = ways.iter().map(|_| Vec::new()).collect();
+    // The paths are measured in alternation, so that a change of the machine's speed affects all paths equally.
+    let mut max_rates: Vec<Vec<f64>> = paths.iter().map(|_| Vec::new()).collect();
     for seed in 0..REPEATS {
-        for (way, rates) in ways.iter().zip(&mut max_rates) {
-            rates.push(way.offer(&host, &scenario, Load::Flood, seed)?.succeeded_a_second);
+        for (path, rates) in paths.iter().zip(&mut max_rates) {
+            rates.push(path.offer(&host, &scenario, Load::Flood, seed)?.succeeded_a_second);
         }
     }
     let memory_flooded = memory()?;
     let max_rates: Vec<[f64; 3]> = max_rates.into_iter().map(median_min_max).collect();
     let rate = rate.unwrap_or(max_rates[0][0] / 2.0);
-    let mut samples: Vec<Vec<RateSample>> = ways.iter().map(|_| Vec::new()).collect();
+    let mut samples: Vec<Vec<RateSample>> = paths.iter().map(|_| Vec::new()).collect();
     for seed in 0..REPEATS {
-        for (way, samples) in ways.iter().zip(&mut samples) {
-            let before = way.cpu_seconds()?;
-            let report = way.offer(&host, &scenario, Load::Rate(rate), seed)?;
-            let cpu_us = (way.cpu_seconds()? - before) * 1e6 / report.sent.max(1) as f64;
+        for (path, samples) in paths.iter().zip(&mut samples) {
+            let before = path.cpu_seconds()?;
+            let report = path.offer(&host, &scenario, Load::Rate(rate), seed)?;
+            let cpu_us = (path.cpu_seconds()? - before) * 1e6 / report.sent.max(1) as f64;
             samples.push(RateSample { report, cpu_us });
         }
     }
     let memory_after = memory()?;
-    let measured = ways.iter().zip(max_rates).zip(samples).enumerate();
-    let measured = measured.map(|(i, ((way, max_a_second), samples))| {
+    let measured = paths.iter().zip(max_rates).zip(samples).enumerate();
+    let measured = measured.map(|(i, ((path, max_a_second), samples))| {
         let figure = |of: fn(&RateSample) -> f64| median_min_max(samples.iter().map(of).collect());
         BenchmarkResult {
-            way: way.name,
+            way: path.name,
             nodes,
             max_a_second,
             rate,
--- a/crates/scenario/src/client_event.rs
+++ b/crates/scenario/src/client_event.rs
@@ -1,72 +1,72 @@
-//! What clients send and see, as the audit gets it.
+//! Events of clients: requests sent and answers received, as input of the audit.
 
 use crate::Ms;
 use magpiewick_node_protocol::FinalCode;
 
-/// A request as its client sent it. A retry has the mark of the first request and a number of its own.
+/// A request as sent by its client. A retry has the idempotency key of the first request and a number of its own.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
-    /// Counts what clients sent over the run.
+    /// Sequence number over all requests of a run.
     pub number: u64,
-    /// Identifies the request over its retries; what it writes begins with it.
+    /// Identifies the request across its retries. Payloads that the request writes begin with the key.
     pub idempotency_key: u64,
-    /// The incarnation of the host that took it.
+    /// Incarnation of the host that received the request.
     pub host: u64,
-    /// The number of that host.
+    /// Number of the host that received the request.
     pub host_number: usize,
-    /// The number of its request class.
+    /// Number of the request class.
     pub class: u16,
-    /// The volume.
+    /// Number of the volume.
     pub volume: u64,
-    /// The key, or the first block.
+    /// Key, or first block.
     pub key: u64,
-    /// Blocks from the key on; 0 where the key is a piece of data by itself.
+    /// Number of blocks that start at the key; 0 if the key addresses a single value.
     pub blocks: u32,
-    /// Whether it writes.
+    /// Set for a write.
     pub write: bool,
-    /// The connection it was sent on; what is sent on one is taken in that order.
+    /// Index of the connection. The host receives requests in the order sent on a connection.
     pub connection: usize,
     /// Units of work.
     pub units: f64,
-    /// How long its client waits.
+    /// Client timeout of the request.
     pub timeout: Ms,
-    /// When it was due to be sent for the first time.
+    /// Time at which the request was first due to be sent.
     pub first_due: Ms,
-    /// Whether it was sent before.
+    /// Set for a retry.
     pub is_retry: bool,
 }
 
-/// What a client did or saw.
+/// An action or observation of a client.
 #[derive(Clone, Copy, Debug)]
 pub enum ClientEvent {
-    /// It sent a request.
+    /// The client sent a request.
     Sent(ClientRequest),
-    /// It got a final answer.
+    /// The client received a final answer.
     Answered {
-        /// The number of the request.
+        /// Number of the request.
         number: u64,
-        /// The answer.
+        /// Code of the final answer.
         code: FinalCode,
-        /// When to retry, where the answer said so.
+        /// Retry-after time of the answer; 0 if the answer has none.
         retry_after: Ms,
     },
-    /// A successful read found this mark in a block, 0 for nothing.
+    /// A successful read returned one block.
     BlockRead {
-        /// The number of the request.
+        /// Number of the request.
         number: u64,
-        /// The block.
+        /// Number of the block.
         block: u64,
-        /// The mark of the request that wrote it.
+        /// Idempotency key of the request that wrote the block; 0 for an empty block.
         idempotency_key: u64,
     },
-    /// It stopped waiting.
+    /// The client timed out.
     TimedOut {
-        /// The number of the request.
+        /// Number of the request.
         number: u64,
     },
-    /// Its connection ended, and with it the wait.
+    /// The connection of the client ended before an answer.
     ConnectionLost {
-        /// The number of the request.
+        /// Number of the request.
         number: u64,
     },
 }
--- a/crates/scenario/src/client_loop.rs
+++ b/crates/scenario/src/client_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop of the clients.
+//! Event loop of the clients.
 
 use crate::client_defects::ClientDefects;
 use crate::client_event::{ClientEvent, ClientRequest};
@@ -16,30 +16,30 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::Receiver;
 
-/// Keys that are sent over one connection, so that most ranges that overlap are.
+/// Number of consecutive keys that use the same connection, so that most overlapping ranges share a connection.
 const KEYS_PER_STRIPE: u64 = 16;
-/// How long ordered requests are delayed by the defect that breaks their order.
+/// Delay of ordered requests under the defect that violates their order.
 const REORDERING_DELAY: Ms = 250.0;
-/// A client does not retry with less time than this left.
+/// Shortest remaining time in which a client still retries.
 const MIN_RETRY_TIMEOUT: Ms = 50.0;
-/// The longest wait of the event loop, within which commands are noticed.
+/// Longest wait of the event loop, and therefore longest delay of a command.
 const MAX_POLL_WAIT: Ms = 50.0;
 
 /// Commands to running clients.
 pub(crate) enum Command {
-    /// A host is reached at this address, or is down.
+    /// Changes the address of a host; `None` for a host that is down.
     SetHost(usize, Option<SocketAddr>),
     SetSurge(u64, f64),
     Stop,
 }
 
-/// A request in flight, or one that waits for its retry.
+/// A request in flight or waiting for its retry.
 struct OpenRequest {
     request: ClientRequest,
-    /// The indexes of its mix and volume in the workload.
+    /// Indexes of the traffic mix and volume in the workload.
     mix: usize,
     volume: usize,
-    /// How often it was sent.
+    /// Number of times that the request was sent.
     sends: u32,
     retry_behaviour: Option<RetryBehaviour>,
 }
@@ -50,10 +50,10 @@
     DelayedWrite(u64),
 }
 
-/// What clients know of a request class.
+/// Properties of a request class that clients depend on.
 struct ClassTraits {
     timeout: Ms,
-    /// Whether a request that may have been executed may be retried.
+    /// Set if a request that may have been executed may be retried.
     idempotent: bool,
     ordered: bool,
 }
@@ -68,7 +68,7 @@
     waiting_retries: HashMap<u64, OpenRequest>,
     timers: Timers<u64>,
     timers_by_id: HashMap<u64, Timer>,
-    /// Numbers requests and timers.
+    /// Last number assigned to a request or a timer.
     last_number: u64,
     next_due: Ms,
     max_in_flight: Option<usize>,
@@ -79,7 +79,8 @@
     statistics: ClientStatistics,
     payload: Vec<u8>,
     defects: ClientDefects,
-    /// How much longer than its timeout a client waits, so that a late thread is not taken for a late host.
+    /// Time that a client waits in addition to its timeout, so that a delay of its own thread does not count as a
+    /// late answer.
     clock_tolerance: Ms,
 }
 
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Runs until the session is over and all requests are.
+    /// Runs until the session and all its requests are over.
     pub(crate) fn run(&mut self, inbox: &Receiver<Command>) {
         let mut poll_events = PollEvents::default();
         (0..self.connections.host_count()).for_each(|host| self.connections.connect(host));
@@ -149,7 +150,7 @@
         }
     }
 
-    /// What the clients did and saw.
+    /// Returns the statistics and events of the clients.
     pub(crate) fn into_report(self) -> ClientReport {
         ClientReport {
             statistics: self.statistics,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Whether a session that keeps a number of requests in flight has them, or is over.
+    /// Returns whether a session with a fixed number of requests in flight has reached that number, or is over.
     fn is_saturated(&self) -> bool {
         self.max_in_flight.is_some_and(|max| self.in_flight.len() >= max || self.now >= self.end)
     }
@@ -236,8 +237,8 @@
         self.send(OpenRequest { request, mix: drawn.mix, volume: drawn.volume, sends: 0, retry_behaviour });
     }
 
-    /// The connection of a request. A key is always sent to a host over one connection, so that the order sent is
-    /// the order taken.
+    /// Returns the connection of a request. Requests for a key use the same connection to a host, so that the host
+    /// receives the requests in the order sent.
     fn connection_for(&self, request: &ClientRequest) -> usize {
         let connections = self.connections.of_host(request.host_number);
         connections.start + (request.key / KEYS_PER_STRIPE) as usize % connections.len()
@@ -268,7 +269,8 @@
         let request = &open.request;
         let mix = &self.workload.traffic().mixes[open.mix];
         let size = if mix.write { mix.payload * request.blocks.max(1) as usize } else { 0 };
-        // Each block that is written begins with the request's mark, by which the audit identifies it.
+        // Each written block begins with the idempotency key of the request, by which the audit identifies the
+        // request.
         for block in self.payload[..size].chunks_mut(mix.payload.max(1)) {
             let key_size = block.len().min(8);
             block[..key_size].copy_from_slice(&request.idempotency_key.to_le_bytes()[..key_size]);
@@ -352,7 +354,7 @@
         self.statistics.record_answer(code, self.now - open.request.first_due);
         match open.retry_behaviour {
             Some(behaviour) => {
-                // A failed request may have been executed.
+                // A failed request may have been executed, so only idempotent requests are retried.
                 let retriable = code == FinalCode::Rejected || self.is_idempotent(&open);
                 if code != FinalCode::Succeeded && retriable {
                     self.retry(open, &behaviour, retry_after);
@@ -367,7 +369,7 @@
         }
     }
 
-    /// Records the mark that each block of a successful read begins with.
+    /// Records the idempotency key at the beginning of each block of a successful read.
     fn record_blocks(&mut self, request: &ClientRequest, payload: &[u8]) {
         let blocks = request.blocks.max(1);
         let size = (payload.len() / blocks as usize).max(1);
@@ -387,7 +389,7 @@
         self.classes[usize::from(open.request.class)].idempotent
     }
 
-    /// Whether a client without a retry behaviour may retry a request.
+    /// Returns whether a client without a retry behaviour may retry a request.
     fn retries_once(&self, open: &OpenRequest) -> bool {
         self.workload.traffic().retries && !open.request.is_retry
     }
@@ -399,7 +401,7 @@
         }
     }
 
-    /// Retries a request after a delay, within what is left of the client's time.
+    /// Retries a request after a delay, within the remaining client timeout.
     fn schedule_retry(&mut self, mut open: OpenRequest, delay: Ms) {
         let request = &open.request;
         let timeout = self.classes[usize::from(request.class)].timeout;
@@ -413,15 +415,15 @@
         self.waiting_retries.insert(number, open);
     }
 
-    /// A connection ended: clients retry its requests at another host, where that can do no harm.
+    /// Handles the end of a connection: clients retry its idempotent requests at another host.
     fn on_connection_lost(&mut self, index: usize) {
         if !self.connections.remove(index) {
             return;
         }
-        let on_connection = self.in_flight.values().filter(|open| open.request.connection == index);
-        let mut lost: Vec<u64> = on_connection.map(|open| open.request.number).collect();
-        lost.sort_unstable();
-        for number in lost {
+        let affected = self.in_flight.values().filter(|open| open.request.connection == index);
+        let mut lost_requests: Vec<u64> = affected.map(|open| open.request.number).collect();
+        lost_requests.sort_unstable();
+        for number in lost_requests {
             let Some(mut open) = self.in_flight.remove(&number) else { continue };
             self.statistics.connection_lost += 1;
             self.record(ClientEvent::ConnectionLost { number });
--- a/crates/scenario/src/client_statistics.rs
+++ b/crates/scenario/src/client_statistics.rs
@@ -1,27 +1,27 @@
-//! Counts and latencies of the clients of a run.
+//! Request counts and latencies of the clients of a run.
 
 use crate::Ms;
 use hdrhistogram::Histogram;
 use magpiewick_node_protocol::FinalCode;
 
-/// The longest latency that is recorded, in microseconds.
+/// Longest latency that is recorded, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Counts and latencies of all clients.
+/// Request counts and latencies of all clients.
 #[derive(Clone)]
 pub struct ClientStatistics {
-    /// Requests sent, with retries.
+    /// Number of requests sent, including retries.
     pub sent: u64,
-    /// Requests that succeeded.
+    /// Number of requests that succeeded.
     pub succeeded: u64,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     pub rejected: u64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     pub failed: u64,
-    /// Requests without an answer in time.
+    /// Number of requests without an answer in time.
     pub timed_out: u64,
-    /// Requests whose connection ended.
+    /// Number of requests whose connection ended.
     pub connection_lost: u64,
     latency_us: Histogram<u64>,
 }
@@ -43,7 +43,7 @@
 }
 
 impl ClientStatistics {
-    /// Counts a final answer; `latency` is the time since the request was due first.
+    /// Counts a final answer; `latency` is the time since the request was first due.
     pub fn record_answer(&mut self, code: FinalCode, latency: Ms) {
         match code {
             FinalCode::Succeeded => {
@@ -55,12 +55,12 @@
         }
     }
 
-    /// A quantile of the latencies of successful requests, in milliseconds.
+    /// Returns a quantile of the latencies of successful requests, in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latency_us.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// The longest latency of a successful request, in milliseconds.
+    /// Returns the longest latency of a successful request, in milliseconds.
     pub fn max_latency_ms(&self) -> f64 {
         self.latency_us.max() as f64 / 1000.0
     }
--- a/crates/scenario/src/config.rs
+++ b/crates/scenario/src/config.rs
@@ -1,55 +1,55 @@
-//! The settings of a scenario or a load, as a file (HCL) gives them.
+//! Settings of a scenario or a load, read from an HCL file.
 
 use crate::Ms;
 use magpiewick_emulator::{read_config as read_emulator, read_faults, EmulatorConfig, Fault};
 use magpiewick_gateway::config::{host as read_host, HostConfig, Volume};
 use magpiewick_hcl_settings::SettingsBlock;
 
-/// The traffic of one request class.
+/// Traffic of one request class.
 #[derive(Clone, Debug)]
 pub struct Mix {
-    /// The number of the class.
+    /// Number of the request class.
     pub class: u16,
-    /// The relative share of this traffic.
+    /// Relative share of this traffic.
     pub share: f64,
-    /// Whether its requests write.
+    /// Set if the requests are writes.
     pub write: bool,
-    /// Requests have 1 to so many units of work.
+    /// Highest number of units of work of a request; the lowest is 1.
     pub max_units: u64,
-    /// Bytes of each block that is written.
+    /// Size of each written block, in bytes.
     pub payload: usize,
-    /// Blocks from the key on; 0 where a key is a piece of data by itself.
+    /// Number of blocks that start at the key; 0 if a key addresses a single value.
     pub blocks: u64,
 }
 
-/// How long a client waits before a retry without a retry-after time.
+/// Delay before a retry without a retry-after time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Backoff {
-    /// Not at all.
+    /// No delay.
     None,
-    /// The same delay each time.
+    /// The same delay before each retry.
     Fixed,
-    /// A delay that doubles with each retry, spread over half to one and a half of it.
+    /// A delay that doubles with each retry, with jitter from half to one and a half of the delay.
     Exponential,
 }
 
-/// How some of the clients retry a request that did not succeed.
+/// Retry behaviour of some of the clients after a request that did not succeed.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBehaviour {
-    /// The relative share of the clients that behave so.
+    /// Relative share of the clients with this behaviour.
     pub share: f64,
-    /// How the delay grows.
+    /// Growth of the delay.
     pub backoff: Backoff,
-    /// The first delay.
+    /// First delay.
     pub delay: Ms,
-    /// How often a request is sent at most.
+    /// Highest number of times that a request is sent.
     pub max_sends: u32,
-    /// The part of the retry-after times that are followed.
+    /// Fraction of the retry-after times that clients follow.
     pub retry_after_compliance: f64,
 }
 
 impl RetryBehaviour {
-    /// The delay of the retry after so many sends; `compliance` and `spread` are drawn from 0 to 1.
+    /// Returns the delay of the retry after a number of sends; `compliance` and `spread` are drawn from 0 to 1.
     pub fn delay_after(&self, sends: u32, retry_after: Ms, compliance: f64, spread: f64) -> Ms {
         if retry_after > 0.0 && compliance < self.retry_after_compliance {
             return retry_after;
@@ -62,68 +62,69 @@
     }
 }
 
-/// What a scenario expects of retry storms.
+/// Expectations of a scenario about retry storms.
 #[derive(Clone, Debug)]
 pub struct RetryStormExpectation {
-    /// The most units that a node that came back may be sent in 100 ms, as a multiple of its capacity in them.
+    /// Highest number of units that a restarted node may receive in 100 ms, as a multiple of its capacity during
+    /// the 100 ms.
     pub max_load: f64,
-    /// For how long the traffic is quiet at the beginning.
+    /// Duration of the quiet period at the beginning.
     pub quiet_duration: Ms,
-    /// The part of the quiet traffic's earned weight that counts as recovered.
+    /// Fraction of the earned weight of the quiet period at which the traffic counts as recovered.
     pub recovery_share: f64,
-    /// The time within which it recovers.
+    /// Longest time until the traffic has recovered.
     pub max_recovery_time: Ms,
 }
 
-/// The traffic of the clients.
+/// Traffic of the clients.
 #[derive(Clone, Debug)]
 pub struct TrafficConfig {
-    /// Requests a second over all hosts.
+    /// Requests per second over all hosts.
     pub rate: f64,
-    /// Connections to each host.
+    /// Number of connections to each host.
     pub connections_per_host: usize,
-    /// Keys in each volume.
+    /// Number of keys in each volume.
     pub keys: u64,
-    /// How many requests follow each other sequentially through a volume, on average.
+    /// Mean number of consecutive requests that read or write a volume sequentially.
     pub mean_run_length: u64,
-    /// Whether a rejected request is retried once after its retry-after time, where no behaviours are given.
+    /// Set if clients without a retry behaviour retry a rejected request once, after its retry-after time.
     pub retries: bool,
-    /// The traffic by class.
+    /// Traffic by request class.
     pub mixes: Vec<Mix>,
-    /// How clients retry; none where `retries` says it.
+    /// Retry behaviours of the clients; if empty, `retries` applies.
     pub retry_behaviours: Vec<RetryBehaviour>,
 }
 
 /// The settings of a scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioConfig {
-    /// How long clients send.
+    /// Time during which clients send requests.
     pub duration: Ms,
-    /// How long something may still be sent to a node that is known to drain.
+    /// Grace period in which a host may still send attempts to a node after receiving its drain notification.
     pub drain_grace: Ms,
-    /// By how much the times seen by two threads of one machine may differ.
+    /// Largest difference between the times observed by two threads of one machine.
     pub clock_tolerance: Ms,
-    /// Hosts that coalesce nothing, to compare with.
+    /// Numbers of hosts that do not coalesce writes, for comparison.
     pub hosts_without_coalescing: Vec<u64>,
-    /// The traffic of the clients.
+    /// Traffic of the clients.
     pub traffic: TrafficConfig,
-    /// The faults to inject.
+    /// Faults to inject.
     pub faults: Vec<Fault>,
-    /// What is expected of retry storms, where the scenario states it.
+    /// Expectations about retry storms, if the scenario states any.
     pub retry_storm: Option<RetryStormExpectation>,
 }
 
-/// All settings that a file may hold.
+/// All settings that a file may contain.
 pub struct Config {
-    /// The block `host` and those that belong to it.
+    /// Block `host` and its associated blocks.
     pub host: HostConfig,
-    /// The block `standin`.
+    /// Block `standin`.
     pub emulator: Option<EmulatorConfig>,
-    /// The blocks `drill`, `traffic`, `trouble` and `storm`.
+    /// Blocks `drill`, `traffic`, `trouble` and `storm`.
     pub scenario: Option<ScenarioConfig>,
 }
 
-/// Reads a whole file; `None` where it has no host, which is a fault of the file.
+/// Reads a whole file; `None` if the block `host` is missing, which is an error of the file.
 pub fn read_config(root: &SettingsBlock<'_>, seed: u64) -> Option<Config> {
     let host = read_host(root, seed);
     let mut emulator = read_emulator(root);
@@ -131,7 +132,7 @@
         let shards = |volume: &Volume| volume.shards.iter().map(|shard| *shard as u32).collect();
         emulator.volumes = host.volumes.iter().map(|(id, volume)| (*id, shards(volume))).collect();
     }
-    // Without a host nothing can be said of a scenario; its blocks are known all the same.
+    // Without the block `host` the blocks of a scenario are not read.
     let scenario = host.as_ref().and_then(|host| read_scenario(root, host));
     Some(Config { host: host?, emulator, scenario })
 }
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a scenario, a load or a measurement cannot run to its end.
+//! Errors that prevent a scenario, a load or a measurement from completing.
 
 use magpiewick_emulator::EmulatorError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a scenario, a load or a measurement cannot run to its end.
+/// Errors that prevent a scenario, a load or a measurement from completing.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The emulated services cannot start.
@@ -13,61 +13,61 @@
     /// A process cannot be started.
     #[error("cannot start {program}: {source}")]
     StartProcess {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// What went wrong.
+        /// Underlying error.
         source: io::Error,
     },
     /// The first line of a process is not its address.
-    #[error("{program} said {line:?} in place of its address")]
+    #[error("{program} printed {line:?} instead of its address")]
     NoAddress {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// The line.
+        /// First line of the output.
         line: String,
     },
     /// A process cannot be signalled.
     #[error("cannot signal process {pid}: {source}")]
     SignalProcess {
-        /// The process.
+        /// Process ID.
         pid: u32,
-        /// What went wrong.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The end of a process cannot be waited for.
+    /// Waiting for the end of a process fails.
     #[error("cannot wait for process {pid}: {source}")]
     WaitForProcess {
-        /// The process.
+        /// Process ID.
         pid: u32,
-        /// What went wrong.
+        /// Underlying error.
         source: io::Error,
     },
     /// The processor time and memory of a process cannot be read.
     #[error("cannot read the usage of process {pid}: {source}")]
     ReadUsage {
-        /// The process.
+        /// Process ID.
         pid: u32,
-        /// What went wrong.
+        /// Underlying error.
         source: io::Error,
     },
     /// The clients cannot start.
     #[error("cannot start the clients: {source}")]
     StartClients {
-        /// What went wrong.
+        /// Underlying error.
         source: io::Error,
     },
     /// The clients' thread panicked.
-    #[error("the clients' thread failed")]
+    #[error("the thread of the clients panicked")]
     ClientsFailed,
-    /// The settings of a measurement are faulty.
-    #[error("the settings of the measurement are faulty: {0}")]
-    FaultySettings(String),
+    /// The settings of a measurement are invalid.
+    #[error("the settings of the measurement are invalid: {0}")]
+    InvalidSettings(String),
     /// The settings file of a measurement cannot be written or removed.
     #[error("cannot write or remove {path}: {source}")]
     SettingsFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What went wrong.
+        /// Underlying error.
         source: io::Error,
     },
 }
--- a/crates/scenario/src/host_process.rs
+++ b/crates/scenario/src/host_process.rs
@@ -1,4 +1,4 @@
-//! Hosts as processes of their own.
+//! Runs hosts as separate processes.
 
 use crate::error::ScenarioError;
 use rustix::process::{kill_process, Pid, Signal};
@@ -7,35 +7,35 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// The unit of processor time under `/proc`.
+/// Ticks of processor time per second, the unit of `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// How hosts are started.
+/// Command line parameters of hosts.
 #[derive(Clone, Debug)]
 pub(crate) struct HostProgram {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Its settings file.
+    /// Path of the settings file.
     pub file: PathBuf,
-    /// The address of the endpoint list service.
+    /// Address of the endpoint list service.
     pub list_address: SocketAddr,
-    /// The seed, to which each host adds its number.
+    /// Seed, to which the number of each host is added.
     pub seed: u64,
-    /// The numbers of hosts that coalesce nothing.
+    /// Numbers of hosts that do not coalesce writes.
     pub hosts_without_coalescing: Vec<u64>,
-    /// Whether hosts know nothing of nodes that warm up and name no retry-after time.
+    /// Set if hosts ignore the warm-up of nodes and send no retry-after times.
     pub without_overload_protection: bool,
 }
 
-/// A running host; killed when it is dropped.
+/// A running host process, killed on drop.
 pub(crate) struct HostProcess {
     child: Child,
-    /// Where it listens.
+    /// Address on which the host listens.
     pub address: SocketAddr,
 }
 
 impl HostProcess {
-    /// Starts a host and waits until it reports its address.
+    /// Starts a host and waits for its address.
     pub(crate) fn start(program: &HostProgram, number: usize) -> Result<HostProcess, ScenarioError> {
         let mut command = Command::new(&program.program);
         command.arg("serve").arg(&program.file).arg("--bare");
@@ -55,7 +55,7 @@
         HostProcess::run(command)
     }
 
-    /// Starts a process whose first line of output is `ready` and its address.
+    /// Starts a process whose first output line consists of `ready` and its address.
     pub(crate) fn run(mut command: Command) -> Result<HostProcess, ScenarioError> {
         let program = PathBuf::from(command.get_program());
         let start_error = |source| ScenarioError::StartProcess { program: program.clone(), source };
@@ -68,14 +68,14 @@
         if let (Ok(_), Some(address)) = (&read, address) {
             return Ok(HostProcess { child, address });
         }
-        // It may have ended by itself; then there is nothing to kill.
+        // Killing fails if the process has already ended; the error is ignored.
         _ = child.kill();
         _ = child.wait();
         read.map_err(start_error)?;
         Err(ScenarioError::NoAddress { program, line: line.trim().to_string() })
     }
 
-    /// Seconds of processor time that it has used, and bytes of memory that it holds.
+    /// Returns the processor time used by the process in seconds, and its resident memory in bytes.
     pub(crate) fn usage(&self) -> Result<(f64, u64), ScenarioError> {
         let pid = self.child.id();
         let read = |file: &str| {
@@ -83,7 +83,7 @@
             text.map_err(|source| ScenarioError::ReadUsage { pid, source })
         };
         let (stat, status) = (read("stat")?, read("status")?);
-        // The fields behind the name, which may hold spaces; user and system time are the 12th and 13th.
+        // The fields after the process name, which may contain spaces; user and system time are the 12th and 13th.
         let fields = stat.rsplit(')').next().unwrap_or("").split_whitespace();
         let ticks: f64 = fields.skip(11).take(2).filter_map(|field| field.parse::<f64>().ok()).sum();
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -96,12 +96,12 @@
         sent.map_err(|error| ScenarioError::SignalProcess { pid: self.child.id(), source: error.into() })
     }
 
-    /// Stops the process with a signal, or continues it.
-    pub(crate) fn stall(&self, stopped: bool) -> Result<(), ScenarioError> {
+    /// Suspends or continues the process with a signal.
+    pub(crate) fn suspend(&self, stopped: bool) -> Result<(), ScenarioError> {
         self.signal(if stopped { Signal::STOP } else { Signal::CONT })
     }
 
-    /// Terminates the process and waits; its exit code, `None` where a signal ended it.
+    /// Terminates the process and waits for its end; returns its exit code, `None` if a signal ended the process.
     pub(crate) fn end(mut self) -> Result<Option<i32>, ScenarioError> {
         self.signal(Signal::TERM)?;
         let pid = self.child.id();
@@ -113,7 +113,7 @@
 
 impl Drop for HostProcess {
     fn drop(&mut self) {
-        // It may have ended by itself; then there is nothing to kill.
+        // Killing fails if the process has already ended; the error is ignored.
         _ = self.child.kill();
         _ = self.child.wait();
     }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,5 +1,6 @@
-//! Scenarios: hosts as processes of their own, emulated services, clients and faults on loopback, and an audit of
-//! the seven rules that relies on nobody's counters, only on what nodes and clients saw on their sockets.
+//! Scenarios: hosts as separate processes, emulated services, clients and faults on loopback, and an audit of the
+//! seven rules. The audit uses no counters of the hosts, only the events that nodes and clients recorded at their
+//! sockets.
 
 mod audit;
 mod benchmark;
@@ -34,5 +35,5 @@
 pub use scenario_run::{run_scenario, RunOptions, ScenarioReport, ScenarioSettings};
 pub use seeded_defect::SeededDefect;
 
-/// Milliseconds, as a span or on the clock of a run.
+/// A duration or a time on the clock of a run, in milliseconds.
 pub type Ms = f64;
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -1,4 +1,4 @@
-//! Offers traffic to a host that runs already.
+//! Offers load to a running host.
 
 use crate::client_statistics::ClientStatistics;
 use crate::config::ScenarioConfig;
@@ -9,40 +9,40 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// What a load came to. Latencies count from when a request was due.
+/// Results of a load. Latencies are counted from the time at which a request was due.
 #[derive(Clone, Serialize)]
 pub struct LoadReport {
-    /// The traffic's rate.
+    /// Offered requests per second.
     pub offered_a_second: f64,
-    /// Requests that succeeded, a second.
+    /// Requests per second that succeeded.
     #[serde(rename = "settled_a_second")]
     pub succeeded_a_second: f64,
-    /// Requests that clients sent, with retries.
+    /// Number of requests that clients sent, including retries.
     #[serde(rename = "taken")]
     pub sent: u64,
-    /// Requests that succeeded.
+    /// Number of requests that succeeded.
     #[serde(rename = "settled")]
     pub succeeded: u64,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     #[serde(rename = "bounced")]
     pub rejected: u64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     #[serde(rename = "scrapped")]
     pub failed: u64,
-    /// Requests without an answer in time.
+    /// Number of requests without an answer in time.
     pub unanswered: u64,
-    /// The median latency.
+    /// Median latency.
     pub p50_ms: f64,
-    /// The 99th percentile latency.
+    /// 99th percentile of the latency.
     pub p99_ms: f64,
-    /// The 99.9th percentile latency.
+    /// 99.9th percentile of the latency.
     pub p999_ms: f64,
-    /// The longest latency.
+    /// Longest latency.
     #[serde(rename = "most_ms")]
     pub max_ms: f64,
 }
 
-/// Offers a file's traffic to a host.
+/// Offers the traffic of a settings file to a host.
 pub fn offer_load(
     host: &HostConfig,
     scenario: &ScenarioConfig,
@@ -52,7 +52,7 @@
     offer_session(host, scenario, address, &Session::open_loop(Clock::start(), scenario.duration, seed))
 }
 
-/// Offers a session's traffic to one address.
+/// Offers the traffic of a session to one address.
 pub(crate) fn offer_session(
     host: &HostConfig,
     scenario: &ScenarioConfig,
--- a/crates/scenario/src/load_generator.rs
+++ b/crates/scenario/src/load_generator.rs
@@ -1,5 +1,5 @@
-//! Clients as an open loop: requests are sent when they are due whatever becomes of the earlier ones, and
-//! latencies count from the time at which a request was due, so that a late loop hides nothing.
+//! Clients as an open loop: requests are sent when due, independently of earlier requests. Latencies are counted
+//! from the time at which a request was due, so that they include a delay of the event loop.
 
 use crate::client_event::ClientEvent;
 use crate::client_loop::{ClientLoop, Command};
@@ -14,30 +14,30 @@
 use std::sync::mpsc::{channel, Sender};
 use std::thread::JoinHandle;
 
-/// How long hosts have to learn of the nodes before clients begin.
+/// Time in which hosts receive the endpoint list before clients begin.
 const SETTLING_TIME: Ms = 300.0;
 
-/// When and how clients send.
+/// Time, seed and options of the traffic of clients.
 #[derive(Clone, Copy)]
 pub struct Session {
-    /// The clock of the run.
+    /// Clock of the run.
     pub clock: Clock,
-    /// When clients begin.
+    /// Time at which clients begin to send.
     pub begin: Ms,
-    /// When they end.
+    /// Time at which clients stop sending.
     pub end: Ms,
-    /// The seed of what they draw.
+    /// Seed of the clients' random numbers.
     pub seed: u64,
-    /// Whether events are recorded, for an audit.
+    /// Set if events are recorded for an audit.
     pub record: bool,
-    /// A defect between clients and hosts.
+    /// Seeded defect between clients and hosts.
     pub defect: Option<SeededDefect>,
-    /// In place of the traffic's rate: so many requests are always in flight.
+    /// Number of requests that are always in flight, in place of the rate of the traffic.
     pub in_flight: Option<usize>,
 }
 
 impl Session {
-    /// Traffic at its rate for a time that begins shortly.
+    /// Returns an open-loop session that begins after the settling time and lasts for a duration.
     pub fn open_loop(clock: Clock, duration: Ms, seed: u64) -> Session {
         let begin = clock.now() + SETTLING_TIME;
         let end = begin + duration;
@@ -45,17 +45,17 @@
     }
 }
 
-/// What clients did and saw over a session.
+/// Statistics and events of the clients of a session.
 pub struct ClientReport {
-    /// Counts and latencies.
+    /// Request counts and latencies.
     pub statistics: ClientStatistics,
-    /// The longest delay of the clients' own event loop.
+    /// Longest delay of the clients' event loop.
     pub longest_delay: Ms,
-    /// All events by time, where they were recorded.
+    /// All events by time, if recorded.
     pub events: Vec<(Ms, ClientEvent)>,
 }
 
-/// The clients of a run, in a thread of their own.
+/// Clients of a run, in a separate thread.
 pub struct LoadGenerator {
     commands: Sender<Command>,
     poll: Poll,
@@ -63,7 +63,7 @@
 }
 
 impl LoadGenerator {
-    /// Starts the clients of a session; `hosts` are the addresses by number, `None` for one that is down.
+    /// Starts the clients of a session; `hosts` are the addresses by number, `None` for a host that is down.
     pub fn start(
         host: &HostConfig,
         scenario: &ScenarioConfig,
@@ -84,29 +84,29 @@
     }
 
     fn command(&self, command: Command) {
-        // Clients that have ended need no commands.
+        // Sending fails if the clients have ended; they need no more commands.
         _ = self.commands.send(command);
         self.poll.wake();
     }
 
-    /// Changes where a host is reached, `None` for one that is down.
+    /// Sets the address of a host; `None` for a host that is down.
     pub fn set_host(&self, number: usize, address: Option<SocketAddr>) {
         self.command(Command::SetHost(number, address));
     }
 
-    /// Changes the traffic of a volume to this multiple of its usual traffic.
+    /// Sets the traffic of a volume to a multiple of its usual traffic.
     pub fn set_surge(&self, volume: u64, factor: f64) {
         self.command(Command::SetSurge(volume, factor));
     }
 
-    /// Ends the traffic before its time.
+    /// Ends the traffic early.
     pub fn stop(&self) {
         self.command(Command::Stop);
     }
 
-    /// Waits for the end of the traffic and of all requests.
+    /// Waits for the end of the traffic and of all requests, and returns the report.
     pub fn finish(self) -> Result<ClientReport, ScenarioError> {
-        // What a panic said is on standard error.
+        // The message of a panic is on standard error.
         self.thread.join().map_err(|_| ScenarioError::ClientsFailed)
     }
 }
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -1,5 +1,5 @@
-//! A bare relay over the same connections and poller as the host's, without engine and scheduler: the baseline for
-//! a host's latency and processor time.
+//! A bare relay with the same connections and poller as a host, but without engine and scheduler: the baseline for
+//! the latency and processor time of a host.
 
 use magpiewick_node_protocol::{
     Attempt, FinalAnswer, FinalCode, Frames, Hello, Message, OutcomeCode, Role, LONG_AGO,
@@ -9,20 +9,20 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-/// The poller key of the listener; those of nodes follow.
+/// Poller key of the listener; the keys of nodes follow.
 const LISTENER: usize = 0;
-/// Where the poller keys of client connections begin.
+/// First poller key of client connections.
 const CLIENTS: usize = 1 << 32;
 
 struct Relay {
     poll: Poll,
     nodes: Vec<Connection>,
     clients: Slab<Connection>,
-    /// The client connection and the client's number of each request in flight.
+    /// Client connection and request number of the client, for each request in flight.
     in_flight: Slab<(usize, u64)>,
 }
 
-/// Relays requests to nodes by their keys until it is killed; prints `ready` and its address first.
+/// Prints `ready` and the address, then relays requests to nodes by key until the process is killed.
 pub fn relay(nodes: &[SocketAddr]) -> io::Result<()> {
     let poll = Poll::new()?;
     let listener = poll.register(listen(SocketAddr::from(([127, 0, 0, 1], 0)))?, LISTENER)?;
@@ -46,7 +46,7 @@
         }
         let waiting = relay.nodes.iter_mut().chain(relay.clients.iter_mut().map(|(_, c)| c));
         for connection in waiting.filter(|c| c.pending() > 0 || c.connecting()) {
-            // A connection that broke shows at its next read.
+            // A failed connection is detected at its next read.
             _ = connection.flush();
         }
     }
@@ -83,7 +83,7 @@
         }
         match key.checked_sub(CLIENTS) {
             Some(client) if ended => _ = self.clients.try_remove(client),
-            None if ended => return Err(io::Error::other("a node went")),
+            None if ended => return Err(io::Error::other("a node closed its connection")),
             _ => {}
         }
         Ok(())
--- a/crates/scenario/src/scenario_run.rs
+++ b/crates/scenario/src/scenario_run.rs
@@ -1,5 +1,5 @@
-//! Plays a scenario: the emulated services in one thread, the clients in another, hosts as processes, the script
-//! here.
+//! Runs a scenario: the emulated services in one thread, the clients in another, the hosts as processes, and the
+//! script in the calling thread.
 
 use crate::audit::{audit, Evidence, Rule, Stall, Verdict};
 use crate::client_event::ClientEvent;
@@ -15,82 +15,83 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// What a scenario came to.
+/// Results of a scenario.
 #[derive(Serialize)]
 pub struct ScenarioReport {
-    /// Whether no rule was broken and all hosts ended well.
+    /// Set if no rule was violated and all hosts exited with code 0.
     pub ok: bool,
-    /// The seed that it was played with.
+    /// Seed of the run.
     pub seed: u64,
-    /// How many hosts it had.
+    /// Number of hosts.
     pub hosts: usize,
-    /// How many nodes it had.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How long clients sent.
+    /// Time during which clients sent requests, in seconds.
     pub seconds: f64,
-    /// Requests that clients sent, with retries.
+    /// Number of requests that clients sent, including retries.
     #[serde(rename = "taken")]
     pub sent: u64,
-    /// Requests that succeeded.
+    /// Number of requests that succeeded.
     #[serde(rename = "settled")]
     pub succeeded: u64,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     #[serde(rename = "bounced")]
     pub rejected: u64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     #[serde(rename = "scrapped")]
     pub failed: u64,
-    /// Requests whose host died.
+    /// Number of requests whose connection ended because the host was killed.
     pub host_died: u64,
-    /// Requests without an answer in time.
+    /// Number of requests without an answer in time.
     pub unanswered: u64,
-    /// The part of the total priority weight that was earned within the latency objective.
+    /// Fraction of the total priority weight that was earned within the latency objective.
     #[serde(rename = "payoff")]
     pub earned_share: f64,
-    /// The median latency of successful requests.
+    /// Median latency of successful requests.
     pub p50_ms: f64,
-    /// The 99th percentile latency of successful requests.
+    /// 99th percentile of the latency of successful requests.
     pub p99_ms: f64,
-    /// The longest delay of the clients' event loop: what they saw late may be due to it.
+    /// Longest delay of the clients' event loop, which may explain late answers.
     pub client_delay_ms: f64,
-    /// The longest delay of the emulated services' event loop.
+    /// Longest delay of the event loop of the emulated services.
     pub emulator_delay_ms: f64,
-    /// The exit codes of the hosts that were terminated at the end.
+    /// Exit codes of the hosts that were terminated at the end.
     pub exit_codes: Vec<Option<i32>>,
-    /// What the audit found.
+    /// Verdict of the audit.
     #[serde(flatten)]
     pub verdict: Verdict,
-    /// The same scenario with hosts without overload protection, where it was asked for.
+    /// Report of the same scenario with hosts without overload protection, if requested.
     #[serde(rename = "undamped", skip_serializing_if = "Option::is_none")]
     pub without_overload_protection: Option<Box<ScenarioReport>>,
-    /// All that clients did and saw.
+    /// All events of the clients.
     #[serde(skip)]
     pub client_events: Vec<(Ms, ClientEvent)>,
 }
 
-/// The settings of a scenario and of what plays in it.
+/// Settings of a scenario, its hosts and its emulated services.
 #[derive(Clone, Copy)]
 pub struct ScenarioSettings<'a> {
-    /// The settings of the hosts.
+    /// Settings of the hosts.
     pub host: &'a HostConfig,
-    /// The settings of the emulated services.
+    /// Settings of the emulated services.
     pub emulator: &'a EmulatorConfig,
-    /// The settings of the scenario.
+    /// Settings of the scenario.
     pub scenario: &'a ScenarioConfig,
 }
 
-/// How a scenario is played.
+/// Options of a run of a scenario.
 #[derive(Clone, Copy)]
 pub struct RunOptions {
-    /// The seed of all that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// A defect that the audit is to find.
+    /// Seeded defect that the audit is expected to find.
     pub defect: Option<SeededDefect>,
-    /// Hosts know nothing of nodes that warm up and name no retry-after time, to compare with.
+    /// Set if hosts ignore the warm-up of nodes and send no retry-after times, for comparison.
     pub without_overload_protection: bool,
 }
 
-/// Plays the scenario of a file. `program` is the gateway's own, as hosts run in processes of their own.
+/// Runs the scenario of a file. `program` is the executable of the gateway, because hosts run as separate
+/// processes.
 pub fn run_scenario(
     program: &Path,
     file: &Path,
@@ -200,7 +201,7 @@
     Ok(handle)
 }
 
-/// The steps of the scenario's faults that begin while clients send.
+/// Returns the steps of the scenario's faults that take place while clients send requests.
 fn script_steps(settings: ScenarioSettings<'_>) -> Vec<(Ms, Step)> {
     let nodes_of_zone = |zone: u64| {
         let nodes = settings.emulator.nodes.iter();
@@ -212,7 +213,8 @@
     steps.filter(|(at, _)| *at < settings.scenario.duration).collect()
 }
 
-/// What the owners of all keys hold. Without a map there is no fence to ignore; the defect loses a key instead.
+/// Returns the payloads that the owners of all keys store. Without an extent map there is no fence to ignore, so
+/// the data defect removes a key instead.
 fn stored_data(
     handle: &EmulatorHandle,
     emulator: &EmulatorConfig,
@@ -225,14 +227,14 @@
     stored
 }
 
-/// The part of a script that concerns hosts and clients.
+/// The part of a script that affects hosts and clients.
 struct HostScript<'a> {
     program: HostProgram,
     hosts: Vec<Option<HostProcess>>,
     clients: &'a LoadGenerator,
     clock: Clock,
     stalls: Vec<Stall>,
-    /// The first step that failed.
+    /// Error of the first step that failed.
     error: Option<ScenarioError>,
 }
 
@@ -245,7 +247,7 @@
 
     fn try_step(&mut self, step: &Step) -> Result<(), ScenarioError> {
         match *step {
-            Step::HostStall(number, stopped) => self.stall(number as usize, stopped)?,
+            Step::HostStall(number, stopped) => self.suspend(number as usize, stopped)?,
             Step::HostKill(number) => {
                 if let Some(host) = self.hosts.get_mut(number as usize) {
                     self.clients.set_host(number as usize, None);
@@ -263,9 +265,9 @@
         Ok(())
     }
 
-    fn stall(&mut self, number: usize, stopped: bool) -> Result<(), ScenarioError> {
+    fn suspend(&mut self, number: usize, stopped: bool) -> Result<(), ScenarioError> {
         let Some(Some(host)) = self.hosts.get(number) else { return Ok(()) };
-        host.stall(stopped)?;
+        host.suspend(stopped)?;
         let now = self.clock.now();
         if stopped {
             self.stalls.push(Stall { host: number, from: now, to: f64::INFINITY });
--- a/crates/scenario/src/seeded_defect.rs
+++ b/crates/scenario/src/seeded_defect.rs
@@ -1,4 +1,4 @@
-//! Breaks one rule on purpose, between sockets and nodes, to show that the audit finds it.
+//! Violates one rule deliberately, between sockets and nodes, to show that the audit detects the violation.
 
 use crate::audit::Rule;
 use crate::Ms;
@@ -10,28 +10,27 @@
 /// A defect that is seeded into a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededDefect {
-    /// One that breaks this rule.
+    /// A defect that violates this rule.
     Rule(Rule),
-    /// A node's answer *shard moved* becomes a success on its way: what a host that ignores it would tell its
-    /// client.
+    /// An answer *shard moved* of a node is changed to success, as if a host ignored the redirect.
     IgnoredRedirect,
-    /// A batch of which a part was rejected is retried as a whole.
+    /// A batch is retried as a whole after one of its parts was rejected.
     WholeBatchRetried,
-    /// The blocks of a read come in another order.
+    /// The blocks of a read are returned in the wrong order.
     SwappedBlocks,
-    /// A part of a batch is answered twice to its client.
+    /// A client receives two answers to a part of a batch.
     DuplicateAnswer,
-    /// Hosts are sent half of each change of the map.
+    /// Hosts receive only half of each change of the extent map.
     HalfMapUpdates,
-    /// Clients ignore retry-after times and retry at once.
+    /// Clients ignore retry-after times and retry as often as possible.
     RetryAfterIgnored,
 }
 
 impl SeededDefect {
-    /// The names on the command line beside those of the rules.
+    /// Names on the command line, in addition to the names of the rules.
     pub const OTHER_NAMES: &str = "moved, batch, swapped, again, half, deaf";
 
-    /// The defect of a name on the command line.
+    /// Returns the defect with a name on the command line.
     pub fn from_name(name: &str) -> Option<SeededDefect> {
         if let Some(rule) = Rule::ALL.into_iter().find(|rule| rule.name() == name) {
             return Some(SeededDefect::Rule(rule));
@@ -47,7 +46,8 @@
         })
     }
 
-    /// The interceptor that seeds the defect between sockets and nodes; `None` where it is seeded elsewhere.
+    /// Returns the interceptor that seeds the defect between sockets and nodes; `None` for a defect that is seeded
+    /// elsewhere.
     pub(crate) fn interceptor(self, host: &HostConfig) -> Option<Box<dyn AttemptInterceptor>> {
         let intercepts = match self {
             SeededDefect::Rule(rule) => {
@@ -59,21 +59,22 @@
     }
 }
 
-/// How many attempts pass before a defect begins.
+/// Number of attempts that pass unchanged before a defect begins.
 const UNTOUCHED_ATTEMPTS: u64 = 200;
-/// A node that received nothing for so long was away.
-const ABSENCE: Ms = 1000.0;
-/// The part of its latency objective for which a request is delayed towards a draining node.
-const DRAIN_DELAY_PART: f64 = 0.85;
-/// A node that was met first after this time joined late.
+/// Shortest time without attempts after which a node counts as restarted.
+const RESTART_IDLE_TIME: Ms = 1000.0;
+/// Delay of an attempt towards a draining node, as a fraction of the latency objective.
+const DRAIN_DELAY_FRACTION: f64 = 0.85;
+/// Time after which a node's first attempt means that the node joined late.
 const LATE_JOIN: Ms = 1000.0;
-/// How long a node that joined late counts as warming up.
+/// Time during which a node that joined late counts as warming up.
 const WARM_UP: Ms = 1500.0;
-/// Copies of an attempt that overload a node which warms up, one that comes back, and a rate limit.
+/// Numbers of copies of an attempt that overload a warming node, overload a restarted node, and exceed a rate
+/// limit.
 const SLOW_START_COPIES: u64 = 900;
 const RETRY_STORM_COPIES: u64 = 120;
 const RATE_LIMIT_COPIES: u64 = 8;
-/// The delays of repeated attempts.
+/// Delays of repeated attempts.
 const REPEAT_DELAY: Ms = 5.0;
 const RETRY_DELAY: Ms = 1.0;
 const BATCH_RETRY_DELAY: Ms = 60.0;
@@ -82,17 +83,17 @@
     defect: SeededDefect,
     attempts: u64,
     non_idempotent_classes: Vec<u16>,
-    /// Unordered classes whose requests may be executed again.
+    /// Unordered classes whose requests are idempotent.
     idempotent_classes: Vec<u16>,
-    /// The one of them with the longest latency objective, and how long its attempts are delayed.
+    /// Idempotent class with the longest latency objective, and the delay of its attempts.
     delayed_class: u16,
     drain_delay: Ms,
     rate_limited_volumes: Vec<u64>,
-    /// When nodes received their first and their last attempt.
+    /// Times at which nodes received their first and their last attempt.
     first_attempts: HashMap<u32, Ms>,
     last_attempts: HashMap<u32, Ms>,
-    /// Whether a defect that is seeded once has been.
-    done: bool,
+    /// Set once a defect that is seeded only once has been seeded.
+    seeded: bool,
     retried_batch: Option<u64>,
 }
 
@@ -115,41 +116,41 @@
             attempts: 0,
             non_idempotent_classes: unordered(Idempotency::NonIdempotent),
             delayed_class,
-            drain_delay: DRAIN_DELAY_PART * objective(&delayed_class),
+            drain_delay: DRAIN_DELAY_FRACTION * objective(&delayed_class),
             idempotent_classes,
             rate_limited_volumes: rate_limited.map(|(id, _)| *id).collect(),
             first_attempts: HashMap::new(),
             last_attempts: HashMap::new(),
-            done: false,
+            seeded: false,
             retried_batch: None,
         }
     }
 
-    /// The attempts that follow one by the defect.
+    /// Returns the attempts that the defect adds after an attempt.
     fn extra_attempts(&mut self, attempt: &ReceivedAttempt, node: NodeHistory) -> Vec<(Ms, ReceivedAttempt)> {
         let idempotent = self.idempotent_classes.contains(&attempt.class);
         let non_idempotent = self.non_idempotent_classes.contains(&attempt.class);
         let rate_limited = self.rate_limited_volumes.contains(&attempt.volume);
         match self.defect {
-            SeededDefect::Rule(Rule::AtMostOnce) if non_idempotent && !self.done => {
-                self.done = true;
+            SeededDefect::Rule(Rule::AtMostOnce) if non_idempotent && !self.seeded => {
+                self.seeded = true;
                 vec![(REPEAT_DELAY, repeat_of(attempt))]
             }
             SeededDefect::Rule(Rule::SlowStart)
-                if idempotent && !rate_limited && node.joined_late && !self.done =>
+                if idempotent && !rate_limited && node.joined_late && !self.seeded =>
             {
-                self.done = true;
+                self.seeded = true;
                 copies_of(attempt, SLOW_START_COPIES)
             }
-            // What a host queued for a node that was away, all at once.
-            SeededDefect::Rule(Rule::RetryStorm) if node.idle > ABSENCE => {
+            // As if a host sent its whole queue at once to a node after the restart.
+            SeededDefect::Rule(Rule::RetryStorm) if node.idle > RESTART_IDLE_TIME => {
                 copies_of(attempt, RETRY_STORM_COPIES)
             }
             SeededDefect::Rule(Rule::RetryBudget) if idempotent => vec![(RETRY_DELAY, repeat_of(attempt))],
             SeededDefect::Rule(Rule::RateLimits) if idempotent && rate_limited => {
                 copies_of(attempt, RATE_LIMIT_COPIES)
             }
-            // As by a host that takes one part's rejection for the whole batch's.
+            // As if a host treated the rejection of one part as a rejection of the whole batch.
             SeededDefect::WholeBatchRetried if non_idempotent && attempt.parts > 1 => {
                 match *self.retried_batch.get_or_insert(attempt.batch) == attempt.batch {
                     true => vec![(BATCH_RETRY_DELAY, repeat_of(attempt))],
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Notes that a node receives an attempt.
-    fn note_attempt(&mut self, now: Ms, node: u32) -> NodeHistory {
+    /// Records that a node receives an attempt, and returns the history of the node.
+    fn record_attempt(&mut self, now: Ms, node: u32) -> NodeHistory {
         self.attempts += 1;
         let first = *self.first_attempts.entry(node).or_insert(now);
         let idle = self.last_attempts.insert(node, now).map_or(0.0, |last| now - last);
@@ -169,21 +170,21 @@
     }
 }
 
-/// What is known of the node that receives an attempt.
+/// History of the node that receives an attempt.
 struct NodeHistory {
-    /// Whether it joined during the run, a short time ago.
+    /// Set if the node joined during the run and is still warming up.
     joined_late: bool,
-    /// For how long it had received nothing.
+    /// Time since the previous attempt to the node.
     idle: Ms,
 }
 
 impl AttemptInterceptor for DefectInterceptor {
     fn intercept(&mut self, now: Ms, node: u32, attempt: ReceivedAttempt) -> Vec<(Ms, ReceivedAttempt)> {
-        let node = self.note_attempt(now, node);
+        let node = self.record_attempt(now, node);
         if self.attempts < UNTOUCHED_ATTEMPTS {
             return vec![(0.0, attempt)];
         }
-        // Delayed on the way, so that some reach a node that has begun to drain meanwhile.
+        // Attempts are delayed, so that some reach a node that has begun to drain in the meantime.
         if self.defect == SeededDefect::Rule(Rule::Draining) && attempt.class == self.delayed_class {
             return vec![(self.drain_delay, attempt)];
         }
@@ -192,12 +193,12 @@
     }
 }
 
-/// The next attempt of the same request.
+/// Returns the next attempt of the same request.
 fn repeat_of(attempt: &ReceivedAttempt) -> ReceivedAttempt {
     ReceivedAttempt { attempt: attempt.attempt + 1, ..attempt.clone() }
 }
 
-/// Copies that look like requests of their own.
+/// Returns copies of an attempt that have request identifiers of their own.
 fn copies_of(attempt: &ReceivedAttempt, count: u64) -> Vec<(Ms, ReceivedAttempt)> {
     let copy = |n: u64| {
         let request_id = attempt.request_id ^ (n << 48);
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -1,4 +1,4 @@
-//! Draws what clients send and when, from one seed.
+//! Draws the requests of clients and their times from one seed.
 
 use crate::config::{Backoff, RetryBehaviour, ScenarioConfig, TrafficConfig};
 use crate::seeded_defect::SeededDefect;
@@ -6,22 +6,22 @@
 use magpiewick_gateway::config::HostConfig;
 use nanorand::{Rng, WyRand};
 
-/// A volume as clients use it.
+/// A volume from the point of view of clients.
 struct ClientVolume {
     id: u64,
-    /// The hosts that clients reach it through.
+    /// Hosts through which clients access the volume.
     hosts: Vec<usize>,
-    /// The multiple of its usual traffic.
+    /// Factor by which the traffic of the volume exceeds its usual traffic.
     surge: f64,
-    /// The key and the host of the last request, by mix.
+    /// Key and host of the last request, by traffic mix.
     last_requests: Vec<(u64, usize)>,
 }
 
-/// A request as it was drawn.
+/// A randomly drawn request.
 pub(crate) struct DrawnRequest {
-    /// The index of its mix.
+    /// Index of the traffic mix.
     pub mix: usize,
-    /// The index of its volume.
+    /// Index of the volume.
     pub volume: usize,
     pub volume_id: u64,
     pub host: usize,
@@ -30,7 +30,7 @@
     pub units: f64,
 }
 
-/// The random source of a run's clients, and what it draws from.
+/// Random number generator of the clients of a run, with the traffic and volumes to draw from.
 pub(crate) struct Workload {
     rng: WyRand,
     traffic: TrafficConfig,
@@ -56,7 +56,7 @@
         });
         let mut traffic = scenario.traffic.clone();
         if defect == Some(SeededDefect::RetryAfterIgnored) {
-            traffic.retry_behaviours.iter_mut().for_each(retry_at_once);
+            traffic.retry_behaviours.iter_mut().for_each(ignore_retry_after);
         }
         Workload { rng: WyRand::new_seed(seed), traffic, volumes: volumes.collect() }
     }
@@ -65,32 +65,33 @@
         &self.traffic
     }
 
-    /// Changes the traffic of a volume to this multiple of its usual traffic.
+    /// Sets the traffic of a volume to a multiple of its usual traffic.
     pub(crate) fn set_surge(&mut self, id: u64, factor: f64) {
         let volumes = self.volumes.iter_mut().filter(|volume| volume.id == id);
         volumes.for_each(|volume| volume.surge = factor);
     }
 
-    /// The host to try after this one, for a volume's index.
+    /// Returns the host to try after a given host, for the volume with an index.
     pub(crate) fn next_host(&self, volume: usize, host: usize) -> usize {
         let hosts = &self.volumes[volume].hosts;
         let next = hosts.iter().position(|other| *other == host).map_or(0, |i| (i + 1) % hosts.len());
         hosts[next]
     }
 
-    /// A number between 0 and 1, neither of which it is.
+    /// Draws a number between 0 and 1, exclusive of both.
     fn draw(&mut self) -> f64 {
         (f64::from(self.rng.generate::<u32>()) + 0.5) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// The time until the next request is due.
+    /// Draws the time until the next request is due.
     pub(crate) fn draw_interarrival(&mut self) -> Ms {
         let surges: f64 = self.volumes.iter().map(|volume| volume.surge).sum();
         let mean_surge = surges / self.volumes.len() as f64;
         -self.draw().ln() * 1000.0 / (self.traffic.rate * mean_surge)
     }
 
-    /// Draws a request: its volume by the surges, its host among the volume's, its class by the mix.
+    /// Draws a request: the volume by the surge factors, the host from the hosts of the volume, the class by the
+    /// traffic mix.
     pub(crate) fn draw_request(&mut self) -> DrawnRequest {
         let number = self.draw();
         let volume = weighted_choice(number, self.volumes.iter().map(|volume| volume.surge)).unwrap_or(0);
@@ -107,7 +108,7 @@
         DrawnRequest { mix, volume, volume_id, host, key, blocks: blocks as u32, units }
     }
 
-    /// Replaces a drawn key and host by those that follow the last request, where a sequential run continues.
+    /// Replaces a drawn key and host with the successors of the last request if a sequential run continues.
     fn continue_run(&mut self, volume: usize, mix: usize, blocks: u64, drawn: (u64, usize)) -> (u64, usize) {
         let mean_length = self.traffic.mean_run_length as f64;
         if mean_length <= 1.0 {
@@ -117,38 +118,38 @@
         let (last_key, last_host) = self.volumes[volume].last_requests[mix];
         let next_key = last_key.saturating_add(blocks);
         let fits = next_key.saturating_add(blocks) <= self.traffic.keys;
-        let chosen = if continues && fits { (next_key, last_host) } else { drawn };
-        self.volumes[volume].last_requests[mix] = chosen;
-        chosen
+        let selected = if continues && fits { (next_key, last_host) } else { drawn };
+        self.volumes[volume].last_requests[mix] = selected;
+        selected
     }
 
-    /// Draws how the client of a request retries. Nothing is drawn where no behaviours are given, so that the
-    /// seeds of such scenarios keep their sequence.
+    /// Draws the retry behaviour of the client of a request. Without configured behaviours no number is drawn, so
+    /// that the sequence of the seed stays the same in such scenarios.
     pub(crate) fn draw_retry_behaviour(&mut self) -> Option<RetryBehaviour> {
         if self.traffic.retry_behaviours.is_empty() {
             return None;
         }
         let number = self.draw();
-        let chosen = weighted_choice(number, self.traffic.retry_behaviours.iter().map(|b| b.share));
-        chosen.map(|index| self.traffic.retry_behaviours[index])
+        let selected = weighted_choice(number, self.traffic.retry_behaviours.iter().map(|b| b.share));
+        selected.map(|index| self.traffic.retry_behaviours[index])
     }
 
-    /// Draws the delay of a retry after so many sends.
+    /// Draws the delay of a retry after a number of sends.
     pub(crate) fn draw_retry_delay(&mut self, behaviour: &RetryBehaviour, sends: u32, retry_after: Ms) -> Ms {
         let (compliance, spread) = (self.draw(), self.draw());
         behaviour.delay_after(sends, retry_after, compliance, spread)
     }
 }
 
-/// Clients that ignore retry-after times and retry as often as they can.
-fn retry_at_once(behaviour: &mut RetryBehaviour) {
+/// Changes a behaviour to ignore retry-after times and to retry as often as possible.
+fn ignore_retry_after(behaviour: &mut RetryBehaviour) {
     behaviour.backoff = Backoff::Fixed;
     behaviour.delay = 5.0;
     behaviour.retry_after_compliance = 0.0;
     behaviour.max_sends = 1000;
 }
 
-/// The index of the share that a number from 0 to 1 falls to.
+/// Returns the index of the share selected by a number from 0 to 1.
 fn weighted_choice(number: f64, mut shares: impl Iterator<Item = f64> + Clone) -> Option<usize> {
     let mut remaining = number * shares.clone().sum::<f64>();
     shares.position(|share| {
