--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,95 +1,95 @@
-//! The settings of the emulated services, as a file (HCL) gives them.
+//! Settings of the emulated services, read from an HCL file.
 
 use crate::Ms;
 use magpiewick_extents::MigrationLimits;
 use magpiewick_hcl_settings::SettingsBlock;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// How a node that has just started warms up, and what overloads it meanwhile.
+/// Warm-up of a node after its start, and the overload of a warming node.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartConfig {
-    /// The part of its capacity that it starts with.
+    /// Fraction of the capacity that is available at the start.
     pub initial_capacity: f64,
-    /// How long it takes to reach its full capacity.
+    /// Time until the node reaches its full capacity.
     pub duration: Ms,
-    /// It is overloaded when it is sent more than this multiple of its capacity over a window.
+    /// Multiple of the capacity over a window above which the node is overloaded.
     pub overload_factor: f64,
-    /// The length of that window.
+    /// Length of the window.
     pub overload_window: Ms,
-    /// Units that it tolerates in its first window in any case.
+    /// Number of units that the node always tolerates in its first window.
     pub allowance: f64,
 }
 
-/// The nodes that share a deduplication window.
+/// Set of nodes that share a deduplication window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All nodes.
     All,
-    /// The nodes of a zone.
+    /// All nodes of a zone.
     Zone,
-    /// The nodes of a shard.
+    /// All nodes of a shard.
     Shard,
 }
 
-/// The settings of a node.
+/// Settings of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The node's number.
+    /// Number of the node.
     pub number: u32,
-    /// Where it listens.
+    /// Address on which the node listens.
     pub listen: SocketAddr,
-    /// The zone that it is in.
+    /// Zone of the node.
     pub zone: u16,
-    /// The shard that it serves.
+    /// Shard served by the node.
     pub shard: u32,
-    /// Requests that it executes at once.
+    /// Number of requests that the node executes concurrently.
     pub cores: usize,
-    /// A multiple of the usual speed.
+    /// Speed of the node as a multiple of the usual speed.
     pub speed: f64,
-    /// Not started until a script starts it.
+    /// Set if the node runs only after a script has started it.
     pub spare: bool,
 }
 
-/// The settings of the emulated services.
+/// Settings of the emulated services.
 #[derive(Clone, Debug)]
 pub struct EmulatorConfig {
-    /// The seed of all that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Where the endpoint list service listens.
+    /// Address on which the endpoint list service listens.
     pub list_address: SocketAddr,
-    /// How late the endpoint list service publishes an update.
+    /// Delay with which the endpoint list service publishes an update.
     pub publication_delay: Ms,
-    /// The work of a unit at a speed of 1.
+    /// Execution time of a unit of work at a speed of 1.
     pub unit_work: Ms,
-    /// The work of a request of the node, whatever it holds.
+    /// Fixed execution time of a node request, independent of its parts.
     pub request_work: Ms,
-    /// Bytes of a block in the answer to a read of several.
+    /// Size of a block in the answer to a read of several blocks, in bytes.
     pub block_size: usize,
-    /// Requests that a node queues.
+    /// Capacity of the queue of a node, in requests.
     pub queue_capacity: usize,
-    /// How nodes warm up.
+    /// Warm-up of nodes.
     pub slow_start: SlowStartConfig,
-    /// The numbers of the classes whose repeats are dropped.
+    /// Numbers of the request classes with deduplication.
     pub deduplicated_classes: Vec<u16>,
-    /// Among which nodes repeats are dropped.
+    /// Set of nodes among which requests are deduplicated.
     pub deduplication_scope: DeduplicationScope,
-    /// For how long repeats are dropped.
+    /// Duration of the deduplication window.
     pub deduplication_window: Ms,
-    /// The part of a write's work that is deferred.
+    /// Fraction of the work of a write that is deferred.
     pub deferred_part: f64,
-    /// How often deferred work is done, during which the node executes nothing else.
+    /// Interval between executions of deferred work, during which the node executes no requests.
     pub deferred_work_interval: Ms,
-    /// The nodes.
+    /// Settings of the nodes.
     pub nodes: Vec<NodeConfig>,
-    /// Into how many extents each volume is divided; 0: there is no map.
+    /// Number of extents per volume; 0 for no extent map.
     pub extents_per_volume: u64,
-    /// How many keys a volume has room for.
+    /// Number of keys per volume.
     pub keys_per_volume: u64,
-    /// How long a step of a migration takes.
+    /// Duration of a migration step.
     pub migration_step: Ms,
-    /// The limits on concurrent migrations.
+    /// Limits on concurrent migrations.
     pub migration_limits: MigrationLimits,
-    /// The volumes and the shards that hold them at first; the host's part of the file gives them.
+    /// Volumes and the shards that initially store them, taken from the settings of the host.
     pub volumes: Vec<(u64, Vec<u32>)>,
 }
 
@@ -100,13 +100,16 @@
 ];
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Reads the block `standin` of a file, where it has one.
+/// Reads the block `standin` of a file, if present.
 pub fn read_config(root: &SettingsBlock<'_>) -> Option<EmulatorConfig> {
     let p = root.optional_block("standin")?;
     let cores = p.attribute("cores").integer_or(1..=1024, 2);
     let speed = p.attribute("speed").number_or(1.0);
     if speed <= 0.0 {
-        p.report_attribute_error("speed", "a speed of 0: nothing would ever be done");
+        p.report_attribute_error(
+            "speed",
+            "a speed of 0: no request would ever complete; expected a number above 0",
+        );
     }
     let nodes = p.labelled_blocks("node").iter().map(|n| read_node(n, cores, speed)).collect::<Vec<_>>();
     if nodes.is_empty() {
--- a/crates/emulator/src/connections.rs
+++ b/crates/emulator/src/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of hosts and clients to nodes and to the endpoint list service.
+//! Connections of hosts and clients to nodes and to the endpoint list service.
 
 use crate::received_attempt::ConnectionId;
 use magpiewick_node_protocol::Message;
@@ -7,18 +7,18 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Where the poller keys of connections begin; those of listeners are below.
+/// First poller key of connections; the keys of listeners are lower.
 pub(crate) const FIRST_CONNECTION_KEY: usize = 1 << 32;
 
 pub(crate) struct Peer {
     pub connection: Connection,
     pub id: ConnectionId,
-    /// The index of the node it is connected to; `None` for the endpoint list service.
+    /// Index of the node at the other end; `None` for the endpoint list service.
     pub node: Option<usize>,
-    /// The host's incarnation, known from its hello.
+    /// Incarnation of the host, from its greeting.
     pub host: u64,
-    /// Whether the service has sent its hello.
-    pub hello_sent: bool,
+    /// Set once the service has sent its greeting.
+    pub greeting_sent: bool,
     pub watches_endpoints: bool,
     pub watches_map: bool,
 }
@@ -46,29 +46,29 @@
             id: ConnectionId { index, serial: self.last_serial },
             node,
             host: 0,
-            hello_sent: false,
+            greeting_sent: false,
             watches_endpoints: false,
             watches_map: false,
         });
         Ok(index)
     }
 
-    /// The indexes of the connections that a condition holds for.
+    /// Returns the indexes of the connections that meet a condition.
     pub(crate) fn indexes(&self, condition: impl Fn(&Peer) -> bool) -> Vec<usize> {
         self.open.iter().filter(|(_, peer)| condition(peer)).map(|(index, _)| index).collect()
     }
 
-    /// Identifies the connection at an index, where there is one.
+    /// Returns the identifier of the connection at an index, if there is one.
     pub(crate) fn id(&self, index: usize) -> Option<ConnectionId> {
         self.open.get(index).map(|peer| peer.id)
     }
 
-    /// The peer of a connection that is still open.
+    /// Returns the peer of a connection if the connection is still open.
     pub(crate) fn get(&mut self, id: ConnectionId) -> Option<&mut Peer> {
         self.open.get_mut(id.index).filter(|peer| peer.id == id)
     }
 
-    /// The peer at an index that is known to be open.
+    /// Returns the peer at an index; panics if the connection is not open.
     pub(crate) fn at(&mut self, index: usize) -> &mut Peer {
         &mut self.open[index]
     }
--- a/crates/emulator/src/data_store.rs
+++ b/crates/emulator/src/data_store.rs
@@ -1,21 +1,21 @@
-//! The data of all shards.
+//! Storage of the data of all shards.
 
 use magpiewick_extents::ShardPair;
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
-/// What is stored under a key of a volume.
+/// Payload stored under a key of a volume.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredKey {
-    /// The volume.
+    /// Number of the volume.
     pub volume: u64,
-    /// The key.
+    /// Key within the volume.
     pub key: u64,
-    /// What was written there last.
+    /// Payload that was written last.
     pub payload: Vec<u8>,
 }
 
-/// What is stored, by shard, volume and key.
+/// Stored payloads, by shard, volume and key.
 #[derive(Default)]
 pub(crate) struct DataStore {
     volumes: HashMap<(u32, u64), BTreeMap<u64, Vec<u8>>>,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// All data: shard, volume, key, payload.
+    /// Returns all data as shard, volume, key and payload.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, u64, u64, &[u8])> + '_ {
         self.volumes.iter().flat_map(|((shard, volume), keys)| {
             keys.iter().map(move |(key, payload)| (*shard, *volume, *key, payload.as_slice()))
--- a/crates/emulator/src/emulator.rs
+++ b/crates/emulator/src/emulator.rs
@@ -1,4 +1,4 @@
-//! The emulator: its event loop, its sockets and its nodes' processes.
+//! The emulator: its event loop, its sockets and the processes of its nodes.
 
 use crate::config::EmulatorConfig;
 use crate::connections::{Connections, FIRST_CONNECTION_KEY};
@@ -20,11 +20,11 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::Receiver;
 
-/// The poller key of the endpoint list service's listener; those of the nodes' listeners follow.
+/// Poller key of the listener of the endpoint list service; the keys of the node listeners follow.
 const LIST_KEY: usize = 0;
 const FIRST_NODE_KEY: usize = 1;
 
-/// What an emulator does between two turns of its event loop.
+/// Command that the emulator executes between two iterations of its event loop.
 pub(crate) type Command = Box<dyn FnOnce(&mut Emulator) + Send>;
 
 pub(crate) enum Timer {
@@ -33,16 +33,16 @@
         node: usize,
         batch: Batch,
     },
-    /// An attempt that an interceptor delayed arrives.
+    /// The delay of an attempt that an interceptor delayed is over.
     DelayedAttempt {
         node: usize,
         attempt: Box<ReceivedAttempt>,
     },
-    /// A node does the work that writes have deferred.
+    /// A node executes its deferred work.
     DeferredWork {
         node: usize,
     },
-    /// A node has done its deferred work.
+    /// A node has completed its deferred work.
     Resume {
         node: usize,
     },
@@ -51,7 +51,7 @@
     MigrationStep(ExtentKey),
 }
 
-/// The events that the services record.
+/// Events recorded by the services.
 pub(crate) struct EventLog {
     clock: Clock,
     events: Vec<(Ms, NodeEvent)>,
@@ -73,14 +73,14 @@
     poll: Poll,
     rng: WyRand,
     pub(crate) nodes: Vec<Node>,
-    /// The listeners of the nodes whose process runs.
+    /// Listeners of the nodes whose process runs.
     node_listeners: Vec<Option<Registered<TcpListener>>>,
     list_listener: Registered<TcpListener>,
     list_address: SocketAddr,
     pub(crate) endpoint_list: EndpointList,
     pub(crate) connections: Connections,
     pub(crate) timers: TimerQueue<Timer>,
-    /// Numbers the requests of nodes.
+    /// Number of the last node request.
     pub(crate) last_batch: u64,
     pub(crate) deduplication: DeduplicationWindow,
     pub(crate) map: MapService,
@@ -135,7 +135,7 @@
                 self.nodes[node].is_listed = true;
             }
             if self.config.deferred_part > 0.0 {
-                // The nodes do not pause together.
+                // The first interval is random, so that the nodes do not pause at the same time.
                 let first = self.now + self.draw() * self.config.deferred_work_interval;
                 self.timers.set(first, Timer::DeferredWork { node });
             }
@@ -151,7 +151,7 @@
         self.list_address
     }
 
-    /// A number from 0 up to, not including, 1.
+    /// Draws a random number from 0 (inclusive) to 1 (exclusive).
     pub(crate) fn draw(&mut self) -> f64 {
         f64::from(self.rng.generate::<u32>()) / (f64::from(u32::MAX) + 1.0)
     }
@@ -192,8 +192,8 @@
 
     fn do_deferred_work(&mut self, node: usize) {
         let target = &mut self.nodes[node];
-        let done_at = self.now + std::mem::take(&mut target.deferred_work);
-        target.paused_until = target.paused_until.max(done_at);
+        let resume_at = self.now + std::mem::take(&mut target.deferred_work);
+        target.paused_until = target.paused_until.max(resume_at);
         let next = self.now + self.config.deferred_work_interval;
         self.timers.set(next, Timer::DeferredWork { node });
     }
@@ -206,12 +206,12 @@
         }
     }
 
-    /// Records no events any more; for runs without an audit.
+    /// Stops recording events, for runs without an audit.
     pub fn disable_recording(&mut self) {
         self.events.is_recording = false;
     }
 
-    /// The longest delay of the event loop so far.
+    /// Returns the longest delay of the event loop.
     pub fn longest_delay(&self) -> Ms {
         self.delay.longest()
     }
@@ -224,39 +224,39 @@
         self.is_shutting_down = true;
     }
 
-    /// Seeds defects, to show that an audit finds them.
+    /// Seeds defects, to show that an audit detects them.
     pub fn seed_defects(&mut self, defects: EmulatorDefects) {
         self.map.set_fence_ignored(defects.fence_ignored);
         self.defects = defects;
     }
 
-    /// What the owner of each key holds.
+    /// Returns the payload that the owner of each key stores.
     pub fn stored_keys(&mut self) -> Vec<StoredKey> {
         self.map.stored()
     }
 
-    /// Where the running nodes listen, by number.
+    /// Returns the numbers and addresses of the running nodes.
     pub fn node_addresses(&self) -> Vec<(u32, SocketAddr)> {
         let running = self.nodes.iter().filter(|node| node.is_up);
         running.map(|node| (node.config.number, node.address)).collect()
     }
 
-    /// The index of the node of a number.
+    /// Returns the index of the node with a number.
     pub(crate) fn node_index(&self, number: u32) -> Option<usize> {
         self.nodes.iter().position(|node| node.config.number == number)
     }
 
-    /// Changes the faults of a node, by its index in the settings.
+    /// Changes the faults of a node, identified by its index in the settings.
     pub fn change_faults(&mut self, node: usize, change: impl FnOnce(&mut NodeFaults)) {
         change(&mut self.nodes[node].faults);
-        for index in self.connections.indexes(|peer| peer.node == Some(node) && !peer.hello_sent) {
-            self.greet(index);
+        for index in self.connections.indexes(|peer| peer.node == Some(node) && !peer.greeting_sent) {
+            self.send_greeting(index);
         }
         self.begin_batches(node);
     }
 
-    /// Starts a node's process at the address that it had before; it warms up, or counts as one that has run for
-    /// long.
+    /// Starts the process of a node at its previous address; the process either warms up or counts as fully warmed
+    /// up.
     pub(crate) fn start_node(&mut self, node: usize, warming_up: bool) -> Result<(), EmulatorError> {
         let incarnation = self.rng.generate::<u64>();
         let (listener, address) = bind(&self.poll, self.nodes[node].address, FIRST_NODE_KEY + node)?;
@@ -270,7 +270,7 @@
         Ok(())
     }
 
-    /// Ends a node's process without notice.
+    /// Ends the process of a node without draining.
     pub(crate) fn stop_node(&mut self, node: usize) {
         let target = &mut self.nodes[node];
         target.is_up = false;
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Accepts connections to a node, or to the endpoint list service.
+    /// Accepts connections to a node, or to the endpoint list service if `node` is `None`.
     fn accept_connections(&mut self, node: Option<usize>) {
         loop {
             let listener = match node {
@@ -304,30 +304,30 @@
                 continue;
             }
             if let Ok(index) = self.connections.accept(&self.poll, stream, node) {
-                self.greet(index);
+                self.send_greeting(index);
             }
         }
     }
 
-    /// Sends the hello of the service; a node that hangs does so once it continues.
-    fn greet(&mut self, index: usize) {
+    /// Sends the greeting of the service; a hung node sends its greeting after the fault ends.
+    fn send_greeting(&mut self, index: usize) {
         let node = self.connections.at(index).node;
         if node.is_some_and(|node| self.nodes[node].faults.hung) {
             return;
         }
-        let hello = self.hello(node);
-        self.connections.at(index).hello_sent = true;
-        self.connections.send(index, &hello);
+        let greeting = self.greeting(node);
+        self.connections.at(index).greeting_sent = true;
+        self.connections.send(index, &greeting);
     }
 
-    fn hello(&self, node: Option<usize>) -> Message<'static> {
-        let hello = match node.map(|node| &self.nodes[node]) {
+    fn greeting(&self, node: Option<usize>) -> Message<'static> {
+        let greeting = match node.map(|node| &self.nodes[node]) {
             None => Hello::new(Role::EndpointList, 0, 0, LONG_AGO),
             Some(node) => {
                 Hello::new(Role::Node, node.config.number, node.incarnation, age_us(node, self.now))
             }
         };
-        Message::Hello(hello)
+        Message::Hello(greeting)
     }
 
     fn on_connection_readable(&mut self, index: usize) {
@@ -339,7 +339,7 @@
         while !ended {
             let Some(message) = frames.next() else { break };
             ended = !message.is_ok_and(|message| self.on_message(index, &message));
-            // The message may have had the connection closed.
+            // Handling the message may have closed the connection.
             if self.connections.get(id).is_none() {
                 return;
             }
@@ -359,11 +359,11 @@
         }
     }
 
-    /// Does what a host or a client sent; false where it may not be sent there.
+    /// Handles a message of a host or a client; returns false if the service does not accept the message.
     fn on_message(&mut self, index: usize, message: &Message<'_>) -> bool {
         let peer = self.connections.at(index);
-        if let Message::Hello(hello) = message {
-            peer.host = hello.incarnation;
+        if let Message::Hello(greeting) = message {
+            peer.host = greeting.incarnation;
             return true;
         }
         let host = peer.host;
@@ -405,7 +405,7 @@
     }
 }
 
-/// Listens on an address; returns the address with its port.
+/// Listens on an address; returns the listener and the bound address.
 fn bind(
     poll: &Poll,
     address: SocketAddr,
@@ -419,7 +419,7 @@
     bind().map_err(|source| EmulatorError::Listen { address, source })
 }
 
-/// The age of a node's process in microseconds.
+/// Returns the age of the process of a node, in microseconds.
 pub(crate) fn age_us(node: &Node, now: Ms) -> u64 {
     let started_at = node.slow_start.started_at();
     started_at.map_or(LONG_AGO, |started_at| ((now - started_at).max(0.0) * 1000.0) as u64)
--- a/crates/emulator/src/endpoint_list.rs
+++ b/crates/emulator/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list service: what it publishes of the nodes, and when.
+//! The endpoint list service: content and time of the published endpoint lists.
 
 use crate::emulator::{age_us, Emulator, Timer};
 use crate::node::Node;
@@ -7,10 +7,10 @@
 use magpiewick_node_protocol::{EndpointEntry, EndpointListUpdate, EntryState, Message};
 use std::net::IpAddr;
 
-/// The state of the endpoint list service.
+/// State of the endpoint list service.
 pub(crate) struct EndpointList {
     epoch: u64,
-    /// Nodes whose state has changed, each with the time from which on it is published.
+    /// Numbers of nodes whose state has changed, each with the time of publication.
     unpublished: Vec<(Ms, u32)>,
     is_down: bool,
 }
@@ -24,14 +24,15 @@
         self.is_down
     }
 
-    /// The whole list. A change that is not published yet is in it: an entry may be early, never wrong.
+    /// Returns the whole list, including changes that are not published yet: an entry may be early, but is always
+    /// correct.
     fn snapshot(&self, nodes: &[Node], now: Ms) -> EndpointListUpdate {
         let listed = nodes.iter().filter(|node| node.is_listed);
         let entries = listed.filter_map(|node| entry(node, now)).collect();
         EndpointListUpdate { snapshot: true, epoch: self.epoch, entries }
     }
 
-    /// The update that is due now, under the next epoch.
+    /// Returns the update that is due now, under the next epoch.
     fn next_update(&mut self, nodes: &[Node], now: Ms) -> Option<EndpointListUpdate> {
         let unpublished = std::mem::take(&mut self.unpublished);
         let (due, later): (Vec<_>, Vec<_>) = unpublished.into_iter().partition(|change| change.0 <= now);
@@ -66,7 +67,7 @@
 }
 
 impl Emulator {
-    /// Changes a node's entry: ready, draining, or not listed.
+    /// Changes the entry of a node to ready, draining or not listed.
     pub(crate) fn set_listed(&mut self, node: usize, is_listed: bool, is_draining: bool) {
         let publish_at = self.now + self.config.publication_delay;
         let node = &mut self.nodes[node];
@@ -76,7 +77,7 @@
         self.timers.set(publish_at, Timer::PublishEndpoints);
     }
 
-    /// Stops the endpoint list service, or starts it again.
+    /// Stops or restarts the endpoint list service.
     pub(crate) fn set_list_down(&mut self, is_down: bool) {
         self.endpoint_list.is_down = is_down;
         if is_down {
@@ -96,14 +97,14 @@
         }
     }
 
-    /// Sends a host the whole list, and the updates from then on.
+    /// Sends the whole list to a host, and subscribes the host to updates.
     pub(crate) fn watch_endpoints(&mut self, index: usize) {
         let peer = self.connections.at(index);
         peer.watches_endpoints = true;
         let host = peer.host;
         let snapshot = self.endpoint_list.snapshot(&self.nodes, self.now);
         self.send_list(index, &snapshot);
-        // The host learns of nodes that are not listed any more by their absence.
+        // The absence of a node in the list notifies the host that the node is no longer listed.
         for node in self.nodes.iter().filter(|node| !node.is_listed) {
             let (node, incarnation) = (node.config.number, node.incarnation);
             self.events.record(NodeEvent::DrainNotified { host, node, incarnation });
--- a/crates/emulator/src/execution.rs
+++ b/crates/emulator/src/execution.rs
@@ -1,4 +1,4 @@
-//! Requests at a node: how they are received, executed and answered.
+//! Reception, execution and answers of requests at a node.
 
 use crate::config::DeduplicationScope;
 use crate::emulator::{Emulator, Timer};
@@ -16,12 +16,12 @@
 }
 
 impl Emulator {
-    /// A host sent the parts of one request of a node.
+    /// Handles the parts of one node request sent by a host.
     pub(crate) fn on_attempts(&mut self, index: usize, node: usize, parts: &[Attempt<'_>]) {
         self.last_batch += 1;
         let mut immediate = Vec::new();
         for part in parts {
-            let attempt = self.received(index, node, part, parts.len());
+            let attempt = self.received_attempt(index, node, part, parts.len());
             let Some(interceptor) = &mut self.interceptor else {
                 immediate.push(attempt);
                 continue;
@@ -39,7 +39,7 @@
         self.enqueue(node, immediate);
     }
 
-    /// A client sent a request to a node directly.
+    /// Handles a request that a client sent directly to a node.
     pub(crate) fn on_direct_request(&mut self, index: usize, node: usize, request: &ClientRequest<'_>) {
         let attempt = Attempt {
             request_id: request.request_id,
@@ -56,11 +56,11 @@
             blocks: request.blocks,
             payload: request.payload,
         };
-        let attempt = ReceivedAttempt { direct: true, ..self.received(index, node, &attempt, 1) };
+        let attempt = ReceivedAttempt { direct: true, ..self.received_attempt(index, node, &attempt, 1) };
         self.enqueue(node, vec![attempt]);
     }
 
-    fn received(
+    fn received_attempt(
         &mut self,
         index: usize,
         node: usize,
@@ -90,7 +90,8 @@
         }
     }
 
-    /// A host cancelled an attempt: it is not executed where it has not begun.
+    /// Handles the cancellation of an attempt by a host: an attempt whose execution has not begun is removed from
+    /// the queue.
     pub(crate) fn on_cancel(&mut self, node: usize, host: u64, request_id: u64, attempt: u16) {
         let node = &mut self.nodes[node];
         let number = node.config.number;
@@ -101,8 +102,7 @@
         node.queue.retain(|batch| !batch.is_empty());
     }
 
-    /// Queues the parts of a request, but for those that are rejected. What was sent to an earlier incarnation is
-    /// lost.
+    /// Queues the parts of a request that are not rejected. Attempts sent to an earlier incarnation are lost.
     pub(crate) fn enqueue(&mut self, node: usize, parts: Vec<ReceivedAttempt>) {
         let mut batch = Vec::with_capacity(parts.len());
         for attempt in parts {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Whether a node that fails partially does so now, in one of its three ways.
+    /// Draws whether a node with the partial failure fault fails a request in one of the three ways.
     fn draw_partial_failure(&mut self, node: usize) -> bool {
         let probability = self.nodes[node].faults.partial_failure / 3.0;
         probability > 0.0 && self.draw() < probability
@@ -150,11 +150,11 @@
             if batch.is_empty() {
                 continue;
             }
-            let time = target.begin(self.now, &batch, &self.config);
-            if time <= 0.0 {
+            let execution_time = target.begin(self.now, &batch, &self.config);
+            if execution_time <= 0.0 {
                 self.finish_batch(node, batch);
             } else {
-                self.timers.set(self.now + time, Timer::BatchDone { node, batch });
+                self.timers.set(self.now + execution_time, Timer::BatchDone { node, batch });
             }
         }
     }
@@ -173,7 +173,8 @@
     fn execute(&mut self, node: usize, attempt: &ReceivedAttempt) {
         let (number, shard) = (self.nodes[node].config.number, self.nodes[node].config.shard);
         let range = key_range(attempt);
-        // What began before the extent was fenced has had no effect yet, and must have none any more.
+        // A batch that began before the extent was fenced has had no effect yet, and must not take effect after
+        // the fence.
         if self.map.check_range_owner(shard, range).is_err() {
             return self.answer(node, attempt, OutcomeCode::ShardMoved, &[]);
         }
@@ -201,7 +202,7 @@
         payload
     }
 
-    /// Whether a node of the same deduplication scope has executed the request within the window.
+    /// Returns whether a node of the same deduplication scope has executed the request within the window.
     fn is_repeat(&mut self, node: usize, attempt: &ReceivedAttempt) -> bool {
         if attempt.idempotency_key == 0 || !self.config.deduplicated_classes.contains(&attempt.class) {
             return false;
@@ -289,7 +290,7 @@
         wire::encode(message, &mut frame);
         let Some(peer) = self.connections.get(attempt.connection) else { return };
         peer.connection.queue_bytes(&frame[..frame.len() / 2]);
-        // A connection that broke already is closed all the same.
+        // The connection is closed even if writing fails.
         _ = peer.connection.flush();
         self.close_connection(attempt.connection.index);
     }
--- a/crates/emulator/src/extent_migration.rs
+++ b/crates/emulator/src/extent_migration.rs
@@ -1,4 +1,4 @@
-//! The migration of one extent: what each of its steps does to the data of the shards.
+//! Migration of one extent: execution of each step on the data of the shards.
 
 use crate::data_store::DataStore;
 use magpiewick_extents::{
@@ -8,25 +8,26 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// One extent that is being migrated.
+/// State of one extent that is being migrated.
 pub(crate) struct ExtentMigration {
     pub shards: ShardPair,
     pub record: MigrationRecord,
     pub source: MigrationSource,
     pub target: MigrationTarget,
-    /// `None` while the coordinator is dead.
+    /// `None` while the coordinator is down.
     pub coordinator: Option<Migration>,
-    /// Keys that the source wrote since the copy began.
+    /// Keys written at the source since the copy began.
     pub written_keys: BTreeSet<u64>,
 }
 
 impl ExtentMigration {
-    /// Whether it counts as one that runs: it has copied, or is beyond that.
+    /// Returns whether the migration counts as running: its copy has begun, or a later step.
     pub(crate) fn has_begun(&self) -> bool {
         self.target.copy_of.is_some() || self.record.stage != Stage::Copying
     }
 
-    /// Performs a step on the extent's range of keys; the source's incarnation where the step reports it.
+    /// Performs a step on the key range of the extent; returns the incarnation of the source if the step reports
+    /// it.
     pub(crate) fn perform(
         &mut self,
         coordinator: &Migration,
@@ -66,7 +67,7 @@
     }
 }
 
-/// Whether a step needs a process of the source shard.
+/// Returns whether a step needs a process of the source shard.
 pub(crate) fn needs_source(step: MigrationStep) -> bool {
     matches!(
         step,
@@ -79,7 +80,7 @@
     )
 }
 
-/// Whether a step needs a process of the target shard.
+/// Returns whether a step needs a process of the target shard.
 pub(crate) fn needs_target(step: MigrationStep) -> bool {
     matches!(
         step,
@@ -91,7 +92,7 @@
     )
 }
 
-/// Whether a step changes the service's record.
+/// Returns whether a step changes the record of the map service.
 pub(crate) fn needs_service(step: MigrationStep) -> bool {
     matches!(step, MigrationStep::RecordCopied | MigrationStep::Switch)
 }
--- a/crates/emulator/src/fault_script.rs
+++ b/crates/emulator/src/fault_script.rs
@@ -1,14 +1,15 @@
-//! Scripted faults: which, of what, from when to when, and the steps that they consist of.
+//! Scripted faults: their kind, targets, begin and end, and the steps of each fault.
 
 use crate::script::Step;
 use crate::Ms;
 use magpiewick_hcl_settings::SettingsBlock;
 
-/// The duration of a fault without an end, where its steps are spread over it.
+/// Duration of a fault without an end, if its steps are distributed over the duration.
 const DEFAULT_DURATION: Ms = 1000.0;
-/// An ageing node becomes slower in so many steps, each a tenth of its fault's duration, and then stops.
+/// Number of steps in which an ageing node becomes slower before it stops; each step lasts a tenth of the duration
+/// of the fault.
 const AGEING_STEPS: u32 = 8;
-/// How often a flapping endpoint list service goes down; it is down for half of each turn.
+/// Number of outages of a flapping endpoint list service; each outage lasts half of a cycle.
 const FLAPS: u32 = 4;
 
 /// A kind of fault.
@@ -39,7 +40,7 @@
     OldMapReplay,
 }
 
-/// The kinds by their names in a file.
+/// Kinds of fault by their names in a settings file.
 const KINDS: [(&str, FaultKind); 23] = [
     ("silent", FaultKind::Unresponsive),
     ("answers-lost", FaultKind::AnswersLost),
@@ -66,19 +67,19 @@
     ("map-old", FaultKind::OldMapReplay),
 ];
 
-/// One fault of a script.
+/// A fault of a script.
 #[derive(Clone, Debug)]
 pub struct Fault {
     kind: FaultKind,
-    /// Nodes, zones, hosts or volumes, by the kind.
+    /// Numbers of nodes, zones, hosts or volumes, depending on the kind.
     targets: Vec<u64>,
     from: Ms,
     to: Ms,
-    /// How severe it is, by the kind.
+    /// Severity of the fault; the meaning depends on the kind.
     magnitude: f64,
-    /// The spare nodes that replace those that drain.
+    /// Spare nodes that replace the draining nodes.
     successors: Vec<u64>,
-    /// The extent of the volume that is migrated, and its target shard.
+    /// Index of the extent to migrate within its volume, and the target shard.
     extent: usize,
     shard: u32,
 }
@@ -115,7 +116,7 @@
 }
 
 impl Fault {
-    /// Its steps with their times. `nodes_of_zone` gives the nodes of a zone.
+    /// Returns the steps of the fault with their times. `nodes_of_zone` returns the nodes of a zone.
     pub fn steps(&self, nodes_of_zone: impl Fn(u64) -> Vec<u32>) -> Vec<(Ms, Step)> {
         let mut steps = Vec::new();
         for target in &self.targets {
@@ -135,7 +136,7 @@
         steps
     }
 
-    /// The time over which its steps are spread.
+    /// Returns the duration over which the steps are distributed.
     fn duration(&self) -> Ms {
         if self.to.is_finite() {
             self.to - self.from
@@ -144,15 +145,15 @@
         }
     }
 
-    /// A step at the beginning and one at the end.
-    fn span(&self, begin: Step, end: Step) -> Vec<(Ms, Step)> {
+    /// Returns one step at the begin and one step at the end of the fault.
+    fn begin_and_end(&self, begin: Step, end: Step) -> Vec<(Ms, Step)> {
         vec![(self.from, begin), (self.to, end)]
     }
 
     fn node_or_host_steps(&self, number: u32) -> Vec<(Ms, Step)> {
-        let flag = |step: fn(u32, bool) -> Step| self.span(step(number, true), step(number, false));
+        let flag = |step: fn(u32, bool) -> Step| self.begin_and_end(step(number, true), step(number, false));
         let degree = |step: fn(u32, f64) -> Step, normal: f64| {
-            self.span(step(number, self.magnitude), step(number, normal))
+            self.begin_and_end(step(number, self.magnitude), step(number, normal))
         };
         match self.kind {
             FaultKind::Unresponsive => flag(Step::Unresponsive),
@@ -163,11 +164,13 @@
             FaultKind::AnswersLost => degree(Step::AnswerLoss, 0.0),
             FaultKind::Slow => degree(Step::Slowdown, 1.0),
             FaultKind::PartialFailure => degree(Step::PartialFailure, 0.0),
-            FaultKind::ResetMidFrame => self.span(Step::ResetMidFrame(number), Step::ResetMidFrame(number)),
-            FaultKind::HostKill => self.span(Step::HostKill(number), Step::HostStart(number)),
+            FaultKind::ResetMidFrame => {
+                self.begin_and_end(Step::ResetMidFrame(number), Step::ResetMidFrame(number))
+            }
+            FaultKind::HostKill => self.begin_and_end(Step::HostKill(number), Step::HostStart(number)),
             FaultKind::Crash => {
-                let mut steps = self.span(Step::Stop(number), Step::StartWarmingUp(number));
-                steps.extend(self.span(Step::Unlist(number), Step::List(number)));
+                let mut steps = self.begin_and_end(Step::Stop(number), Step::StartWarmingUp(number));
+                steps.extend(self.begin_and_end(Step::Unlist(number), Step::List(number)));
                 steps
             }
             FaultKind::Ageing => self.ageing_steps(number),
@@ -180,14 +183,14 @@
         }
     }
 
-    /// A node becomes slower and slower, stops, and is started again.
+    /// Returns the steps of a node that becomes gradually slower, stops, and is restarted.
     fn ageing_steps(&self, node: u32) -> Vec<(Ms, Step)> {
         let tenth = self.duration() / 10.0;
         let mut steps: Vec<(Ms, Step)> = (0..AGEING_STEPS)
-            .map(|part| {
-                let progress = f64::from(part + 1) / f64::from(AGEING_STEPS);
+            .map(|step| {
+                let progress = f64::from(step + 1) / f64::from(AGEING_STEPS);
                 let slowdown = 1.0 + (self.magnitude - 1.0) * progress;
-                (self.from + tenth * f64::from(part), Step::Slowdown(node, slowdown))
+                (self.from + tenth * f64::from(step), Step::Slowdown(node, slowdown))
             })
             .collect();
         steps.push((self.from + tenth * f64::from(AGEING_STEPS), Step::Stop(node)));
@@ -206,24 +209,29 @@
 
     fn volume_steps(&self, volume: u64) -> Vec<(Ms, Step)> {
         match self.kind {
-            FaultKind::Surge => self.span(Step::Surge(volume, self.magnitude), Step::Surge(volume, 1.0)),
+            FaultKind::Surge => {
+                self.begin_and_end(Step::Surge(volume, self.magnitude), Step::Surge(volume, 1.0))
+            }
             FaultKind::Migration => vec![(self.from, Step::Migrate(volume, self.extent, self.shard))],
             FaultKind::AbandonMigration => vec![(self.from, Step::AbandonMigration(volume, self.extent))],
             _ => Vec::new(),
         }
     }
 
-    /// The steps that concern the services, or the successors of nodes that drain.
+    /// Returns the steps for the services, or for the successors of draining nodes.
     fn service_steps(&self) -> Vec<(Ms, Step)> {
         match self.kind {
-            FaultKind::ListDown => self.span(Step::ListDown(true), Step::ListDown(false)),
+            FaultKind::ListDown => self.begin_and_end(Step::ListDown(true), Step::ListDown(false)),
             FaultKind::CoordinatorsDown => {
-                self.span(Step::CoordinatorsDown(true), Step::CoordinatorsDown(false))
+                self.begin_and_end(Step::CoordinatorsDown(true), Step::CoordinatorsDown(false))
+            }
+            FaultKind::MapServiceDown => {
+                self.begin_and_end(Step::MapServiceDown(true), Step::MapServiceDown(false))
             }
-            FaultKind::MapServiceDown => self.span(Step::MapServiceDown(true), Step::MapServiceDown(false)),
-            FaultKind::OldMapReplay => self.span(Step::SaveMap, Step::ReplaySavedMap),
+            FaultKind::OldMapReplay => self.begin_and_end(Step::SaveMap, Step::ReplaySavedMap),
             FaultKind::ListFlaps => self.flap_steps(),
-            // The successor of a drained node starts with its notice, that of a preempted one once it is gone.
+            // The successor of a drained node starts with the drain notification, the successor of a preempted
+            // node after its stop.
             FaultKind::Drain => self.successor_steps(self.from),
             FaultKind::Preempt => self.successor_steps(self.to),
             _ => Vec::new(),
@@ -231,9 +239,11 @@
     }
 
     fn flap_steps(&self) -> Vec<(Ms, Step)> {
-        let turn = self.duration() / f64::from(FLAPS);
-        let turns = (0..FLAPS).map(|n| self.from + turn * f64::from(n));
-        turns.flat_map(|at| [(at, Step::ListDown(true)), (at + turn / 2.0, Step::ListDown(false))]).collect()
+        let cycle = self.duration() / f64::from(FLAPS);
+        let cycles = (0..FLAPS).map(|n| self.from + cycle * f64::from(n));
+        cycles
+            .flat_map(|at| [(at, Step::ListDown(true)), (at + cycle / 2.0, Step::ListDown(false))])
+            .collect()
     }
 
     fn successor_steps(&self, at: Ms) -> Vec<(Ms, Step)> {
--- a/crates/emulator/src/fault_script/tests.rs
+++ b/crates/emulator/src/fault_script/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_crashed_node_leaves_the_list_and_comes_back_warming_up() {
+fn a_crashed_node_is_unlisted_and_restarts_warming_up() {
     let expected = [
         (100.0, Step::Stop(7)),
         (500.0, Step::StartWarmingUp(7)),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_successor_of_a_drained_node_starts_with_its_notice() {
+fn successors_start_at_the_drain_notification_or_after_preemption() {
     let successor = |at| [(at, Step::StartWarmingUp(9)), (at, Step::List(9))];
     assert_eq!(steps(&fault(FaultKind::Drain))[3..], successor(100.0));
     assert_eq!(steps(&fault(FaultKind::Preempt))[3..], successor(500.0));
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn a_zone_restarts_with_all_its_nodes() {
+fn a_zone_restart_affects_all_nodes_of_the_zone() {
     let stopped = steps(&fault(FaultKind::ZoneRestart)).into_iter().filter(|(at, _)| *at == 100.0);
     assert_eq!(stopped.collect::<Vec<_>>(), [(100.0, Step::Stop(7)), (100.0, Step::Stop(8))]);
 }
 
 #[test]
-fn a_fault_without_an_end_has_no_step_that_ends_it() {
+fn a_fault_without_an_end_has_no_end_step() {
     let endless = Fault { to: f64::INFINITY, ..fault(FaultKind::Unresponsive) };
     assert_eq!(steps(&endless), [(100.0, Step::Unresponsive(7, true))]);
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,23 +1,25 @@
-//! The faults of a node, and the defects that a scenario seeds into the emulated services.
+//! Faults of a node, and defects that a scenario seeds into the emulated services.
 
-/// The faults of a node at the moment.
+/// Current faults of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeFaults {
-    /// It executes requests and answers none.
+    /// Set if the node executes requests but sends no answers.
     pub unresponsive: bool,
-    /// The part of its answers that are lost.
+    /// Fraction of answers that are lost.
     pub answer_loss: f64,
-    /// Its work takes this many times as long.
+    /// Factor by which the work of the node takes longer.
     pub slowdown: f64,
-    /// It rejects all requests as if its queue were full.
+    /// Set if the node rejects all requests as if its queue were full.
     pub queue_full: bool,
-    /// It neither greets, executes nor answers; requests are recorded when they arrive.
+    /// Set if the node sends no greeting, executes no requests and sends no answers; received requests are
+    /// recorded.
     pub hung: bool,
-    /// The part of requests that fail: a third is rejected, a third answered with an error, a third loses its answer.
+    /// Fraction of requests that fail: a third is rejected, a third is answered with an error, and a third loses
+    /// the answer.
     pub partial_failure: f64,
-    /// Its next answer is cut off in the middle, and the connection closed.
+    /// Set if the next answer is truncated in the middle and the connection closed.
     pub reset_mid_frame: bool,
-    /// It reports nothing of what it served through other hosts.
+    /// Set if the node does not report the units that it served through other hosts.
     pub usage_withheld: bool,
 }
 
@@ -34,15 +36,15 @@
     };
 }
 
-/// Defects that a scenario seeds into the emulated services, to show that its audit finds them.
+/// Defects that a scenario seeds into the emulated services, to show that the audit detects them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EmulatorDefects {
-    /// The source of a migration serves on after its fence.
+    /// The source of a migration continues to serve after its fence.
     pub fence_ignored: bool,
     /// An answer that the shard moved is sent as success.
     pub moved_as_success: bool,
-    /// Reads of several blocks are answered with the first block last.
+    /// Answers to reads of several blocks contain the first block last.
     pub swapped_blocks: bool,
-    /// Hosts are sent only half of the lines of a map update.
+    /// Hosts receive only half of the entries of a map update.
     pub half_map_updates: bool,
 }
--- a/crates/emulator/src/handle.rs
+++ b/crates/emulator/src/handle.rs
@@ -1,4 +1,4 @@
-//! An emulator that runs in a thread of its own.
+//! Runs an emulator in a separate thread.
 
 use crate::config::EmulatorConfig;
 use crate::emulator::{Command, Emulator};
@@ -11,17 +11,17 @@
 use std::sync::mpsc::{channel, Sender};
 use std::thread::JoinHandle;
 
-/// A running emulator; stopped when it is dropped.
+/// A running emulator, stopped on drop.
 pub struct EmulatorHandle {
     commands: Sender<Command>,
     poll: Poll,
     thread: Option<JoinHandle<()>>,
-    /// Where the endpoint list service listens.
+    /// Address on which the endpoint list service listens.
     pub list_address: SocketAddr,
 }
 
 impl EmulatorHandle {
-    /// Starts an emulator; `clock` gives the times of its records.
+    /// Starts an emulator; `clock` provides the times of its records.
     pub fn start(
         config: EmulatorConfig,
         clock: Clock,
@@ -36,25 +36,25 @@
         Ok(EmulatorHandle { commands, poll, thread: Some(thread), list_address })
     }
 
-    /// Has the emulator do something between two turns of its event loop.
+    /// Executes a command in the emulator, between two iterations of its event loop.
     pub fn execute(&self, command: impl FnOnce(&mut Emulator) + Send + 'static) {
-        // An emulator that has ended needs no commands.
+        // Sending fails if the emulator has ended; it needs no more commands.
         _ = self.commands.send(Box::new(command));
         self.poll.wake();
     }
 
-    /// Asks the emulator something and waits for the answer; `None` once it has ended.
+    /// Executes a query in the emulator and waits for the result; `None` if the emulator has ended.
     pub fn query<T: Send + 'static>(
         &self,
         query: impl FnOnce(&mut Emulator) -> T + Send + 'static,
     ) -> Option<T> {
-        let (answer, answered) = channel();
-        // The answer has a receiver until it comes.
-        self.execute(move |emulator| _ = answer.send(query(emulator)));
-        answered.recv().ok()
+        let (sender, receiver) = channel();
+        // The receiver exists until the result is received, so sending does not fail.
+        self.execute(move |emulator| _ = sender.send(query(emulator)));
+        receiver.recv().ok()
     }
 
-    /// The events since they were last taken.
+    /// Returns the events recorded since the last call.
     pub fn take_events(&self) -> Vec<(Ms, NodeEvent)> {
         self.query(Emulator::take_events).unwrap_or_default()
     }
@@ -64,7 +64,7 @@
     fn drop(&mut self) {
         self.execute(Emulator::shut_down);
         if let Some(thread) = self.thread.take() {
-            // An emulator that panicked has said so on standard error.
+            // The message of a panic is on standard error.
             _ = thread.join();
         }
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Emulates storage nodes and the endpoint list service, as `docs/wire.md` specifies them: services on loopback
-//! that store what is written, work at a configured speed, fail on a script, and record all that they see on their
-//! sockets. They enforce no rule by themselves; what hosts do to them is what a scenario audits.
+//! Emulates storage nodes and the endpoint list service, as specified in `docs/wire.md`: services on loopback that
+//! store written data, work at a configured speed, fail according to a script, and record all events on their
+//! sockets. The services enforce no rule themselves; a scenario audits the recorded behaviour of the hosts.
 
 mod config;
 mod connections;
@@ -35,5 +35,5 @@
 pub use received_attempt::{AttemptInterceptor, ConnectionId, ReceivedAttempt};
 pub use script::{play_script, Step};
 
-/// Milliseconds on the clock that all records of a run share, or as a span.
+/// A time on the clock shared by all records of a run, or a duration, in milliseconds.
 pub type Ms = f64;
--- a/crates/emulator/src/map_publication.rs
+++ b/crates/emulator/src/map_publication.rs
@@ -1,4 +1,4 @@
-//! Publication of the extent map: its snapshot, its updates, and what operators ask of migrations.
+//! Publication of the extent map: snapshots, updates, and operators' requests to migrate extents.
 
 use crate::emulator::{Emulator, Timer};
 use crate::map_service::{ExtentKey, MigrationStatus};
@@ -6,7 +6,7 @@
 use magpiewick_extents::{Change, Changes, Extent, Stage};
 use magpiewick_node_protocol::{MapEntry, MapEntryKind, MapUpdate, Message, MigrationStage, MAX_MAP_ENTRIES};
 
-/// The map at one epoch, as it is sent.
+/// Map at one epoch, in the form sent to hosts.
 #[derive(Clone)]
 pub(crate) struct MapSnapshot {
     epoch: u64,
@@ -14,14 +14,14 @@
 }
 
 impl Emulator {
-    /// Begins to migrate an extent, by its index in the volume.
+    /// Begins to migrate an extent, identified by its index in the volume.
     pub(crate) fn migrate_extent(&mut self, volume: u64, index: usize, target: u32) {
         if let Some(extent) = self.map.extent(volume, index) {
             self.begin_migration(volume, extent, target);
         }
     }
 
-    /// Abandons the migration of an extent, by its index in the volume.
+    /// Abandons the migration of an extent, identified by its index in the volume.
     pub(crate) fn abandon_migration(&mut self, volume: u64, index: usize) {
         if let Some(extent) = self.map.extent(volume, index) {
             self.map.abandon(ExtentKey { volume, start: extent.start });
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Does what an operator asks of an extent's migration; how far it is then.
+    /// Handles an operator's request to begin or abandon the migration of an extent; returns the state of the
+    /// migration after the request.
     pub(crate) fn on_migration_request(
         &mut self,
         key: ExtentKey,
@@ -60,7 +61,7 @@
         Message::MigrationState { volume, start, from, to, stage }
     }
 
-    /// Takes one step of a migration, and publishes the change that it makes.
+    /// Performs one step of a migration, and publishes the resulting change of the map.
     pub(crate) fn step_migration(&mut self, key: ExtentKey) {
         let nodes = &self.nodes;
         let queue_length = |shard: u32| {
@@ -100,7 +101,7 @@
         for index in &watching {
             self.connections.send(*index, &Message::ExtentMap(sent.clone()));
         }
-        // The record is of the whole update: what the defect leaves out is missed by the host.
+        // The whole update is recorded, so that the audit detects entries that the defect removed.
         for entry in update.entries.iter().filter(|entry| entry.kind == MapEntryKind::Switch) {
             let MapEntry { volume, start, version, .. } = *entry;
             let end = self.map.map().find(volume, start).map_or(start, |extent| extent.end);
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Sends a host the whole map, and the updates from then on.
+    /// Sends the whole map to a host, and subscribes the host to updates.
     pub(crate) fn watch_map(&mut self, index: usize) {
         self.connections.at(index).watches_map = true;
         let snapshot = self.map_snapshot();
@@ -141,12 +142,12 @@
         }
     }
 
-    /// Saves the map as it is now.
+    /// Saves the current map.
     pub(crate) fn save_map(&mut self) {
         self.saved_map = Some(self.map_snapshot());
     }
 
-    /// Sends all hosts the map that was saved, as a service does that lost changes.
+    /// Sends the saved map to all hosts, like a service that lost changes.
     pub(crate) fn replay_saved_map(&mut self) {
         let Some(saved) = self.saved_map.take().filter(|_| !self.endpoint_list.is_down()) else { return };
         for index in self.connections.indexes(|peer| peer.watches_map) {
@@ -155,7 +156,7 @@
     }
 }
 
-/// The line of an update for a change; the service makes no others.
+/// Returns the entry of an update for a change of owner; the service makes no other changes.
 fn switch_entry(change: &Change) -> Option<MapEntry> {
     match *change {
         Change::Switch { volume, start, shard, version } => {
--- a/crates/emulator/src/map_service.rs
+++ b/crates/emulator/src/map_service.rs
@@ -1,5 +1,5 @@
-//! The map service: the extent map, the data of the shards, and the migrations of extents between them. The state
-//! machines of a migration are those of `crates/extents`; this performs their steps.
+//! The map service: the extent map, the data of the shards, and the migrations of extents between shards. The
+//! state machines of a migration are defined in `crates/extents`; this module performs their steps.
 
 use crate::config::EmulatorConfig;
 use crate::data_store::{DataStore, StoredKey};
@@ -11,52 +11,52 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// An extent's volume and first offset.
+/// Identifier of an extent: its volume and first offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ExtentKey {
     pub volume: u64,
     pub start: u64,
 }
 
-/// A shard does not serve an extent; the owner, where its nodes know it.
+/// Error: a shard does not serve an extent. Contains the owner if the nodes of the shard have that information.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct WrongShard {
     pub owner: Option<Owner>,
 }
 
-/// The owner of an extent.
+/// Owner of an extent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Owner {
     pub shard: u32,
     pub version: u32,
 }
 
-/// How far the migration of an extent is.
+/// Progress of the migration of an extent.
 pub(crate) struct MigrationStatus {
     pub shards: ShardPair,
     pub stage: Stage,
 }
 
-/// What a step of a migration came to.
+/// Result of a migration step.
 pub(crate) struct StepOutcome {
-    /// The change of the map, to be published.
+    /// Changes of the map that must be published.
     pub changes: Option<Changes>,
-    /// Whether the migration is over.
+    /// Set if the migration is over.
     pub finished: bool,
 }
 
 impl StepOutcome {
-    /// The step could not be taken yet.
+    /// The step cannot be executed yet.
     const WAITING: StepOutcome = StepOutcome { changes: None, finished: false };
 }
 
-/// The range of keys that a request reads or writes.
+/// Range of keys that a request reads or writes.
 #[derive(Clone, Copy)]
 pub(crate) struct KeyRange {
     pub volume: u64,
-    /// The key, or the first block.
+    /// Key, or first block.
     pub key: u64,
-    /// Blocks from the key on; 0 where the key is a piece of data by itself.
+    /// Number of blocks that start at the key; 0 if the key addresses a single value.
     pub blocks: u32,
 }
 
@@ -72,9 +72,9 @@
     migrations: BTreeMap<ExtentKey, ExtentMigration>,
     limits: MigrationLimits,
     coordinators_down: bool,
-    /// Whether the service records nothing.
+    /// Set while the service records no changes.
     is_down: bool,
-    /// The defect of a source that serves on after its fence.
+    /// Set by the defect that a source continues to serve after its fence.
     fence_ignored: bool,
 }
 
@@ -107,7 +107,7 @@
         self.fence_ignored = ignored;
     }
 
-    /// Whether a shard serves a key at the moment.
+    /// Checks that a shard currently serves a key.
     pub(crate) fn check_owner(&self, shard: u32, volume: u64, key: u64) -> Result<(), WrongShard> {
         let Some(extent) = self.map.find(volume, key) else { return Ok(()) };
         let owned_by = |shard: u32| {
@@ -132,13 +132,13 @@
         Err(WrongShard { owner: None })
     }
 
-    /// As [`MapService::check_owner`], for the first and the last key of a range.
+    /// Performs [`MapService::check_owner`] for the first and the last key of a range.
     pub(crate) fn check_range_owner(&self, shard: u32, range: KeyRange) -> Result<(), WrongShard> {
         self.check_owner(shard, range.volume, range.key)?;
         self.check_owner(shard, range.volume, range.keys().end - 1)
     }
 
-    /// Writes a range, whose blocks are equal parts of the payload.
+    /// Writes a range; the payload is divided equally among its blocks.
     pub(crate) fn write(&mut self, shard: u32, range: KeyRange, payload: &[u8]) {
         let block_size = payload.len().div_ceil(range.blocks.max(1) as usize).max(1);
         for (key, block) in range.keys().zip(payload.chunks(block_size)) {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Reads a key as it is, or a range in blocks of one size.
+    /// Reads the whole payload of a single key, or a range of blocks of equal size.
     pub(crate) fn read(&self, shard: u32, range: KeyRange, block_size: usize) -> Vec<u8> {
         if range.blocks == 0 {
             return self.store.read(shard, range.volume, range.key).unwrap_or_default().to_vec();
@@ -169,7 +169,8 @@
         payload
     }
 
-    /// What the owner of each key holds, without a map whichever shard holds it.
+    /// Returns the payload that the owner of each key stores; without a map, the payload of every shard that
+    /// stores the key.
     pub(crate) fn stored(&self) -> Vec<StoredKey> {
         let owned = self.store.iter().filter(|(shard, volume, key, _)| {
             self.map.find(*volume, *key).is_none_or(|extent| extent.shard == *shard)
@@ -177,12 +178,16 @@
         owned.map(|(_, volume, key, payload)| StoredKey { volume, key, payload: payload.to_vec() }).collect()
     }
 
-    /// An extent by its index in the volume.
+    /// Returns an extent by its index in the volume.
     pub(crate) fn extent(&self, volume: u64, index: usize) -> Option<Extent> {
-        self.map.extents().filter(|(of, _)| *of == volume).nth(index).map(|(_, extent)| extent)
+        self.map
+            .extents()
+            .filter(|(extent_volume, _)| *extent_volume == volume)
+            .nth(index)
+            .map(|(_, extent)| extent)
     }
 
-    /// Begins a migration; false where the extent lies there or is being migrated already.
+    /// Begins a migration; returns false if the target already owns the extent or the extent is being migrated.
     pub(crate) fn begin_migration(&mut self, volume: u64, extent: Extent, target_shard: u32) -> bool {
         let key = ExtentKey { volume, start: extent.start };
         if extent.shard == target_shard || self.migrations.contains_key(&key) {
@@ -204,13 +209,13 @@
         true
     }
 
-    /// The migration of an extent; `None` where there is none.
+    /// Returns the status of the migration of an extent, `None` if the extent is not being migrated.
     pub(crate) fn status(&self, key: ExtentKey) -> Option<MigrationStatus> {
         let migration = self.migrations.get(&key)?;
         Some(MigrationStatus { shards: migration.shards, stage: migration.record.stage })
     }
 
-    /// Abandons a migration, where it still can be.
+    /// Abandons a migration unless its stage no longer allows it.
     pub(crate) fn abandon(&mut self, key: ExtentKey) {
         let Some(migration) = self.migrations.get_mut(&key) else { return };
         if migration.record.abandon(migration.record.id).is_ok() {
@@ -218,7 +223,7 @@
         }
     }
 
-    /// A shard's process restarted: it has lost what it noted since copies began.
+    /// Handles the restart of a shard's process: its logs of writes since copies began are lost.
     pub(crate) fn on_shard_restarted(&mut self, shard: u32) {
         let sources = self.migrations.values_mut().filter(|migration| migration.shards.source == shard);
         for migration in sources {
@@ -227,8 +232,8 @@
         }
     }
 
-    /// Takes one step of a migration. `queue_length` gives the requests queued at a shard, `None` where no process
-    /// of it runs.
+    /// Performs one step of a migration. `queue_length` returns the number of requests queued at a shard, `None`
+    /// if no process of the shard runs.
     pub(crate) fn step(
         &mut self,
         key: ExtentKey,
@@ -247,7 +252,7 @@
         if !migration.has_begun() && !self.limits.may_begin(&running, migration.shards, load) {
             return StepOutcome::WAITING;
         }
-        // A coordinator that died has a successor, which resumes from the record.
+        // A coordinator that was down is replaced with a new one, which resumes from the record.
         let record = migration.record;
         let mut coordinator = migration.coordinator.unwrap_or_else(|| Migration::resume(&record));
         let step = coordinator.next_step;
@@ -274,13 +279,13 @@
         StepOutcome { changes, finished }
     }
 
-    /// The shards of the migrations that have begun.
+    /// Returns the shards of the migrations that have begun.
     fn running_migrations(&self) -> Vec<ShardPair> {
         let running = self.migrations.values().filter(|migration| migration.has_begun());
         running.map(|migration| migration.shards).collect()
     }
 
-    /// Changes the map where a migration has switched the owner, or has ended without.
+    /// Changes the map if a migration has switched the owner, or has ended without a switch.
     fn change_map(&mut self, key: ExtentKey, previous_stage: Stage, finished: bool) -> Option<Changes> {
         let ExtentKey { volume, start } = key;
         let extent = self.map.find(volume, start)?;
@@ -289,14 +294,14 @@
         let (shard, version) = if previous_stage != Stage::Switched && record.stage == Stage::Switched {
             (migration.shards.target, record.version)
         } else if finished && record.stage == Stage::Abandoned {
-            // A new version tells hosts that the extent is served again.
+            // The new version notifies hosts that the extent is served again.
             (extent.shard, extent.version + 1)
         } else {
             return None;
         };
         let change = Change::Switch { volume, start, shard, version };
         let changes = Changes { epoch: self.map.epoch() + 1, changes: vec![change] };
-        // The service makes its own changes one after the other: none can be applied twice or leave a gap.
+        // The service applies its own changes in sequence, so that no change is applied twice and no epoch is skipped.
         if let Err(error) = self.map.apply(&changes) {
             tracing::error!(%error, "map_change_rejected");
         }
@@ -304,14 +309,15 @@
     }
 }
 
-/// The map that divides each volume into extents of equal length, which its shards hold in turn.
+/// Returns a map that divides each volume into extents of equal length, assigned to its shards in round-robin
+/// order.
 fn initial_map(config: &EmulatorConfig) -> ExtentMap {
     let (extents, keys) = (config.extents_per_volume, config.keys_per_volume);
     let mut volumes = BTreeMap::new();
     for (id, shards) in config.volumes.iter().filter(|(_, shards)| extents > 0 && !shards.is_empty()) {
         let extent = |i: u64| (i * keys / extents, shards[i as usize % shards.len()], 1);
         let rows: Vec<(u64, u32, u32)> = (0..extents).map(extent).collect();
-        // More extents than keys are no map; the volume goes without one.
+        // A volume with more extents than keys gives no valid map; the volume is left out.
         if let Ok(volume) = VolumeMap::new(*id, keys, &rows) {
             volumes.insert(*id, volume);
         }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -9,26 +9,26 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// The parts of one request of a node, which it executes together.
+/// Parts of one node request, which the node executes together.
 pub(crate) type Batch = Vec<ReceivedAttempt>;
 
 pub(crate) struct Node {
     pub config: NodeConfig,
-    /// Where it listens once it has started; the same over restarts.
+    /// Address on which the node listens after its first start; the address stays the same across restarts.
     pub address: SocketAddr,
-    /// Whether its process runs.
+    /// Set while the process of the node runs.
     pub is_up: bool,
-    /// Whether the endpoint list holds it.
+    /// Set while the endpoint list contains the node.
     pub is_listed: bool,
     pub is_draining: bool,
     pub incarnation: u64,
     pub faults: NodeFaults,
     pub queue: VecDeque<Batch>,
-    /// Batches that are executed at the moment.
+    /// Number of batches in execution.
     pub running: usize,
-    /// Until when deferred work keeps it from beginning anything.
+    /// Time until which deferred work prevents the node from beginning a batch.
     pub paused_until: Ms,
-    /// Work that writes have deferred.
+    /// Execution time of the work that writes have deferred.
     pub deferred_work: Ms,
     pub slow_start: SlowStart,
     pub usage: UsageMeter,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Starts a new process, which warms up from `started_at` on, or has run for long. What was queued and
-    /// executed is lost; what was stored is its shard's.
+    /// Starts a new process, which warms up from `started_at` on, or is fully warmed up. Queued batches and
+    /// batches in execution are lost; stored data belong to the shard and remain.
     pub(crate) fn start(&mut self, incarnation: u64, started_at: Option<Ms>) {
         self.is_up = true;
         self.is_draining = false;
@@ -67,18 +67,19 @@
         self.slow_start = SlowStart::new(started_at);
     }
 
-    /// Whether it can begin a batch: it has one, a free core, and does not hang.
+    /// Returns whether the node can begin a batch: its queue is not empty, a core is free, and the node is not
+    /// hung.
     pub(crate) fn can_begin(&self) -> bool {
         let has_free_core = self.running < self.config.cores;
         self.is_up && !self.faults.hung && has_free_core && !self.queue.is_empty()
     }
 
-    /// The part of its cores that are busy.
+    /// Returns the fraction of cores that are busy.
     pub(crate) fn busy(&self) -> f32 {
         self.running as f32 / self.config.cores as f32
     }
 
-    /// How long a batch takes, begun now; a part of a write's work is deferred.
+    /// Begins a batch and returns its execution time; a fraction of the work of a write is deferred.
     pub(crate) fn begin(&mut self, now: Ms, batch: &Batch, config: &EmulatorConfig) -> Ms {
         let units: f64 = batch.iter().map(|part| part.units).sum();
         let capacity = self.slow_start.capacity(now, &config.slow_start);
@@ -91,14 +92,14 @@
         time + config.request_work * self.faults.slowdown / self.config.speed
     }
 
-    /// Counts units that it was sent; true where they overload it.
+    /// Counts received units; returns true if the units overload the node.
     pub(crate) fn is_overloaded_by(&mut self, now: Ms, units: f64, config: &EmulatorConfig) -> bool {
         let full_rate = self.config.cores as f64 * self.config.speed / config.unit_work;
         self.slow_start.is_overloaded_by(now, units, full_rate, &config.slow_start)
     }
 
-    /// Counts units that a volume was served; returns those served through other hosts since the host's last
-    /// report.
+    /// Counts units served for a volume; returns the units served through other hosts since the last report to the
+    /// host.
     pub(crate) fn record_usage(&mut self, volume: u64, host: u64, units: f64) -> f64 {
         self.usage.record(volume, host, units);
         if self.faults.usage_withheld {
--- a/crates/emulator/src/node_event.rs
+++ b/crates/emulator/src/node_event.rs
@@ -1,141 +1,142 @@
-//! What the emulated services record.
+//! Events that the emulated services record.
 
-/// What a node or the endpoint list service did or saw. A host is identified by its incarnation.
+/// An action or observation of a node or the endpoint list service. A host is identified by its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeEvent {
     /// A node's process started.
     Started {
-        /// The node.
+        /// Number of the node.
         node: u32,
-        /// The incarnation that started.
+        /// Incarnation of the process that started.
         incarnation: u64,
-        /// Whether it warms up, with a part of its capacity.
+        /// Set if the node warms up, with a fraction of its capacity.
         warming_up: bool,
     },
     /// A node's process ended.
     Stopped {
-        /// The node.
+        /// Number of the node.
         node: u32,
-        /// The incarnation that ended.
+        /// Incarnation of the process that ended.
         incarnation: u64,
     },
-    /// A node that warms up was sent more than it tolerates, and stopped.
+    /// A warming node received more units than it tolerates, and stopped.
     Overloaded {
-        /// The node.
+        /// Number of the node.
         node: u32,
     },
     /// A node received an attempt.
     AttemptReceived {
-        /// The node.
+        /// Number of the node.
         node: u32,
-        /// The host that sent it.
+        /// Incarnation of the host that sent the request.
         host: u64,
-        /// The host's number of the request.
+        /// Request identifier assigned by the host.
         request_id: u64,
-        /// Which attempt of the request it is, from 0.
+        /// Number of the attempt within the request, from 0.
         attempt: u16,
-        /// The number of the request class.
+        /// Number of the request class.
         class: u16,
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// The key, or the first block.
+        /// Key, or first block.
         key: u64,
-        /// The client's mark of the request.
+        /// Idempotency key assigned by the client.
         idempotency_key: u64,
-        /// Units of work.
+        /// Number of units of work.
         units: f64,
-        /// Whether it writes.
+        /// Set for a write.
         write: bool,
-        /// The extent's version that the host knew; 0 without a map.
+        /// Extent version in the map of the host; 0 without a map.
         version: u32,
-        /// Numbers the node's request that carried it.
+        /// Number of the node request that carried the attempt.
         batch: u64,
     },
     /// A request took effect.
     EffectApplied {
-        /// The node.
+        /// Number of the node.
         node: u32,
-        /// The host that sent it.
+        /// Incarnation of the host that sent the request.
         host: u64,
-        /// The host's number of the request.
+        /// Request identifier assigned by the host.
         request_id: u64,
-        /// The number of the request class.
+        /// Number of the request class.
         class: u16,
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// The key, or the first block.
+        /// Key, or first block.
         key: u64,
-        /// The client's mark of the request.
+        /// Idempotency key assigned by the client.
         idempotency_key: u64,
-        /// Whether it writes.
+        /// Set for a write.
         write: bool,
-        /// Blocks from the key on.
+        /// Number of blocks that start at the key.
         blocks: u32,
     },
-    /// An extent has a new owner, or is served again under a new version.
+    /// The owner of an extent changed, or the extent is served again under a new version.
     ExtentSwitched {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// The extent's first offset.
+        /// First offset of the extent.
         start: u64,
-        /// The owner.
+        /// Shard that owns the extent.
         shard: u32,
-        /// The new version.
+        /// New version of the extent.
         version: u32,
     },
     /// A node sent an answer.
     Answered {
-        /// The node.
+        /// Number of the node.
         node: u32,
-        /// The host.
+        /// Incarnation of the host.
         host: u64,
-        /// The host's number of the request.
+        /// Request identifier assigned by the host.
         request_id: u64,
-        /// The attempt.
+        /// Number of the attempt within the request.
         attempt: u16,
-        /// Whether the answer was success; every other answer proves that nothing was executed.
+        /// Set if the answer was success; every other answer proves that the request was not executed.
         executed: bool,
-        /// Whether the answer was that another shard owns the data.
+        /// Set if the answer was that another shard owns the extent.
         shard_moved: bool,
     },
     /// A host cancelled an attempt.
     AttemptCancelled {
-        /// The node.
+        /// Number of the node.
         node: u32,
-        /// The host.
+        /// Incarnation of the host.
         host: u64,
-        /// The host's number of the request.
+        /// Request identifier assigned by the host.
         request_id: u64,
-        /// The attempt.
+        /// Number of the attempt within the request.
         attempt: u16,
     },
-    /// A host's connection to a node ended, and with it the wait for its attempts in flight.
+    /// A connection of a host to a node ended; the host no longer waits for the attempts in flight on the
+    /// connection.
     ConnectionClosed {
-        /// The node.
+        /// Number of the node.
         node: u32,
-        /// The host.
+        /// Incarnation of the host.
         host: u64,
     },
-    /// A host was sent a new version of an extent.
+    /// A new version of an extent was sent to a host.
     MapUpdateSent {
-        /// The host.
+        /// Incarnation of the host.
         host: u64,
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// The extent's first offset.
+        /// First offset of the extent.
         start: u64,
-        /// The offset after its last one.
+        /// Offset after the last offset of the extent.
         end: u64,
-        /// The version.
+        /// Version of the extent.
         version: u32,
     },
-    /// A host was sent that a node drains or is not listed any more.
+    /// A host was notified that a node drains or is no longer listed.
     DrainNotified {
-        /// The host.
+        /// Incarnation of the host.
         host: u64,
-        /// The node.
+        /// Number of the node.
         node: u32,
-        /// The node's incarnation.
+        /// Incarnation of the node.
         incarnation: u64,
     },
 }
--- a/crates/emulator/src/received_attempt.rs
+++ b/crates/emulator/src/received_attempt.rs
@@ -1,60 +1,60 @@
-//! An attempt as a node receives it.
+//! Attempts as received by a node, and their interceptor.
 
 use crate::Ms;
 
-/// Identifies a connection over the life of the emulator.
+/// Identifier of a connection, unique during a run of the emulator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionId {
-    /// Its index among the open connections, which later ones use again.
+    /// Index among the open connections, reused by later connections.
     pub index: usize,
-    /// Numbers all connections.
+    /// Sequence number over all connections.
     pub serial: u64,
 }
 
-/// An attempt as a node received it.
+/// An attempt as received by a node.
 #[derive(Clone, Debug)]
 pub struct ReceivedAttempt {
-    /// The incarnation of the host that sent it.
+    /// Incarnation of the host that sent the attempt.
     pub host: u64,
-    /// The connection it came on.
+    /// Connection on which the attempt was received.
     pub connection: ConnectionId,
-    /// The node's incarnation that it was sent to.
+    /// Incarnation of the node to which the attempt was sent.
     pub node_incarnation: u64,
-    /// When its client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Ms,
-    /// The host's number of the request.
+    /// Request identifier assigned by the host.
     pub request_id: u64,
-    /// Which attempt of the request it is, from 0.
+    /// Number of the attempt within the request, from 0.
     pub attempt: u16,
-    /// The number of the request class.
+    /// Number of the request class.
     pub class: u16,
-    /// Whether it writes.
+    /// Set for a write.
     pub write: bool,
-    /// The volume.
+    /// Number of the volume.
     pub volume: u64,
-    /// The key, or the first block.
+    /// Key, or first block.
     pub key: u64,
-    /// The client's mark of the request.
+    /// Idempotency key assigned by the client.
     pub idempotency_key: u64,
-    /// Units of work.
+    /// Number of units of work.
     pub units: f64,
-    /// Blocks from the key on; 0 where a key is a piece of data by itself.
+    /// Number of blocks that start at the key; 0 if the key addresses a single value.
     pub blocks: u32,
-    /// The extent's version that the host knew; 0 without a map.
+    /// Extent version in the map of the host; 0 without a map.
     pub version: u32,
-    /// Numbers the node's request that carried it.
+    /// Number of the node request that carried the attempt.
     pub batch: u64,
-    /// How many parts that request had.
+    /// Number of parts of the node request.
     pub parts: usize,
-    /// What it writes.
+    /// Payload of a write.
     pub payload: Vec<u8>,
-    /// Whether a client sent it to the node directly, to measure what a host adds.
+    /// Set if a client sent the request directly to the node, to measure the overhead of a host.
     pub direct: bool,
 }
 
-/// Stands between the sockets and a node, to seed a defect: each attempt is passed on as often and as late as the
-/// interceptor returns it.
+/// Interceptor between the sockets and a node that seeds a defect: each attempt is replaced with the attempts that
+/// the interceptor returns, each after its delay.
 pub trait AttemptInterceptor: Send {
-    /// The attempts that a node receives in place of this one, each with its delay.
+    /// Returns the attempts that a node receives in place of `attempt`, each with its delay.
     fn intercept(&mut self, now: Ms, node: u32, attempt: ReceivedAttempt) -> Vec<(Ms, ReceivedAttempt)>;
 }
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -1,4 +1,4 @@
-//! The steps of a script, and their player.
+//! Steps of a fault script, and their execution.
 
 use crate::emulator::Emulator;
 use crate::faults::NodeFaults;
@@ -7,74 +7,81 @@
 use magpiewick_transport::Clock;
 use std::time::Duration;
 
-/// How long the player of a script sleeps before it checks again whether it is to stop.
+/// Longest sleep between checks whether the script was stopped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One step of a script. Nodes, hosts and volumes are given by number.
+/// One step of a script. Nodes, hosts and volumes are identified by number.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// A node executes requests and answers none.
+    /// A node executes requests but sends no answers.
     Unresponsive(u32, bool),
-    /// A node loses this part of its answers.
+    /// A node loses a fraction of its answers.
     AnswerLoss(u32, f64),
-    /// A node's work takes this many times as long.
+    /// The work of a node takes longer by a factor.
     Slowdown(u32, f64),
-    /// A node reports nothing of what it served through other hosts.
+    /// A node does not report the units that it served through other hosts.
     UsageWithheld(u32, bool),
     /// A node rejects all requests.
     QueueFull(u32, bool),
-    /// A node neither greets, executes nor answers.
+    /// A node sends no greeting, executes no requests and sends no answers.
     Hang(u32, bool),
-    /// A node fails this part of its requests.
+    /// A node fails a fraction of its requests.
     PartialFailure(u32, f64),
-    /// A node cuts off its next answer.
+    /// A node truncates its next answer and closes the connection.
     ResetMidFrame(u32),
-    /// A node's process ends.
+    /// The process of a node ends.
     Stop(u32),
-    /// A node's process starts and warms up.
+    /// The process of a node starts and warms up.
     StartWarmingUp(u32),
-    /// The endpoint list says that a node drains.
+    /// The endpoint list marks a node as draining.
     Drain(u32),
-    /// The endpoint list drops a node.
+    /// The endpoint list removes a node.
     Unlist(u32),
     /// The endpoint list adds a node.
     List(u32),
-    /// The endpoint list service is down.
+    /// The endpoint list service is unavailable.
     ListDown(bool),
-    /// An extent of a volume, by its index, is migrated to a shard.
+    /// An extent, identified by its index in a volume, is migrated to a shard.
     Migrate(u64, usize, u32),
     /// The migration of an extent is abandoned.
     AbandonMigration(u64, usize),
-    /// The coordinators of all migrations are dead.
+    /// The coordinators of all migrations are down.
     CoordinatorsDown(bool),
-    /// The map service records nothing.
+    /// The map service records no changes.
     MapServiceDown(bool),
     /// The map is saved.
     SaveMap,
-    /// Hosts are sent the saved map.
+    /// The saved map is sent to hosts.
     ReplaySavedMap,
-    /// A host's process is stopped or continues. This and the following are up to whoever plays the script.
+    /// The process of a host is suspended or continues. The caller of [`play_script`] executes this step and the
+    /// following steps.
     HostStall(u32, bool),
-    /// A host's process is killed.
+    /// The process of a host is killed.
     HostKill(u32),
-    /// A host's process starts.
+    /// The process of a host starts.
     HostStart(u32),
-    /// The traffic of a volume is this multiple of its usual traffic.
+    /// The traffic of a volume changes to a multiple of its usual traffic.
     Surge(u64, f64),
 }
 
 impl Step {
-    /// Does what concerns the emulator; false where the step does not.
+    /// Applies the step to the emulator; returns false if the step does not affect the emulator.
     fn apply(&self, emulator: &mut Emulator) -> bool {
         match *self {
-            Step::Unresponsive(node, yes) => on_faults(emulator, node, |faults| faults.unresponsive = yes),
-            Step::AnswerLoss(node, part) => on_faults(emulator, node, |faults| faults.answer_loss = part),
+            Step::Unresponsive(node, enabled) => {
+                on_faults(emulator, node, |faults| faults.unresponsive = enabled)
+            }
+            Step::AnswerLoss(node, fraction) => {
+                on_faults(emulator, node, |faults| faults.answer_loss = fraction)
+            }
             Step::Slowdown(node, factor) => on_faults(emulator, node, |faults| faults.slowdown = factor),
-            Step::UsageWithheld(node, yes) => on_faults(emulator, node, |faults| faults.usage_withheld = yes),
-            Step::QueueFull(node, yes) => on_faults(emulator, node, |faults| faults.queue_full = yes),
-            Step::Hang(node, yes) => on_faults(emulator, node, |faults| faults.hung = yes),
-            Step::PartialFailure(node, part) => {
-                on_faults(emulator, node, |faults| faults.partial_failure = part)
+            Step::UsageWithheld(node, enabled) => {
+                on_faults(emulator, node, |faults| faults.usage_withheld = enabled)
+            }
+            Step::QueueFull(node, enabled) => on_faults(emulator, node, |faults| faults.queue_full = enabled),
+            Step::Hang(node, enabled) => on_faults(emulator, node, |faults| faults.hung = enabled),
+            Step::PartialFailure(node, fraction) => {
+                on_faults(emulator, node, |faults| faults.partial_failure = fraction)
             }
             Step::ResetMidFrame(node) => on_faults(emulator, node, |faults| faults.reset_mid_frame = true),
             Step::Stop(node) => on_node(emulator, node, Emulator::stop_node),
@@ -105,7 +112,7 @@
     }
 }
 
-/// Does something with a node, where there is one of this number.
+/// Calls an action with the index of the node with a number, if there is one.
 fn on_node(emulator: &mut Emulator, number: u32, action: impl FnOnce(&mut Emulator, usize)) {
     if let Some(node) = emulator.node_index(number) {
         action(emulator, node);
@@ -116,14 +123,14 @@
     on_node(emulator, number, |emulator, node| emulator.change_faults(node, change));
 }
 
-/// Plays steps at their times on `clock`, counted from `start`; what does not concern the emulator goes to `other`.
-/// Ends early where `is_stopped` says so.
+/// Executes steps at their times on `clock`, counted from `start`; steps that do not affect the emulator are
+/// passed to `on_other_step`. Returns early once `is_stopped` returns true.
 pub fn play_script(
     handle: &EmulatorHandle,
     clock: &Clock,
     start: Ms,
     mut steps: Vec<(Ms, Step)>,
-    mut other: impl FnMut(&Step),
+    mut on_other_step: impl FnMut(&Step),
     is_stopped: impl Fn() -> bool,
 ) {
     steps.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -132,13 +139,13 @@
             if is_stopped() {
                 return;
             }
-            let left = Clock::until(clock.now(), start + at);
-            std::thread::sleep(left.min(STOP_CHECK_INTERVAL));
+            let remaining = Clock::until(clock.now(), start + at);
+            std::thread::sleep(remaining.min(STOP_CHECK_INTERVAL));
         }
         tracing::info!(at_ms = at, step = ?step, "script_step_played");
         let applied = step.clone();
         if !handle.query(move |emulator| applied.apply(emulator)).unwrap_or(true) {
-            other(&step);
+            on_other_step(&step);
         }
     }
 }
--- a/crates/emulator/src/slow_start.rs
+++ b/crates/emulator/src/slow_start.rs
@@ -1,15 +1,15 @@
-//! Slow start: the capacity of a node that warms up, and what overloads it.
+//! Slow start: capacity and overload of a warming node.
 
 use crate::config::SlowStartConfig;
 use crate::Ms;
 use std::collections::VecDeque;
 
-/// The slow start of one incarnation of a node.
+/// Slow start of one incarnation of a node.
 #[derive(Default)]
 pub(crate) struct SlowStart {
-    /// When it started; `None` where it has run for long.
+    /// Time of the start; `None` if the node is fully warmed up.
     started_at: Option<Ms>,
-    /// When it was sent how many units, over the last window.
+    /// Times and units of the requests received within the last window.
     recent_units: VecDeque<(Ms, f64)>,
 }
 
@@ -22,7 +22,7 @@
         self.started_at
     }
 
-    /// The part of its capacity that the node has now.
+    /// Returns the fraction of its full capacity that the node has now.
     pub(crate) fn capacity(&self, now: Ms, config: &SlowStartConfig) -> f64 {
         let age = self.started_at.map_or(f64::INFINITY, |started_at| now - started_at);
         if age >= config.duration {
@@ -31,8 +31,8 @@
         config.initial_capacity + (1.0 - config.initial_capacity) * (age / config.duration).max(0.0)
     }
 
-    /// Counts units that the node was sent; true where they overload it. `full_rate` is its units a millisecond at
-    /// full capacity.
+    /// Counts received units; returns true if the units overload the node. `full_rate` is the number of units per
+    /// millisecond at full capacity.
     pub(crate) fn is_overloaded_by(
         &mut self,
         now: Ms,
@@ -45,13 +45,13 @@
             return false;
         };
         self.recent_units.push_back((now, units));
-        while self.recent_units.front().is_some_and(|sent| sent.0 < now - window) {
+        while self.recent_units.front().is_some_and(|received| received.0 < now - window) {
             self.recent_units.pop_front();
         }
-        let sent: f64 = self.recent_units.iter().map(|sent| sent.1).sum();
+        let received: f64 = self.recent_units.iter().map(|received| received.1).sum();
         let tolerated = config.overload_factor * full_rate * self.capacity(now, config) * window;
         let is_first_window = now - started_at <= window;
-        sent > tolerated.max(if is_first_window { config.allowance } else { 0.0 })
+        received > tolerated.max(if is_first_window { config.allowance } else { 0.0 })
     }
 }
 
--- a/crates/emulator/src/slow_start/tests.rs
+++ b/crates/emulator/src/slow_start/tests.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn capacity_rises_evenly_to_its_full_value() {
+fn capacity_rises_linearly_to_its_full_value() {
     let slow_start = SlowStart::new(Some(500.0));
     let capacity = |now| slow_start.capacity(now, &CONFIG);
     assert_eq!([capacity(500.0), capacity(1500.0), capacity(9000.0)], [0.2, 1.0, 1.0]);
@@ -18,11 +18,11 @@
 }
 
 #[test]
-fn only_a_node_that_warms_up_is_overloaded_and_its_first_window_has_an_allowance() {
+fn only_a_warming_node_is_overloaded_and_its_first_window_has_an_allowance() {
     let mut slow_start = SlowStart::new(Some(0.0));
     assert!(!slow_start.is_overloaded_by(0.0, 50.0, 1.0, &CONFIG), "the allowance");
     assert!(slow_start.is_overloaded_by(1.0, 1.0, 1.0, &CONFIG));
-    // Half warm: 2 times 0.6 units a millisecond over 100 ms.
+    // Halfway through the warm-up, the limit is 2 times 0.6 units per millisecond over 100 ms.
     let mut slow_start = SlowStart::new(Some(0.0));
     assert!(!slow_start.is_overloaded_by(500.0, 119.0, 1.0, &CONFIG));
     assert!(slow_start.is_overloaded_by(500.0, 2.0, 1.0, &CONFIG));
--- a/crates/emulator/src/timer_queue.rs
+++ b/crates/emulator/src/timer_queue.rs
@@ -21,12 +21,12 @@
         self.timers.set(at, self.last_id);
     }
 
-    /// When the next timer is due.
+    /// Returns the time at which the next timer is due.
     pub(crate) fn next_at(&self) -> Option<Ms> {
         self.timers.next_at()
     }
 
-    /// The next timer that is due.
+    /// Removes the next timer that is due and returns its value.
     pub(crate) fn pop_due(&mut self, now: Ms) -> Option<T> {
         let id = self.timers.due(now)?;
         self.values.remove(&id)
--- a/crates/emulator/src/usage_meter/tests.rs
+++ b/crates/emulator/src/usage_meter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_host_is_sent_what_others_used_since_its_last_report() {
+fn a_report_contains_the_units_served_through_other_hosts_since_the_last_report() {
     let mut meter = UsageMeter::default();
     meter.record(1, 10, 3.0);
     assert_eq!(meter.report(1, 10), 0.0);
