--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -139,7 +139,7 @@
             if is_stopped() {
                 return;
             }
-            let remaining = Clock::until(clock.now(), start + at);
+            let remaining = Clock::duration_until(clock.now(), start + at);
             std::thread::sleep(remaining.min(STOP_CHECK_INTERVAL));
         }
         tracing::info!(at_ms = at, step = ?step, "script_step_played");
--- a/crates/instance-settings/src/lib.rs
+++ b/crates/instance-settings/src/lib.rs
@@ -18,13 +18,13 @@
 pub enum SettingsError {
     /// A line is no pair of a key and a value.
     #[error("start setting without '=': {line:?}")]
-    NoPair {
+    MissingSeparator {
         /// The line.
         line: String,
     },
     /// The settings are no JSON object.
     #[error("the start settings are not an object")]
-    NoObject,
+    NotAnObject,
     /// A value cannot be read, or is out of range.
     #[error("start setting {key} has an impossible value {value}")]
     ImpossibleValue {
@@ -100,11 +100,11 @@
 
 impl InstanceSettings {
     /// Reads pairs of the form path=value, each on its own line.
-    pub fn pairs(text: &str) -> Result<InstanceSettings, SettingsError> {
+    pub fn from_pairs(text: &str) -> Result<InstanceSettings, SettingsError> {
         let mut pairs = HashMap::new();
         for line in text.lines().filter(|line| !line.is_empty()) {
             let Some((key, value)) = line.split_once('=') else {
-                return Err(SettingsError::NoPair { line: line.to_string() });
+                return Err(SettingsError::MissingSeparator { line: line.to_string() });
             };
             pairs.insert(key.to_string(), value.to_string());
         }
@@ -113,11 +113,11 @@
 
     /// Reads nested JSON: a list of plain values stands as these joined by commas, a list of objects as its
     /// length under `count` and its items under their numbers, as the pairs have it.
-    pub fn json(settings: &Value) -> Result<InstanceSettings, SettingsError> {
+    pub fn from_json(settings: &Value) -> Result<InstanceSettings, SettingsError> {
         let mut pairs = HashMap::new();
         match settings {
             Value::Object(_) => flatten(String::new(), settings, &mut pairs),
-            _ => return Err(SettingsError::NoObject),
+            _ => return Err(SettingsError::NotAnObject),
         }
         Ok(InstanceSettings(pairs))
     }
@@ -232,7 +232,7 @@
             hosts: self.number_or("balancers", 1.0)?.max(1.0),
             classes: (0..self.count("profiles")?).map(|i| self.class(i)).collect::<Result<_, _>>()?,
             policies: (0..self.count("service_levels")?).map(|i| self.policy(i)).collect::<Result<_, _>>()?,
-            round: self.required("round_ns", self.time("round_ns")?)?,
+            action_interval: self.required("round_ns", self.time("round_ns")?)?,
             max_attempts: self.parsed("limits.max_attempts")?.unwrap_or(1),
             can_cancel: self.flag("limits.cancelling")?,
             max_retry_after: match self.flag("limits.retry_after")? {
@@ -257,7 +257,7 @@
             max_batch_units: self.number_or("specifics.units_top", 1.0)?,
             share_weight: self.number_or("specifics.share_worth", 1.0)?,
             counts_remote_service: self.flag("specifics.counts_others")?,
-            peer: match self.flag("limits.may_tell")? {
+            host_number: match self.flag("limits.may_tell")? {
                 true => Some(self.required("my_number", self.parsed("my_number")?)?),
                 false => None,
             },
--- a/crates/scenario/src/audit/retry_storm.rs
+++ b/crates/scenario/src/audit/retry_storm.rs
@@ -127,7 +127,7 @@
 
 /// Returns the weight of each request, sorted by the time at which the request was first due.
 fn request_weights(evidence: &Evidence<'_>) -> Vec<RequestWeight> {
-    let classes = &evidence.host.start.classes;
+    let classes = &evidence.host.scheduler.classes;
     let mut by_idempotency_key: HashMap<u64, usize> = HashMap::new();
     let mut by_number = HashMap::new();
     let mut weights: Vec<RequestWeight> = Vec::new();
--- a/crates/scenario/src/audit/statistics.rs
+++ b/crates/scenario/src/audit/statistics.rs
@@ -75,7 +75,7 @@
 }
 
 fn measure_clients(run: &Run<'_>) -> Vec<ClientMeasurements> {
-    let start = &run.evidence.host.start;
+    let start = &run.evidence.host.scheduler;
     let mut hosts = vec![ClientMeasurements::default(); start.hosts as usize];
     for tracked in &run.requests {
         let request = &tracked.request;
@@ -95,7 +95,7 @@
 }
 
 fn measure_nodes(run: &Run<'_>) -> Vec<NodeMeasurements> {
-    let mut hosts = vec![NodeMeasurements::default(); run.evidence.host.start.hosts as usize];
+    let mut hosts = vec![NodeMeasurements::default(); run.evidence.host.scheduler.hosts as usize];
     let mut counted_batches: HashSet<u64> = HashSet::new();
     let mut counted_writes: HashSet<(usize, u64)> = HashSet::new();
     for (_, event) in run.evidence.node_events {
