--- a/crates/extents/src/extent_map.rs
+++ b/crates/extents/src/extent_map.rs
@@ -1,21 +1,21 @@
-//! The extent map: built from a snapshot and advanced by changes, each set of which applies as a whole or not at all.
+//! The extent map: built from a snapshot and updated with sets of changes, each of which is applied atomically.
 
 use std::collections::BTreeMap;
 
-/// An extent: offsets `start` up to, not including, `end`.
+/// An extent: the offsets from `start` (inclusive) to `end` (exclusive).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extent {
-    /// The first offset.
+    /// First offset.
     pub start: u64,
-    /// The offset after the last one.
+    /// Offset after the last offset.
     pub end: u64,
-    /// The shard that owns the extent.
+    /// Shard that owns the extent.
     pub shard: u32,
-    /// Rises with every change of the owner.
+    /// Version, which rises with every change of the owner.
     pub version: u32,
 }
 
-/// An extent as it is stored, in 16 bytes; it ends where the next one starts.
+/// Stored form of an extent, in 16 bytes; the extent ends where the next one starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Row {
     start: u64,
@@ -23,7 +23,7 @@
     version: u32,
 }
 
-/// A volume's extents in the order of their offsets, with the volume's size.
+/// Extents of a volume in the order of their offsets, with the size of the volume.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VolumeMap {
     size: u64,
@@ -35,43 +35,43 @@
 pub enum Change {
     /// Adds a volume of one extent, at version 1.
     Create {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// Its size, in offsets.
+        /// Size of the volume, in offsets.
         size: u64,
-        /// The shard that owns it.
+        /// Shard that owns the volume.
         shard: u32,
     },
     /// Removes a volume.
     Remove {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
     },
-    /// Gives an extent a new owner, under a higher version.
+    /// Assigns an extent to a new owner, under a higher version.
     Switch {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// The extent's first offset.
+        /// First offset of the extent.
         start: u64,
-        /// The new owner.
+        /// Shard that becomes the owner.
         shard: u32,
-        /// The new version.
+        /// New version of the extent.
         version: u32,
     },
-    /// Splits an extent in two of the same owner and version.
+    /// Splits an extent into two extents with the same owner and version.
     Split {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// The extent's first offset.
+        /// First offset of the extent.
         start: u64,
-        /// The first offset of the second half.
+        /// First offset of the second extent.
         at: u64,
     },
-    /// Joins an extent and the next one of the same owner, under the higher of their versions.
+    /// Merges an extent with the next extent of the same owner, under the higher of the two versions.
     Merge {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// The first extent's first offset.
+        /// First offset of the first extent.
         start: u64,
     },
 }
@@ -79,72 +79,74 @@
 /// The changes of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Changes {
-    /// The epoch of the map once they are applied.
+    /// Epoch of the map after the changes.
     pub epoch: u64,
-    /// In the order in which they apply.
+    /// Changes in the order of their application.
     pub changes: Vec<Change>,
 }
 
-/// Why a map or changes are rejected; nothing of them is applied.
+/// Reasons for rejecting a map or a set of changes; a rejected set is not applied at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MapError {
-    /// Earlier changes are missing; the snapshot must be requested.
-    #[error("changes of epoch {received} where {} is next", current + 1)]
+    /// Earlier changes are missing; a snapshot must be requested.
+    #[error("received changes of epoch {received}, expected epoch {}", current + 1)]
     EpochGap {
-        /// The epoch of the map.
+        /// Epoch of the map.
         current: u64,
-        /// The epoch of the changes.
+        /// Epoch of the changes.
         received: u64,
     },
-    /// The changes were applied before.
-    #[error("changes that were taken before")]
+    /// The changes were already applied.
+    #[error("the changes were already applied")]
     AlreadyApplied,
     /// The volume is not in the map.
     #[error("volume {0} is not in the map")]
     UnknownVolume(u64),
-    /// The volume is in the map already.
-    #[error("volume {0} is in the map already")]
+    /// The volume is already in the map.
+    #[error("volume {0} is already in the map")]
     VolumeExists(u64),
     /// No extent starts at this offset.
     #[error("no extent of volume {volume} starts at {start}")]
     NoExtentAt {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// The offset.
+        /// Offset without an extent.
         start: u64,
     },
-    /// A switch to a version that is not higher than the extent's.
-    #[error("the extent of volume {volume} at {start} has as high a version")]
+    /// The version of a switch is not higher than the version of the extent.
+    #[error(
+        "the new version of the extent of volume {volume} at {start} is not higher than the current version"
+    )]
     VersionNotHigher {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// The extent's first offset.
+        /// First offset of the extent.
         start: u64,
     },
-    /// A split outside the extent, or a volume of size 0.
+    /// The offset of a split is outside the extent, or a volume has size 0.
     #[error("an extent of volume {volume} would be empty")]
     EmptyExtent {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
     },
-    /// There is no next extent, or another shard owns it.
-    #[error("the extent of volume {volume} at {start} cannot be joined with the next")]
+    /// The next extent does not exist, or has another owner.
+    #[error("the extent of volume {volume} at {start} cannot be merged with the next extent")]
     CannotMerge {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
-        /// The extent's first offset.
+        /// First offset of the extent.
         start: u64,
     },
-    /// Extents that do not start at 0 or do not rise.
+    /// The first extent does not start at 0, or the starts of the extents do not rise.
     #[error("the extents of volume {volume} leave a gap or overlap")]
     NotContiguous {
-        /// The volume.
+        /// Number of the volume.
         volume: u64,
     },
 }
 
 impl VolumeMap {
-    /// A volume from its extents' starts, shards and versions.
+    /// Creates the map of a volume from the starts, shards and versions of its extents.
     pub fn new(volume: u64, size: u64, extents: &[(u64, u32, u32)]) -> Result<VolumeMap, MapError> {
         let rises = extents.windows(2).all(|w| w[0].0 < w[1].0);
         let covers = extents.first().is_some_and(|e| e.0 == 0) && extents.last().is_some_and(|e| e.0 < size);
@@ -161,7 +163,7 @@
         Extent { start, end, shard, version }
     }
 
-    /// The index of the extent that holds an offset within the size.
+    /// Returns the index of the extent that contains an offset; the offset must be less than the size.
     fn index_of(&self, offset: u64) -> usize {
         self.rows.partition_point(|row| row.start <= offset) - 1
     }
@@ -198,14 +200,14 @@
         let Some(next) = next.filter(|next| next.shard == self.rows[index].shard) else {
             return Err(MapError::CannotMerge { volume, start });
         };
-        // A host with the lower version learns from the node that its map is out of date.
+        // A node redirects a host that still uses the lower version.
         self.rows[index].version = self.rows[index].version.max(next.version);
         self.rows.remove(index + 1);
         Ok(())
     }
 }
 
-/// All volumes at one epoch.
+/// Maps of all volumes at one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExtentMap {
     epoch: u64,
@@ -213,48 +215,49 @@
 }
 
 impl ExtentMap {
-    /// A map of these volumes at an epoch.
+    /// Creates a map of volumes at an epoch.
     pub fn new(epoch: u64, volumes: BTreeMap<u64, VolumeMap>) -> ExtentMap {
         ExtentMap { epoch, volumes }
     }
 
-    /// Counts the changes of the map.
+    /// Returns the epoch of the map, which counts its changes.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// How many extents the map holds.
+    /// Returns the number of extents in the map.
     pub fn extent_count(&self) -> usize {
         self.volumes.values().map(|volume| volume.rows.len()).sum()
     }
 
-    /// Bytes of memory that the extents take.
+    /// Returns the memory used by the extents, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.volumes.values().map(|volume| volume.rows.capacity() * std::mem::size_of::<Row>()).sum()
     }
 
-    /// All extents in order, each with its volume.
+    /// Returns all extents in order, each with its volume.
     pub fn extents(&self) -> impl Iterator<Item = (u64, Extent)> + '_ {
         self.volumes
             .iter()
             .flat_map(|(id, volume)| (0..volume.rows.len()).map(|index| (*id, volume.extent(index))))
     }
 
-    /// The extent that holds an offset; `None` outside the volume.
+    /// Returns the extent that contains an offset; `None` if the offset is outside the volume.
     pub fn find(&self, volume: u64, offset: u64) -> Option<Extent> {
         let volume = self.volumes.get(&volume).filter(|v| offset < v.size)?;
         Some(volume.extent(volume.index_of(offset)))
     }
 
-    /// The extents that overlap a range, in order, cut to it; `None` where the range goes beyond the volume.
+    /// Returns the extents that overlap a range, in order and clipped to the range; `None` if the range is not
+    /// within the volume.
     pub fn overlapping(&self, volume: u64, start: u64, end: u64) -> Option<Vec<Extent>> {
         let volume = self.volumes.get(&volume).filter(|v| start < end && end <= v.size)?;
         let indexes = volume.index_of(start)..=volume.index_of(end - 1);
-        let cut = |e: Extent| Extent { start: e.start.max(start), end: e.end.min(end), ..e };
-        Some(indexes.map(|index| cut(volume.extent(index))).collect())
+        let clip = |e: Extent| Extent { start: e.start.max(start), end: e.end.min(end), ..e };
+        Some(indexes.map(|index| clip(volume.extent(index))).collect())
     }
 
-    /// Applies the changes of the next epoch, all or none.
+    /// Applies the changes of the next epoch atomically.
     pub fn apply(&mut self, changes: &Changes) -> Result<(), MapError> {
         if changes.epoch <= self.epoch {
             return Err(MapError::AlreadyApplied);
@@ -262,7 +265,7 @@
         if changes.epoch != self.epoch + 1 {
             return Err(MapError::EpochGap { current: self.epoch, received: changes.epoch });
         }
-        // Only the volumes that change are copied, so that an error leaves the map as it was.
+        // Only the changed volumes are copied, so that an error leaves the map unchanged.
         let mut changed: BTreeMap<u64, Option<VolumeMap>> = BTreeMap::new();
         for change in &changes.changes {
             self.stage(change, &mut changed)?;
--- a/crates/extents/src/extent_map_view.rs
+++ b/crates/extents/src/extent_map_view.rs
@@ -1,78 +1,79 @@
-//! The extent map as a host sees it: the map it was sent, corrected by what nodes have answered since.
+//! The extent map of a host: the received map, corrected by later answers of nodes.
 
 use crate::extent_map::{Changes, ExtentMap, MapError, VolumeMap};
 use std::collections::BTreeMap;
 
-/// How long an extent counts as in transition after a node rejected it without naming the owner, in
-/// milliseconds: about as long as a fence lasts. A shorter time spends attempts, a longer one delays requests.
+/// Time during which an extent counts as in transition after a node rejected an attempt without naming the owner,
+/// in milliseconds: about the duration of a fence. A shorter time causes unnecessary attempts, a longer time
+/// delays requests.
 const TRANSITION_MS: f64 = 150.0;
 
-/// Where an offset of a volume lies.
+/// Location of an offset of a volume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExtentLocation {
-    /// On this shard, under this version of the extent.
+    /// The extent is served by a shard, under a version.
     At {
-        /// The shard that serves the extent.
+        /// Shard that serves the extent.
         shard: u32,
-        /// The extent's version, which an attempt carries.
+        /// Version of the extent, which an attempt carries.
         version: u32,
     },
-    /// The extent is being migrated: nobody serves it at the moment.
+    /// The extent is being migrated and is currently not served by any shard.
     InTransition,
-    /// The map does not hold it.
+    /// The map does not contain the offset.
     Unknown,
 }
 
-/// An extent as a part of a snapshot carries it.
+/// An extent in a part of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MapEntry {
-    /// The volume that the extent belongs to.
+    /// Volume that contains the extent.
     pub volume: u64,
-    /// The first offset.
+    /// First offset.
     pub start: u64,
-    /// The offset after the last one.
+    /// Offset after the last offset.
     pub end: u64,
-    /// The shard that owns the extent.
+    /// Shard that owns the extent.
     pub shard: u32,
-    /// The extent's version.
+    /// Version of the extent.
     pub version: u32,
 }
 
-/// The owner of an extent, as a node named it.
+/// Owner of an extent, as named by a node.
 #[derive(Clone, Copy)]
 struct Owner {
     shard: u32,
     version: u32,
 }
 
-/// A snapshot of which some parts have arrived.
+/// A snapshot of which some parts have been received.
 struct PartialSnapshot {
     epoch: u64,
     next_part: u32,
     entries: Vec<MapEntry>,
 }
 
-/// An extent's volume and first offset.
+/// Volume and first offset of an extent.
 type ExtentKey = (u64, u64);
 
-/// The map a host routes by.
+/// Extent map by which a host routes requests.
 #[derive(Default)]
 pub struct ExtentMapView {
     map: ExtentMap,
     partial_snapshot: Option<PartialSnapshot>,
-    /// Owners that nodes named, under versions that the map does not know yet.
+    /// Owners named by nodes, under versions that are newer than the map.
     redirects: BTreeMap<ExtentKey, Owner>,
-    /// Extents that nobody serves, each with the time at which to try again.
+    /// Extents in transition, each with the time at which to retry.
     in_transition: BTreeMap<ExtentKey, f64>,
 }
 
 impl ExtentMapView {
-    /// The epoch of the map received last.
+    /// Returns the epoch of the map received last.
     pub fn epoch(&self) -> u64 {
         self.map.epoch()
     }
 
-    /// Where an offset of a volume lies at `now`, in milliseconds.
+    /// Returns the location of an offset of a volume at time `now`, in milliseconds.
     pub fn locate(&self, now: f64, volume: u64, offset: u64) -> ExtentLocation {
         let Some(extent) = self.map.find(volume, offset) else { return ExtentLocation::Unknown };
         let key = (volume, extent.start);
@@ -85,14 +86,14 @@
         ExtentLocation::At { shard, version }
     }
 
-    /// The first offsets of the extents within a range, the first one cut to it; `None` without a map that covers
-    /// the range.
+    /// Returns the first offsets of the extents within a range, the first offset clipped to the range; `None`
+    /// without a map that covers the range.
     pub fn extent_starts(&self, volume: u64, start: u64, end: u64) -> Option<Vec<u64>> {
         Some(self.map.overlapping(volume, start, end)?.iter().map(|extent| extent.start).collect())
     }
 
-    /// A node answered an attempt sent under `version` that it does not serve the extent, and may have named the
-    /// owner as shard and version. Returns the time at which to try again where the owner is not known.
+    /// Handles a node's answer that it does not serve the extent of an attempt sent under `version`; the answer
+    /// may name the owner as shard and version. Returns the time at which to retry if the owner is not known.
     pub fn on_shard_moved(
         &mut self,
         now: f64,
@@ -104,14 +105,14 @@
         let key = (volume, extent.start);
         let owner = owner.map(|(shard, version)| Owner { shard, version });
         if let Some(owner) = owner.filter(|owner| owner.version > version) {
-            let known = self.redirects.entry(key).or_insert(owner);
-            if owner.version >= known.version {
-                *known = owner;
+            let redirect = self.redirects.entry(key).or_insert(owner);
+            if owner.version >= redirect.version {
+                *redirect = owner;
             }
             self.in_transition.remove(&key);
             return None;
         }
-        // An attempt under an older version than the map holds by now proves nothing about the current owner.
+        // An attempt under an older version than the current map gives no information about the current owner.
         if version < extent.version {
             return None;
         }
@@ -120,8 +121,8 @@
         Some(retry_at)
     }
 
-    /// Takes one part of a snapshot; true once the snapshot is complete and in use. A part out of order discards
-    /// the parts received so far.
+    /// Adds one part of a snapshot; returns true once the snapshot is complete and in use. A part out of order
+    /// discards the parts received so far.
     pub fn on_snapshot_part(
         &mut self,
         epoch: u64,
@@ -149,17 +150,18 @@
         Ok(true)
     }
 
-    /// Keeps, as redirects, the extents that are newer here than in a snapshot. A version is never given twice, so
-    /// a lower one is out of date whoever sends it; this guards against a map service that lost changes in a
-    /// restart. Where the service lost a migration for good, nodes reject the attempts and name a higher version.
+    /// Keeps, as redirects, the extents that have a newer version in this map than in a snapshot. A version is
+    /// never assigned twice, so a lower version is out of date regardless of its sender; this guards against a map
+    /// service that lost changes in a restart. If the service lost a migration permanently, nodes reject the
+    /// attempts and name a higher version.
     fn keep_newer_versions(&mut self, snapshot: &ExtentMap) {
         for (volume, extent) in self.map.extents() {
             let older = snapshot.find(volume, extent.start).filter(|other| other.version < extent.version);
             if older.is_some_and(|other| (other.start, other.end) == (extent.start, extent.end)) {
                 let owner = Owner { shard: extent.shard, version: extent.version };
-                let known = self.redirects.entry((volume, extent.start)).or_insert(owner);
-                if known.version < owner.version {
-                    *known = owner;
+                let redirect = self.redirects.entry((volume, extent.start)).or_insert(owner);
+                if redirect.version < owner.version {
+                    *redirect = owner;
                 }
             }
         }
@@ -172,7 +174,8 @@
         Ok(())
     }
 
-    /// Drops the redirects that the map confirms by now, and has extents in transition tried again.
+    /// Removes the redirects that the map confirms, and clears all extents in transition, so that they are
+    /// retried.
     fn discard_confirmed(&mut self) {
         let map = &self.map;
         self.redirects.retain(|(volume, start), owner| {
@@ -186,7 +189,7 @@
     let mut volumes = BTreeMap::new();
     for extents in entries.chunk_by(|a, b| a.volume == b.volume) {
         let volume = extents[0].volume;
-        // Each extent ends where the next one starts, and the last one with the volume.
+        // Each extent must end where the next one starts; the last extent ends at the size of the volume.
         if extents.windows(2).any(|pair| pair[0].end != pair[1].start) {
             return Err(MapError::NotContiguous { volume });
         }
--- a/crates/extents/src/extent_map_view/tests.rs
+++ b/crates/extents/src/extent_map_view/tests.rs
@@ -15,12 +15,12 @@
 const SWITCHED: Change = Change::Switch { volume: 1, start: 10, shard: 7, version: 2 };
 
 #[test]
-fn a_redirect_holds_until_the_map_confirms_it() {
+fn a_redirect_applies_until_the_map_confirms_it() {
     let mut view = view();
     assert_eq!(view.on_shard_moved(0.0, (1, 12), 1, Some((7, 2))), None);
     assert_eq!(view.locate(0.0, 1, 15), ExtentLocation::At { shard: 7, version: 2 });
     assert_eq!(view.locate(0.0, 1, 5), ExtentLocation::At { shard: 5, version: 1 });
-    // A redirect to an older version does not replace one to a newer version.
+    // A redirect to an older version does not replace a redirect to a newer version.
     view.on_shard_moved(0.0, (1, 12), 0, Some((6, 1)));
     assert_eq!(view.locate(0.0, 1, 15), ExtentLocation::At { shard: 7, version: 2 });
     view.on_changes(&Changes { epoch: 2, changes: vec![SWITCHED] }).unwrap();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_extent_in_transition_is_not_tried_until_a_map_change_or_timeout() {
+fn an_extent_in_transition_is_not_retried_before_a_map_change_or_timeout() {
     let mut view = view();
     assert_eq!(view.on_shard_moved(100.0, (1, 12), 1, None), Some(100.0 + TRANSITION_MS));
     assert_eq!(view.locate(101.0, 1, 19), ExtentLocation::InTransition);
@@ -52,7 +52,7 @@
     assert_eq!(view.on_snapshot_part(1, 0, true, &old), Ok(true));
     assert_eq!(view.locate(0.0, 1, 15), ExtentLocation::At { shard: 7, version: 2 });
     assert_eq!(view.locate(0.0, 1, 5), ExtentLocation::At { shard: 5, version: 1 });
-    // The stale snapshot again, and then one with a newer version, whatever its epoch.
+    // The stale snapshot is received again, then a snapshot with a newer version, regardless of its epoch.
     assert_eq!(view.on_snapshot_part(1, 0, true, &old), Ok(true));
     assert_eq!(view.locate(0.0, 1, 15), ExtentLocation::At { shard: 7, version: 2 });
     assert_eq!(view.on_snapshot_part(1, 0, true, &[entry(1, 0, 10, 5, 1), entry(1, 10, 20, 8, 3)]), Ok(true));
--- a/crates/extents/src/lib.rs
+++ b/crates/extents/src/lib.rs
@@ -1,9 +1,9 @@
-//! The extent map: which shard holds which part of a volume, and the protocol that migrates an extent between
-//! shards. Free of I/O.
+//! The extent map, which assigns each part of a volume to a shard, and the protocol that migrates an extent
+//! between shards. Free of I/O.
 //!
-//! Each volume is cut into extents without gap or overlap. An extent lies on one shard, under a version that
-//! rises with every change of its owner. The map as a whole has an epoch that counts its changes, so that a
-//! subscriber notices a change it missed. `docs/extents.md` gives the design and its alternatives.
+//! Each volume is divided into extents without gap or overlap. An extent is stored on one shard, under a version
+//! that rises with every change of its owner. The whole map has an epoch that counts its changes, so that a
+//! subscriber detects missing changes. `docs/extents.md` describes the design and its alternatives.
 
 mod extent_map;
 mod extent_map_view;
--- a/crates/extents/src/migration.rs
+++ b/crates/extents/src/migration.rs
@@ -1,50 +1,50 @@
-//! The migration of one extent from a source shard to a target shard: the state that the map service, the two
-//! nodes and the coordinator each keep. Messages between the four may be lost, delayed or sent by a coordinator
-//! that has been replaced, and each of the four may restart at any step.
+//! Migration of one extent from a source shard to a target shard: the states of the map service, the two nodes and
+//! the coordinator. Messages between the four processes may be lost, delayed or sent by a coordinator that has
+//! been replaced, and each of the four processes may restart at any step.
 //!
-//! Only the map service's record decides who owns the extent. A node serves it only while its own durable state
-//! says so, and that state changes only after the service's. Between the fence and the switch nobody serves the
-//! extent, so that no read is stale and no write is lost.
+//! Only the record of the map service decides which shard owns the extent. A node serves the extent only while
+//! permitted by its own durable state, which changes only after the record of the service. Between the fence and
+//! the switch no shard serves the extent, so that no read is stale and no write is lost.
 
-/// Numbers the migrations of one extent, from 1; a later migration has a higher number.
+/// Number of a migration of an extent, from 1; a later migration has a higher number.
 pub type MigrationId = u32;
 
-/// How far a migration is, as the map service records it.
+/// Stage of a migration in the record of the map service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Stage {
-    /// Copying, while the source serves.
+    /// The extent is being copied while the source serves.
     Copying,
-    /// The target holds all that the source took; the source is fenced.
+    /// The target stores all data that the source accepted; the source is fenced.
     Copied,
     /// The target owns the extent.
     Switched,
-    /// Cancelled: the source owns the extent as before.
+    /// The migration was abandoned; the source still owns the extent.
     Abandoned,
 }
 
-/// The map service's durable record of an extent.
+/// Durable record of an extent at the map service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MigrationRecord {
-    /// The extent's version.
+    /// Version of the extent.
     pub version: u32,
-    /// The latest migration, 0 where there was none.
+    /// Number of the latest migration; 0 if the extent was never migrated.
     pub id: MigrationId,
-    /// How far the latest migration is.
+    /// Stage of the latest migration.
     pub stage: Stage,
 }
 
-/// A step was rejected because the coordinator's state is out of date.
+/// Error: a step was rejected because the state of the coordinator is out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 #[error("a migration step was rejected: the coordinator's state is out of date")]
 pub struct StaleCoordinator;
 
 impl MigrationRecord {
-    /// The record of an extent that was never migrated.
+    /// Returns the record of an extent that was never migrated.
     pub fn idle(version: u32) -> MigrationRecord {
         MigrationRecord { version, id: 0, stage: Stage::Abandoned }
     }
 
-    /// Begins a migration; rejected while another one runs.
+    /// Begins a migration; fails while another migration runs.
     pub fn begin(&mut self) -> Result<MigrationId, StaleCoordinator> {
         if matches!(self.stage, Stage::Copying | Stage::Copied) {
             return Err(StaleCoordinator);
@@ -54,7 +54,7 @@
         Ok(self.id)
     }
 
-    /// Records that the target holds all data.
+    /// Records that the target stores all data.
     pub fn record_copied(&mut self, id: MigrationId) -> Result<(), StaleCoordinator> {
         self.transition(id, &[Stage::Copying, Stage::Copied], Stage::Copied)
     }
@@ -67,7 +67,7 @@
         Ok(self.version)
     }
 
-    /// Abandons a migration; the source keeps the extent under its version.
+    /// Abandons a migration; the source remains the owner of the extent under its version.
     pub fn abandon(&mut self, id: MigrationId) -> Result<(), StaleCoordinator> {
         self.transition(id, &[Stage::Copying, Stage::Copied, Stage::Abandoned], Stage::Abandoned)
     }
@@ -81,32 +81,32 @@
     }
 }
 
-/// The source's state. The fence is durable; the log of writes since the copy began is not.
+/// State of the source. The fence is durable; the log of writes since the copy began is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MigrationSource {
-    /// Counts the restarts of its process.
+    /// Number of restarts of the source's process.
     pub incarnation: u8,
-    /// The migration that fenced it.
+    /// Migration that fenced the source.
     pub fenced_by: Option<MigrationId>,
-    /// The latest migration that is over; steps of it and of earlier ones are rejected.
+    /// Latest migration that is over; steps of this migration and of earlier migrations are rejected.
     pub finished: MigrationId,
-    /// Set once it no longer owns the extent.
+    /// Set once the source no longer owns the extent.
     pub released: bool,
 }
 
 impl MigrationSource {
-    /// A source that serves its extent.
+    /// Creates a source that serves its extent.
     pub fn new() -> MigrationSource {
         MigrationSource { incarnation: 0, fenced_by: None, finished: 0, released: false }
     }
 
-    /// Whether it serves reads and writes.
+    /// Returns whether the source serves reads and writes.
     pub fn is_serving(&self) -> bool {
         self.fenced_by.is_none() && !self.released
     }
 
-    /// Stops serving until the migration is over; idempotent. A later migration's fence replaces an earlier one's,
-    /// as the service begins no migration before the last one is over.
+    /// Stops serving until the migration is over; idempotent. The fence of a later migration replaces an earlier
+    /// fence, because the service begins no migration before the previous migration is over.
     pub fn fence(&mut self, id: MigrationId) -> Result<(), StaleCoordinator> {
         if self.released || id <= self.finished || self.fenced_by.is_some_and(|fence| fence > id) {
             return Err(StaleCoordinator);
@@ -115,8 +115,8 @@
         Ok(())
     }
 
-    /// Whether the remainder of a copy is the whole extent again, as the log of later writes was lost with the
-    /// incarnation in which the copy began. Only a fenced source can tell: no write may follow.
+    /// Returns whether the remainder of a copy is the whole extent, because the log of later writes was lost with
+    /// the incarnation in which the copy began. The source must be fenced, so that no further write can follow.
     pub fn needs_full_copy(
         &self,
         id: MigrationId,
@@ -128,7 +128,7 @@
         Ok(copied_from != Some(self.incarnation))
     }
 
-    /// Serves again, after the service recorded that the migration was abandoned.
+    /// Resumes serving after the service recorded that the migration was abandoned.
     pub fn unfence(&mut self, id: MigrationId) -> Result<(), StaleCoordinator> {
         if self.released || id < self.finished || self.fenced_by.is_some_and(|fence| fence > id) {
             return Err(StaleCoordinator);
@@ -138,7 +138,7 @@
         Ok(())
     }
 
-    /// Gives up the data, after the service recorded the target as the owner.
+    /// Releases the data after the service recorded the target as the owner.
     pub fn release(&mut self, id: MigrationId) -> Result<(), StaleCoordinator> {
         if self.fenced_by != Some(id) && !self.released {
             return Err(StaleCoordinator);
@@ -149,7 +149,7 @@
         Ok(())
     }
 
-    /// Its process started anew.
+    /// Handles a restart of the source's process.
     pub fn restart(&mut self) {
         self.incarnation += 1;
     }
@@ -161,26 +161,27 @@
     }
 }
 
-/// The target's durable state.
+/// Durable state of the target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MigrationTarget {
-    /// The migration whose copy it holds.
+    /// Migration whose copy the target stores.
     pub copy_of: Option<MigrationId>,
-    /// Whether it serves the extent.
+    /// Set once the target serves the extent.
     pub serving: bool,
 }
 
 impl MigrationTarget {
-    /// Stores a full copy, in addition to what it holds of the same migration; rejects an earlier migration's.
+    /// Stores a full copy, in addition to earlier data of the same migration; rejects the copy of an earlier
+    /// migration.
     pub fn receive_copy(&mut self, id: MigrationId) -> Result<(), StaleCoordinator> {
-        if self.serving || self.copy_of.is_some_and(|held| held > id) {
+        if self.serving || self.copy_of.is_some_and(|copy_id| copy_id > id) {
             return Err(StaleCoordinator);
         }
         self.copy_of = Some(id);
         Ok(())
     }
 
-    /// Stores the remainder of a copy; rejected where the copy itself was lost.
+    /// Stores the remainder of a copy; fails if the copy itself was lost.
     pub fn receive_remainder(&mut self, id: MigrationId) -> Result<(), StaleCoordinator> {
         if self.serving || self.copy_of != Some(id) {
             return Err(StaleCoordinator);
@@ -188,7 +189,7 @@
         Ok(())
     }
 
-    /// Serves, after the service recorded it as the owner.
+    /// Starts serving after the service recorded the target as the owner.
     pub fn start_serving(&mut self, id: MigrationId) -> Result<(), StaleCoordinator> {
         if self.copy_of != Some(id) {
             return Err(StaleCoordinator);
@@ -197,9 +198,9 @@
         Ok(())
     }
 
-    /// Drops the copy of an abandoned migration.
+    /// Removes the copy of an abandoned migration.
     pub fn drop_copy(&mut self, id: MigrationId) -> Result<(), StaleCoordinator> {
-        if self.serving || self.copy_of.is_some_and(|held| held > id) {
+        if self.serving || self.copy_of.is_some_and(|copy_id| copy_id > id) {
             return Err(StaleCoordinator);
         }
         self.copy_of = None;
@@ -207,47 +208,48 @@
     }
 }
 
-/// The next step of a migration.
+/// Step of a migration, performed by the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum MigrationStep {
-    /// Copy the extent from source to target, and note the source's incarnation.
+    /// Copy the extent from source to target, and record the source's incarnation.
     CopyAll,
     /// Fence the source.
     Fence,
-    /// Copy what the source took since the copy began, or all ([`MigrationSource::needs_full_copy`]).
+    /// Copy the writes that the source accepted since the copy began, or the whole extent
+    /// ([`MigrationSource::needs_full_copy`]).
     CopyRemainder,
-    /// Have the service record that the target holds all data.
+    /// Record at the service that the target stores all data.
     RecordCopied,
-    /// Have the service make the target the owner.
+    /// Record at the service that the target is the owner.
     Switch,
-    /// Have the target serve.
+    /// Start serving at the target.
     Serve,
-    /// Have the source release its data.
+    /// Release the data at the source.
     Release,
-    /// The target lost its copy before it served: copy the extent again from the fenced source.
+    /// Copy the extent again from the fenced source, because the target lost its copy before it served.
     CopyAgain,
-    /// Have the target drop the copy of an abandoned migration.
+    /// Remove the copy of an abandoned migration at the target.
     DropCopy,
-    /// Have the source of an abandoned migration serve again.
+    /// Resume serving at the source of an abandoned migration.
     Unfence,
     /// The migration is over.
     Done,
 }
 
-/// The coordinator's state of one migration. It need not survive: a new coordinator resumes from the service's
-/// record.
+/// State of one migration at the coordinator. The state need not be durable: a new coordinator resumes from the
+/// record of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Migration {
-    /// Which migration of the extent this is.
+    /// Number of the migration.
     pub id: MigrationId,
-    /// The step to take next.
+    /// Step that the coordinator performs next.
     pub next_step: MigrationStep,
-    /// The source's incarnation when the copy began.
+    /// Incarnation of the source when the copy began.
     pub copied_from: Option<u8>,
 }
 
 impl Migration {
-    /// Resumes from the service's record.
+    /// Resumes a migration from the record of the service.
     pub fn resume(record: &MigrationRecord) -> Migration {
         let next_step = match record.stage {
             Stage::Copying => MigrationStep::CopyAll,
@@ -259,7 +261,7 @@
         Migration { id: record.id, next_step, copied_from: None }
     }
 
-    /// The step succeeded. `incarnation` is the source's, where the step reported it.
+    /// Advances after a successful step. `incarnation` is the incarnation of the source, if the step reported it.
     pub fn on_success(&mut self, incarnation: Option<u8>) {
         self.next_step = match self.next_step {
             MigrationStep::CopyAll => {
@@ -276,7 +278,7 @@
         };
     }
 
-    /// The step was rejected: resumes from the service's record.
+    /// Resumes from the record of the service after a step was rejected.
     pub fn on_rejected(&mut self, record: &MigrationRecord) {
         let copy_lost =
             self.next_step == MigrationStep::Serve && record.stage == Stage::Switched && record.id == self.id;
--- a/crates/extents/src/migration_limits.rs
+++ b/crates/extents/src/migration_limits.rs
@@ -1,22 +1,22 @@
-//! Limits on concurrent migrations: a budget over all shards and for one shard, and precedence for client load.
+//! Limits on concurrent migrations: a budget for all shards and for each shard, and precedence for client load.
 
 /// Limits on concurrent migrations.
 #[derive(Clone, Copy, Debug)]
 pub struct MigrationLimits {
-    /// Migrations that may run at once.
+    /// Number of migrations that may run concurrently.
     pub max_concurrent: usize,
-    /// Migrations from or to one shard that may run at once.
+    /// Number of migrations from or to one shard that may run concurrently.
     pub max_per_shard: usize,
-    /// Queued requests at a node from which on no migration begins there.
+    /// Number of queued requests at a node at which no migration from or to the node begins.
     pub max_queue_length: usize,
 }
 
-/// The source and the target shard of a migration.
+/// Source and target shard of a migration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardPair {
-    /// The shard that gives the extent up.
+    /// Shard that owns the extent before the migration.
     pub source: u32,
-    /// The shard that takes it over.
+    /// Shard that owns the extent after the migration.
     pub target: u32,
 }
 
@@ -27,10 +27,10 @@
 }
 
 impl MigrationLimits {
-    /// Whether a migration may begin, with these running, and so many requests queued at its own two shards. One
-    /// that has begun continues: between fence and switch nobody serves the extent, and a copy that pauses only
-    /// grows its remainder. Where load never falls below the limit, the migration that would relieve it never
-    /// begins; an operator then raises the limit.
+    /// Returns whether a migration may begin, given the running migrations and the number of requests queued at
+    /// its two shards. A migration that has begun always continues: between fence and switch no shard serves the
+    /// extent, and pausing a copy only increases its remainder. If the load never falls below the limit, a
+    /// migration that would reduce the load never begins; an operator must then raise the limit.
     pub fn may_begin(&self, running: &[ShardPair], migration: ShardPair, queue_length: usize) -> bool {
         let at_shard = |shard: u32| running.iter().filter(|other| other.touches(shard)).count();
         running.len() < self.max_concurrent
--- a/crates/extents/src/migration_limits/tests.rs
+++ b/crates/extents/src/migration_limits/tests.rs
@@ -2,8 +2,9 @@
 use quickcheck::quickcheck;
 
 quickcheck! {
-    /// Migrations requested in any order never exceed a limit, and all begin once the others are over.
-    fn concurrency_limits_hold_and_every_migration_begins(requested: Vec<(u8, u8)>) -> bool {
+    /// Migrations requested in any order never exceed a limit, and each migration begins after the others are
+    /// over.
+    fn concurrency_limits_are_observed_and_every_migration_begins(requested: Vec<(u8, u8)>) -> bool {
         let limits = MigrationLimits { max_concurrent: 3, max_per_shard: 2, max_queue_length: 10 };
         let pair = |(a, b): &(u8, u8)| ShardPair { source: u32::from(a % 5), target: u32::from(b % 5) };
         let requested = requested.iter().map(pair);
--- a/crates/extents/tests/extent_map.rs
+++ b/crates/extents/tests/extent_map.rs
@@ -1,4 +1,4 @@
-//! The extent map against a reference model: an owner for every offset.
+//! Compares the extent map with a reference model that stores an owner for every offset.
 
 use magpiewick_extents::*;
 use quickcheck::quickcheck;
@@ -6,10 +6,10 @@
 
 const SIZE: u64 = 24;
 
-/// Each offset's shard, version and whether an extent starts there.
+/// Shard and version of each offset, and whether an extent starts at the offset.
 type ReferenceMap = BTreeMap<u64, Vec<(u32, u32, bool)>>;
 
-/// Applies a change to the reference model; `None` where the change must be rejected.
+/// Applies a change to the reference model; returns `None` if the change must be rejected.
 fn apply_to_reference(reference: &ReferenceMap, change: &Change) -> Option<ReferenceMap> {
     let mut after = reference.clone();
     let starts = |row: &Vec<(u32, u32, bool)>, at: u64| row.get(at as usize).is_some_and(|o| o.2);
@@ -77,23 +77,24 @@
             let applied = map.apply(&Changes { epoch: map.epoch() + 1, changes });
             match (applied, after) {
                 (Ok(()), Some(after)) => reference = after,
-                // An error changes nothing, not even what stood before the fault.
+                // A rejected set of changes leaves the map unchanged, including the changes before the invalid
+                // one.
                 (Err(_), None) if map == before => {}
                 _ => return false,
             }
             for (volume, row) in &reference {
-                let mut spanned = map.overlapping(*volume, 0, SIZE).unwrap_or_default().into_iter();
+                let mut overlapping = map.overlapping(*volume, 0, SIZE).unwrap_or_default().into_iter();
                 for (at, (shard, version, starts)) in row.iter().enumerate() {
                     let Some(e) = map.find(*volume, at as u64) else { return false };
-                    let here = e.start <= at as u64 && (at as u64) < e.end;
-                    if !here || (e.shard, e.version, e.start == at as u64) != (*shard, *version, *starts) {
+                    let contains = e.start <= at as u64 && (at as u64) < e.end;
+                    if !contains || (e.shard, e.version, e.start == at as u64) != (*shard, *version, *starts) {
                         return false;
                     }
-                    if *starts && spanned.next() != Some(e) {
+                    if *starts && overlapping.next() != Some(e) {
                         return false;
                     }
                 }
-                if spanned.next().is_some() || map.find(*volume, SIZE).is_some() {
+                if overlapping.next().is_some() || map.find(*volume, SIZE).is_some() {
                     return false;
                 }
             }
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_million_extents_take_sixteen_bytes_each() {
+fn a_million_extents_use_16_bytes_each() {
     let rows: Vec<(u64, u32, u32)> = (0..1_000_000).map(|i| (i * 4096, (i % 60) as u32, 1)).collect();
     let volume = VolumeMap::new(1, 4096 * 1_000_000, &rows).unwrap();
     let map = ExtentMap::new(7, BTreeMap::from([(1, volume)]));
--- a/crates/extents/tests/migration_model.rs
+++ b/crates/extents/tests/migration_model.rs
@@ -1,16 +1,17 @@
-//! Exhaustive search over the interleavings of one extent's migrations within small bounds: coordinators that die,
-//! come back late or act twice, lost answers, restarted nodes, a target that loses its copy, migrations abandoned at any step.
+//! Exhaustive search over the interleavings of migrations of one extent within small bounds: coordinators that
+//! stop, resume late or repeat a step, lost answers, restarted nodes, a target that loses its copy, and migrations
+//! abandoned at any step.
 
 use magpiewick_extents::*;
 use std::collections::{HashMap, VecDeque};
 
-/// Bounds: writes, restarts of the source, losses of the target's copy, migrations.
+/// Bounds of the search: writes, restarts of the source, losses of the target's copy, and migrations.
 const WRITES: u8 = 2;
 const RESTARTS: u8 = 1;
 const LOSSES: u8 = 1;
 const MIGRATIONS: u32 = 2;
 
-/// The durable state of one extent's migrations.
+/// Durable state of the migrations of one extent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Machine {
     record: MigrationRecord,
@@ -21,9 +22,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct State {
     m: Machine,
-    /// A coordinator, and another that is late: an older one, or what the first sent twice.
+    /// A coordinator and a delayed one: an older coordinator, or a duplicate of the first.
     coordinators: [Option<Migration>; 2],
-    /// Sets of writes as bits: acknowledged, at the source, logged there since a copy began, at the target.
+    /// Sets of writes as bits: acknowledged, stored at the source, logged at the source since a copy began, and
+    /// stored at the target.
     acknowledged: u8,
     source: u8,
     logged: u8,
@@ -31,19 +33,19 @@
     losses: u8,
 }
 
-/// Defects seeded into the state machines, to show that the search finds them.
+/// Defects seeded into the state machines, to show that the search detects them.
 #[derive(Clone, Copy, PartialEq)]
 enum Defect {
     None,
-    /// A restarted source is not noticed.
+    /// A restart of the source is not detected.
     IncarnationIgnored,
-    /// The source goes on serving.
+    /// The source continues to serve after the fence.
     FenceIgnored,
-    /// The remainder is accepted without the copy before it.
+    /// The remainder is accepted without a preceding copy.
     RemainderWithoutCopy,
 }
 
-fn first() -> State {
+fn initial_state() -> State {
     let m = Machine {
         record: MigrationRecord::idle(1),
         source: MigrationSource::new(),
@@ -57,7 +59,7 @@
     (source, s.m.target.serving)
 }
 
-/// Performs a step; the source's incarnation where it is reported, or that the step was rejected.
+/// Performs a step; returns the source's incarnation if the step reports it, or an error if the step was rejected.
 fn perform(s: &mut State, migration: &Migration, defect: Defect) -> Result<Option<u8>, StaleCoordinator> {
     let id = migration.id;
     match migration.next_step {
@@ -65,9 +67,9 @@
             if s.m.source.released {
                 return Err(StaleCoordinator);
             }
-            let kept = if s.m.target.copy_of == Some(id) { s.target } else { 0 };
+            let retained = if s.m.target.copy_of == Some(id) { s.target } else { 0 };
             s.m.target.receive_copy(id)?;
-            (s.target, s.logged) = (kept | s.source, 0);
+            (s.target, s.logged) = (retained | s.source, 0);
             return Ok(Some(s.m.source.incarnation));
         }
         MigrationStep::Fence => s.m.source.fence(id)?,
@@ -107,7 +109,7 @@
         }
     }
     for slot in 0..2 {
-        // A new coordinator resumes from the record; a duplicate of the first one repeats its step late.
+        // A new coordinator resumes from the record; a duplicate of the first coordinator repeats its step late.
         let fresh = Migration::resume(&s.m.record);
         let mut to = *s;
         to.coordinators[slot] = Some(fresh);
@@ -115,40 +117,39 @@
         let Some(migration) = s.coordinators[slot].filter(|m| m.next_step != MigrationStep::Done) else {
             continue;
         };
-        let mut twin = *s;
-        twin.coordinators[1 - slot] = Some(migration);
-        all.push(twin);
-        let mut done = *s;
-        match perform(&mut done, &migration, defect) {
+        let mut duplicated = *s;
+        duplicated.coordinators[1 - slot] = Some(migration);
+        all.push(duplicated);
+        let mut performed = *s;
+        match perform(&mut performed, &migration, defect) {
             Ok(incarnation) => {
                 // The answer may be lost.
-                all.push(done);
-                let mut on = migration;
-                on.on_success(incarnation);
-                done.coordinators[slot] = Some(on);
+                all.push(performed);
+                let mut advanced = migration;
+                advanced.on_success(incarnation);
+                performed.coordinators[slot] = Some(advanced);
             }
             Err(StaleCoordinator) => {
-                done = *s;
-                let mut back = migration;
-                back.on_rejected(&s.m.record);
-                done.coordinators[slot] = Some(back);
+                performed = *s;
+                let mut resumed = migration;
+                resumed.on_rejected(&s.m.record);
+                performed.coordinators[slot] = Some(resumed);
             }
         }
-        all.push(done);
+        all.push(performed);
     }
-    let mut planned = *s;
-    if s.m.record.id < MIGRATIONS && s.m.record.stage == Stage::Abandoned && planned.m.record.begin().is_ok()
-    {
-        all.push(planned);
+    let mut begun = *s;
+    if s.m.record.id < MIGRATIONS && s.m.record.stage == Stage::Abandoned && begun.m.record.begin().is_ok() {
+        all.push(begun);
     }
     let mut abandoned = *s;
     if s.m.record.id > 0 && abandoned.m.record.abandon(s.m.record.id).is_ok() {
         all.push(abandoned);
     }
     if s.m.source.incarnation < RESTARTS {
-        let mut anew = State { logged: 0, ..*s };
-        anew.m.source.restart();
-        all.push(anew);
+        let mut restarted = State { logged: 0, ..*s };
+        restarted.m.source.restart();
+        all.push(restarted);
     }
     if s.losses < LOSSES && !s.m.target.serving {
         let m = Machine { target: MigrationTarget::default(), ..s.m };
@@ -167,59 +168,59 @@
     }
 }
 
-/// Prints the shortest way to a state.
-fn print_path(states: &[State], before: &[Vec<usize>], mut at: usize) {
-    let mut way = vec![at];
-    while let Some(from) = before[at].first() {
-        at = *from;
-        way.push(at);
+/// Prints the shortest path to a state.
+fn print_shortest_path(states: &[State], predecessors: &[Vec<usize>], mut index: usize) {
+    let mut path = vec![index];
+    while let Some(from) = predecessors[index].first() {
+        index = *from;
+        path.push(index);
     }
-    way.iter().rev().for_each(|at| println!("{:?}", states[*at]));
+    path.iter().rev().for_each(|index| println!("{:?}", states[*index]));
 }
 
-/// Visits all states; how many, and the first thing found wrong.
+/// Visits all states; returns their number and the first violation.
 fn search(defect: Defect) -> (usize, Option<&'static str>) {
-    let mut numbers: HashMap<State, usize> = HashMap::from([(first(), 0)]);
-    let mut before: Vec<Vec<usize>> = vec![Vec::new()];
-    let mut states = vec![first()];
+    let mut numbers: HashMap<State, usize> = HashMap::from([(initial_state(), 0)]);
+    let mut predecessors: Vec<Vec<usize>> = vec![Vec::new()];
+    let mut states = vec![initial_state()];
     let mut queue = VecDeque::from([0]);
-    while let Some(at) = queue.pop_front() {
-        let s = states[at];
-        if let Some(wrong) = violation(&s, defect) {
+    while let Some(index) = queue.pop_front() {
+        let s = states[index];
+        if let Some(violation) = violation(&s, defect) {
             if defect == Defect::None {
-                print_path(&states, &before, at);
+                print_shortest_path(&states, &predecessors, index);
             }
-            return (states.len(), Some(wrong));
+            return (states.len(), Some(violation));
         }
         for to in next(&s, defect) {
             let number = *numbers.entry(to).or_insert_with(|| {
                 states.push(to);
-                before.push(Vec::new());
+                predecessors.push(Vec::new());
                 queue.push_back(states.len() - 1);
                 states.len() - 1
             });
-            before[number].push(at);
+            predecessors[number].push(index);
         }
     }
-    // From every state there is a way to one in which the migration is over and an owner serves.
+    // From every state there must be a path to a state in which the migration is over and an owner serves.
     let resolved = |s: &State| {
         let over = !matches!(s.m.record.stage, Stage::Copying | Stage::Copied);
         over && (s.m.source.is_serving() || s.m.target.serving)
     };
-    let mut good: Vec<bool> = states.iter().map(resolved).collect();
-    let mut queue: VecDeque<usize> = (0..states.len()).filter(|at| good[*at]).collect();
-    while let Some(at) = queue.pop_front() {
-        for from in std::mem::take(&mut before[at]) {
-            if !std::mem::replace(&mut good[from], true) {
+    let mut can_resolve: Vec<bool> = states.iter().map(resolved).collect();
+    let mut queue: VecDeque<usize> = (0..states.len()).filter(|index| can_resolve[*index]).collect();
+    while let Some(index) = queue.pop_front() {
+        for from in std::mem::take(&mut predecessors[index]) {
+            if !std::mem::replace(&mut can_resolve[from], true) {
                 queue.push_back(from);
             }
         }
     }
-    (states.len(), good.contains(&false).then_some("nobody can ever serve again"))
+    (states.len(), can_resolve.contains(&false).then_some("no owner can serve again"))
 }
 
 #[test]
-fn no_interleaving_loses_a_write_serves_twice_or_ends_without_an_owner() {
+fn no_interleaving_loses_a_write_has_two_owners_or_leaves_no_owner() {
     let (states, violation) = search(Defect::None);
     assert_eq!(violation, None);
     assert!(states > 10_000, "only {states} states");
@@ -227,7 +228,7 @@
 }
 
 #[test]
-fn the_search_finds_each_seeded_defect() {
+fn the_search_detects_each_seeded_defect() {
     let found = |defect| search(defect).1;
     assert_eq!(found(Defect::IncarnationIgnored), Some("a write is lost at the target"));
     assert_eq!(found(Defect::RemainderWithoutCopy), Some("a write is lost at the target"));
--- a/crates/scenario/src/audit/rate_limits.rs
+++ b/crates/scenario/src/audit/rate_limits.rs
@@ -16,7 +16,7 @@
 }
 
 pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
-    let start = &run.evidence.host.scheduler;
+    let scheduler = &run.evidence.host.scheduler;
     let mut counted_requests: HashSet<(u64, u64)> = HashSet::new();
     let mut buckets: HashMap<u64, TokenBucket> = HashMap::new();
     let mut checked = 0;
@@ -26,7 +26,7 @@
             continue;
         }
         let Some(volume) = run.evidence.host.volumes.get(&attempt.volume) else { continue };
-        let policy = &start.policies[volume.policy];
+        let policy = &scheduler.policies[volume.policy];
         if policy.limit_rate <= 0.0 {
             continue;
         }
@@ -36,7 +36,7 @@
         let refilled = bucket.tokens + (attempt.at - bucket.filled_at) * policy.limit_rate / 1000.0;
         bucket.tokens = refilled.min(policy.limit_burst) - attempt.units;
         bucket.filled_at = attempt.at;
-        let tolerance = (BURST_TOLERANCE * policy.limit_burst).max(start.max_units);
+        let tolerance = (BURST_TOLERANCE * policy.limit_burst).max(scheduler.max_units);
         if bucket.tokens < -tolerance {
             let description = format!("the volume's token bucket is {:.1} units below 0", -bucket.tokens);
             verdict.add_attempt(Rule::RateLimits, attempt.at, attempt, description);
--- a/crates/scenario/src/audit/statistics.rs
+++ b/crates/scenario/src/audit/statistics.rs
@@ -75,11 +75,11 @@
 }
 
 fn measure_clients(run: &Run<'_>) -> Vec<ClientMeasurements> {
-    let start = &run.evidence.host.scheduler;
-    let mut hosts = vec![ClientMeasurements::default(); start.hosts as usize];
+    let scheduler = &run.evidence.host.scheduler;
+    let mut hosts = vec![ClientMeasurements::default(); scheduler.hosts as usize];
     for tracked in &run.requests {
         let request = &tracked.request;
-        let class = &start.classes[usize::from(request.class)];
+        let class = &scheduler.classes[usize::from(request.class)];
         let host = &mut hosts[request.host_number];
         host.writes += u64::from(request.write && !request.is_retry);
         host.total_weight += if request.is_retry { 0.0 } else { class.priority_weight };
