--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -102,43 +102,47 @@
 
 /// Reads the block `standin` of a file, if present.
 pub fn read_config(root: &SettingsBlock<'_>) -> Option<EmulatorConfig> {
-    let p = root.optional_block("standin")?;
-    let cores = p.attribute("cores").integer_or(1..=1024, 2);
-    let speed = p.attribute("speed").number_or(1.0);
+    let block = root.optional_block("standin")?;
+    let cores = block.attribute("cores").integer_or(1..=1024, 2);
+    let speed = block.attribute("speed").number_or(1.0);
     if speed <= 0.0 {
-        p.report_attribute_error(
+        block.report_attribute_error(
             "speed",
             "a speed of 0: no request would ever complete; expected a number above 0",
         );
     }
-    let nodes = p.labelled_blocks("node").iter().map(|n| read_node(n, cores, speed)).collect::<Vec<_>>();
+    let nodes = block
+        .labelled_blocks("node")
+        .iter()
+        .map(|node_block| read_node(node_block, cores, speed))
+        .collect::<Vec<_>>();
     if nodes.is_empty() {
-        p.report_error("no node; expected at least one block node \"number\"");
+        block.report_error("no node; expected at least one block node \"number\"");
     }
-    let classes = p.attribute("fingerprinted");
+    let classes = block.attribute("fingerprinted");
     let classes = if classes.is_present() { classes.integers() } else { Vec::new() };
     Some(EmulatorConfig {
-        seed: p.attribute("seed").integer_or(0..=u64::MAX, 1),
-        list_address: p.attribute("list").address_or(ANY_PORT),
-        publication_delay: p.attribute("list_late").duration_ms_or(0.0),
-        unit_work: p.attribute("unit_work").duration_ms_or(1.0),
-        request_work: p.attribute("command_work").duration_ms_or(0.0),
-        block_size: p.attribute("block").integer_or(8..=1 << 20, 64) as usize,
-        queue_capacity: p.attribute("queue").integer_or(1..=1 << 20, 256) as usize,
-        slow_start: read_slow_start(p.optional_block("cold")),
+        seed: block.attribute("seed").integer_or(0..=u64::MAX, 1),
+        list_address: block.attribute("list").address_or(ANY_PORT),
+        publication_delay: block.attribute("list_late").duration_ms_or(0.0),
+        unit_work: block.attribute("unit_work").duration_ms_or(1.0),
+        request_work: block.attribute("command_work").duration_ms_or(0.0),
+        block_size: block.attribute("block").integer_or(8..=1 << 20, 64) as usize,
+        queue_capacity: block.attribute("queue").integer_or(1..=1 << 20, 256) as usize,
+        slow_start: read_slow_start(block.optional_block("cold")),
         deduplicated_classes: classes.into_iter().map(|class| class as u16).collect(),
-        deduplication_scope: p.attribute("group").one_of_or(&SCOPES, DeduplicationScope::Shard),
-        deduplication_window: p.attribute("memory").duration_ms_or(0.0),
-        deferred_part: p.attribute("put_off").fraction_or(0.0),
-        deferred_work_interval: p.attribute("put_off_every").duration_ms_or(1000.0),
+        deduplication_scope: block.attribute("group").one_of_or(&SCOPES, DeduplicationScope::Shard),
+        deduplication_window: block.attribute("memory").duration_ms_or(0.0),
+        deferred_part: block.attribute("put_off").fraction_or(0.0),
+        deferred_work_interval: block.attribute("put_off_every").duration_ms_or(1000.0),
         nodes,
-        extents_per_volume: p.attribute("extents").integer_or(0..=1 << 20, 0),
-        keys_per_volume: p.attribute("keys").integer_or(1..=1 << 40, 1 << 20),
-        migration_step: p.attribute("move_step").duration_ms_or(20.0),
+        extents_per_volume: block.attribute("extents").integer_or(0..=1 << 20, 0),
+        keys_per_volume: block.attribute("keys").integer_or(1..=1 << 40, 1 << 20),
+        migration_step: block.attribute("move_step").duration_ms_or(20.0),
         migration_limits: MigrationLimits {
-            max_concurrent: p.attribute("moves").integer_or(1..=1000, 4) as usize,
-            max_per_shard: p.attribute("moves_a_shard").integer_or(1..=1000, 2) as usize,
-            max_queue_length: p.attribute("moves_queue").integer_or(1..=1 << 20, 64) as usize,
+            max_concurrent: block.attribute("moves").integer_or(1..=1000, 4) as usize,
+            max_per_shard: block.attribute("moves_a_shard").integer_or(1..=1000, 2) as usize,
+            max_queue_length: block.attribute("moves_queue").integer_or(1..=1 << 20, 64) as usize,
         },
         volumes: Vec::new(),
     })
@@ -152,27 +156,27 @@
         overload_window: 0.0,
         allowance: f64::INFINITY,
     };
-    part.map_or(always_warm, |p| SlowStartConfig {
-        initial_capacity: p.attribute("share").fraction_or(1.0),
-        duration: p.attribute("time").duration_ms(),
-        overload_factor: p.attribute("fall_multiple").number(),
-        overload_window: p.attribute("fall_time").duration_ms(),
-        allowance: p.attribute("units").number_or(0.0),
+    part.map_or(always_warm, |block| SlowStartConfig {
+        initial_capacity: block.attribute("share").fraction_or(1.0),
+        duration: block.attribute("time").duration_ms(),
+        overload_factor: block.attribute("fall_multiple").number(),
+        overload_window: block.attribute("fall_time").duration_ms(),
+        allowance: block.attribute("units").number_or(0.0),
     })
 }
 
-fn read_node(p: &SettingsBlock<'_>, cores: u64, speed: f64) -> NodeConfig {
-    let number = p.label().parse().unwrap_or_else(|_| {
-        p.report_error(format!("the label {:?} of a node is not its number", p.label()));
+fn read_node(block: &SettingsBlock<'_>, cores: u64, speed: f64) -> NodeConfig {
+    let number = block.label().parse().unwrap_or_else(|_| {
+        block.report_error(format!("the label {:?} of a node is not its number", block.label()));
         0
     });
     NodeConfig {
         number,
-        listen: p.attribute("listen").address_or(ANY_PORT),
-        zone: p.attribute("zone").integer_or(0..=u64::from(u16::MAX), 0) as u16,
-        shard: p.attribute("shard").integer(0..=u64::from(u16::MAX)) as u32,
-        cores: p.attribute("cores").integer_or(1..=1024, cores) as usize,
-        speed: p.attribute("speed").number_or(speed),
-        spare: p.attribute("spare").bool_or(false),
+        listen: block.attribute("listen").address_or(ANY_PORT),
+        zone: block.attribute("zone").integer_or(0..=u64::from(u16::MAX), 0) as u16,
+        shard: block.attribute("shard").integer(0..=u64::from(u16::MAX)) as u32,
+        cores: block.attribute("cores").integer_or(1..=1024, cores) as usize,
+        speed: block.attribute("speed").number_or(speed),
+        spare: block.attribute("spare").bool_or(false),
     }
 }
--- a/crates/emulator/src/connections.rs
+++ b/crates/emulator/src/connections.rs
@@ -69,7 +69,7 @@
     }
 
     /// Returns the peer at an index; panics if the connection is not open.
-    pub(crate) fn at(&mut self, index: usize) -> &mut Peer {
+    pub(crate) fn open_peer(&mut self, index: usize) -> &mut Peer {
         &mut self.open[index]
     }
 
--- a/crates/emulator/src/emulator.rs
+++ b/crates/emulator/src/emulator.rs
@@ -136,8 +136,8 @@
             }
             if self.config.deferred_part > 0.0 {
                 // The first interval is random, so that the nodes do not pause at the same time.
-                let first = self.now + self.draw() * self.config.deferred_work_interval;
-                self.timers.set(first, Timer::DeferredWork { node });
+                let first_run_at = self.now + self.draw() * self.config.deferred_work_interval;
+                self.timers.set(first_run_at, Timer::DeferredWork { node });
             }
         }
         Ok(())
@@ -194,13 +194,13 @@
         let target = &mut self.nodes[node];
         let resume_at = self.now + std::mem::take(&mut target.deferred_work);
         target.paused_until = target.paused_until.max(resume_at);
-        let next = self.now + self.config.deferred_work_interval;
-        self.timers.set(next, Timer::DeferredWork { node });
+        let next_run_at = self.now + self.config.deferred_work_interval;
+        self.timers.set(next_run_at, Timer::DeferredWork { node });
     }
 
     fn flush_connections(&mut self) {
         for index in self.connections.indexes(|peer| peer.connection.pending() > 0) {
-            if self.connections.at(index).connection.flush().is_err() {
+            if self.connections.open_peer(index).connection.flush().is_err() {
                 self.close_connection(index);
             }
         }
@@ -232,7 +232,7 @@
 
     /// Returns the payload that the owner of each key stores.
     pub fn stored_keys(&mut self) -> Vec<StoredKey> {
-        self.map.stored()
+        self.map.stored_keys()
     }
 
     /// Returns the numbers and addresses of the running nodes.
@@ -311,12 +311,12 @@
 
     /// Sends the greeting of the service; a hung node sends its greeting after the fault ends.
     fn send_greeting(&mut self, index: usize) {
-        let node = self.connections.at(index).node;
+        let node = self.connections.open_peer(index).node;
         if node.is_some_and(|node| self.nodes[node].faults.hung) {
             return;
         }
         let greeting = self.greeting(node);
-        self.connections.at(index).greeting_sent = true;
+        self.connections.open_peer(index).greeting_sent = true;
         self.connections.send(index, &greeting);
     }
 
@@ -332,7 +332,7 @@
 
     fn on_connection_readable(&mut self, index: usize) {
         let Some(id) = self.connections.id(index) else { return };
-        let peer = self.connections.at(index);
+        let peer = self.connections.open_peer(index);
         let mut ended = peer.connection.fill().is_err();
         let input = peer.connection.take_input();
         let mut frames = Frames::new(&input);
@@ -344,8 +344,8 @@
                 return;
             }
         }
-        let used = frames.consumed();
-        self.connections.at(index).connection.return_input(input, used);
+        let consumed = frames.consumed();
+        self.connections.open_peer(index).connection.return_input(input, consumed);
         if ended {
             self.close_connection(index);
         }
@@ -361,7 +361,7 @@
 
     /// Handles a message of a host or a client; returns false if the service does not accept the message.
     fn on_message(&mut self, index: usize, message: &Message<'_>) -> bool {
-        let peer = self.connections.at(index);
+        let peer = self.connections.open_peer(index);
         if let Message::Hello(greeting) = message {
             peer.host = greeting.incarnation;
             return true;
--- a/crates/emulator/src/endpoint_list.rs
+++ b/crates/emulator/src/endpoint_list.rs
@@ -99,7 +99,7 @@
 
     /// Sends the whole list to a host, and subscribes the host to updates.
     pub(crate) fn watch_endpoints(&mut self, index: usize) {
-        let peer = self.connections.at(index);
+        let peer = self.connections.open_peer(index);
         peer.watches_endpoints = true;
         let host = peer.host;
         let snapshot = self.endpoint_list.snapshot(&self.nodes, self.now);
@@ -112,7 +112,7 @@
     }
 
     fn send_list(&mut self, index: usize, list: &EndpointListUpdate) {
-        let host = self.connections.at(index).host;
+        let host = self.connections.open_peer(index).host;
         for entry in list.entries.iter().filter(|entry| entry.state != EntryState::Ready) {
             let (node, incarnation) = (entry.node, entry.incarnation);
             self.events.record(NodeEvent::DrainNotified { host, node, incarnation });
--- a/crates/emulator/src/execution.rs
+++ b/crates/emulator/src/execution.rs
@@ -67,7 +67,7 @@
         attempt: &Attempt<'_>,
         parts: usize,
     ) -> ReceivedAttempt {
-        let peer = self.connections.at(index);
+        let peer = self.connections.open_peer(index);
         ReceivedAttempt {
             host: peer.host,
             connection: peer.id,
--- a/crates/emulator/src/fault_script.rs
+++ b/crates/emulator/src/fault_script.rs
@@ -40,7 +40,7 @@
     OldMapReplay,
 }
 
-/// Kinds of fault by their names in a settings file.
+/// Kinds of fault, by name in a settings file.
 const KINDS: [(&str, FaultKind); 23] = [
     ("silent", FaultKind::Unresponsive),
     ("answers-lost", FaultKind::AnswersLost),
@@ -89,18 +89,19 @@
     root.repeated_blocks("trouble").iter().filter_map(read_fault).collect()
 }
 
-fn read_fault(p: &SettingsBlock<'_>) -> Option<Fault> {
-    let kind = KINDS.iter().find(|(name, _)| *name == p.label()).map(|(_, kind)| *kind);
+fn read_fault(block: &SettingsBlock<'_>) -> Option<Fault> {
+    let kind = KINDS.iter().find(|(name, _)| *name == block.label()).map(|(_, kind)| *kind);
     if kind.is_none() {
-        let known: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
-        p.report_error(format!("unknown trouble {:?}; known: {}", p.label(), known.join(", ")));
+        let kind_names: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
+        block.report_error(format!("unknown trouble {:?}; known: {}", block.label(), kind_names.join(", ")));
     }
-    let (from, to) = (p.attribute("from").duration_ms(), p.attribute("to").duration_ms_or(f64::INFINITY));
+    let (from, to) =
+        (block.attribute("from").duration_ms(), block.attribute("to").duration_ms_or(f64::INFINITY));
     if to <= from {
-        p.report_attribute_error("to", "a trouble that ends before it begins");
+        block.report_attribute_error("to", "a trouble that ends before it begins");
     }
-    let successors = p.attribute("successors");
-    let target_fields = ["nodes", "zones", "hosts", "volumes"].map(|name| p.attribute(name));
+    let successors = block.attribute("successors");
+    let target_fields = ["nodes", "zones", "hosts", "volumes"].map(|name| block.attribute(name));
     let targets =
         target_fields.iter().find(|field| field.is_present()).map_or(Vec::new(), |field| field.integers());
     Some(Fault {
@@ -108,9 +109,9 @@
         targets,
         from,
         to,
-        extent: p.attribute("extent").integer_or(0..=1 << 20, 0) as usize,
-        shard: p.attribute("shard").integer_or(0..=u64::from(u16::MAX), 0) as u32,
-        magnitude: p.attribute("amount").number_or(1.0),
+        extent: block.attribute("extent").integer_or(0..=1 << 20, 0) as usize,
+        shard: block.attribute("shard").integer_or(0..=u64::from(u16::MAX), 0) as u32,
+        magnitude: block.attribute("amount").number_or(1.0),
         successors: if successors.is_present() { successors.integers() } else { Vec::new() },
     })
 }
--- a/crates/emulator/src/map_publication.rs
+++ b/crates/emulator/src/map_publication.rs
@@ -106,7 +106,7 @@
             let MapEntry { volume, start, version, .. } = *entry;
             let end = self.map.map().find(volume, start).map_or(start, |extent| extent.end);
             for index in &watching {
-                let host = self.connections.at(*index).host;
+                let host = self.connections.open_peer(*index).host;
                 self.events.record(NodeEvent::MapUpdateSent { host, volume, start, end, version });
             }
         }
@@ -114,7 +114,7 @@
 
     /// Sends the whole map to a host, and subscribes the host to updates.
     pub(crate) fn watch_map(&mut self, index: usize) {
-        self.connections.at(index).watches_map = true;
+        self.connections.open_peer(index).watches_map = true;
         let snapshot = self.map_snapshot();
         self.send_map_snapshot(index, &snapshot);
     }
--- a/crates/emulator/src/map_service.rs
+++ b/crates/emulator/src/map_service.rs
@@ -171,7 +171,7 @@
 
     /// Returns the payload that the owner of each key stores; without a map, the payload of every shard that
     /// stores the key.
-    pub(crate) fn stored(&self) -> Vec<StoredKey> {
+    pub(crate) fn stored_keys(&self) -> Vec<StoredKey> {
         let owned = self.store.iter().filter(|(shard, volume, key, _)| {
             self.map.find(*volume, *key).is_none_or(|extent| extent.shard == *shard)
         });
--- a/crates/emulator/src/node_event.rs
+++ b/crates/emulator/src/node_event.rs
@@ -3,7 +3,7 @@
 /// An action or observation of a node or the endpoint list service. A host is identified by its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeEvent {
-    /// A node's process started.
+    /// The process of a node started.
     Started {
         /// Number of the node.
         node: u32,
@@ -12,7 +12,7 @@
         /// Set if the node warms up, with a fraction of its capacity.
         warming_up: bool,
     },
-    /// A node's process ended.
+    /// The process of a node ended.
     Stopped {
         /// Number of the node.
         node: u32,
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -10,7 +10,7 @@
 /// Longest sleep between checks whether the script was stopped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One step of a script. Nodes, hosts and volumes are identified by number.
+/// A step of a script. Nodes, hosts and volumes are identified by number.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// A node executes requests but sends no answers.
@@ -69,35 +69,37 @@
     fn apply(&self, emulator: &mut Emulator) -> bool {
         match *self {
             Step::Unresponsive(node, enabled) => {
-                on_faults(emulator, node, |faults| faults.unresponsive = enabled)
+                with_faults(emulator, node, |faults| faults.unresponsive = enabled)
             }
             Step::AnswerLoss(node, fraction) => {
-                on_faults(emulator, node, |faults| faults.answer_loss = fraction)
+                with_faults(emulator, node, |faults| faults.answer_loss = fraction)
             }
-            Step::Slowdown(node, factor) => on_faults(emulator, node, |faults| faults.slowdown = factor),
+            Step::Slowdown(node, factor) => with_faults(emulator, node, |faults| faults.slowdown = factor),
             Step::UsageWithheld(node, enabled) => {
-                on_faults(emulator, node, |faults| faults.usage_withheld = enabled)
+                with_faults(emulator, node, |faults| faults.usage_withheld = enabled)
             }
-            Step::QueueFull(node, enabled) => on_faults(emulator, node, |faults| faults.queue_full = enabled),
-            Step::Hang(node, enabled) => on_faults(emulator, node, |faults| faults.hung = enabled),
+            Step::QueueFull(node, enabled) => {
+                with_faults(emulator, node, |faults| faults.queue_full = enabled)
+            }
+            Step::Hang(node, enabled) => with_faults(emulator, node, |faults| faults.hung = enabled),
             Step::PartialFailure(node, fraction) => {
-                on_faults(emulator, node, |faults| faults.partial_failure = fraction)
+                with_faults(emulator, node, |faults| faults.partial_failure = fraction)
             }
-            Step::ResetMidFrame(node) => on_faults(emulator, node, |faults| faults.reset_mid_frame = true),
-            Step::Stop(node) => on_node(emulator, node, Emulator::stop_node),
-            Step::StartWarmingUp(number) => on_node(emulator, number, |emulator, node| {
+            Step::ResetMidFrame(node) => with_faults(emulator, node, |faults| faults.reset_mid_frame = true),
+            Step::Stop(node) => with_node(emulator, node, Emulator::stop_node),
+            Step::StartWarmingUp(number) => with_node(emulator, number, |emulator, node| {
                 if let Err(error) = emulator.start_node(node, true) {
                     tracing::error!(node = number, %error, "node_restart_failed");
                 }
             }),
             Step::Drain(node) => {
-                on_node(emulator, node, |emulator, node| emulator.set_listed(node, true, true))
+                with_node(emulator, node, |emulator, node| emulator.set_listed(node, true, true))
             }
             Step::Unlist(node) => {
-                on_node(emulator, node, |emulator, node| emulator.set_listed(node, false, false))
+                with_node(emulator, node, |emulator, node| emulator.set_listed(node, false, false))
             }
             Step::List(node) => {
-                on_node(emulator, node, |emulator, node| emulator.set_listed(node, true, false))
+                with_node(emulator, node, |emulator, node| emulator.set_listed(node, true, false))
             }
             Step::ListDown(down) => emulator.set_list_down(down),
             Step::Migrate(volume, extent, shard) => emulator.migrate_extent(volume, extent, shard),
@@ -112,15 +114,15 @@
     }
 }
 
-/// Calls an action with the index of the node with a number, if there is one.
-fn on_node(emulator: &mut Emulator, number: u32, action: impl FnOnce(&mut Emulator, usize)) {
+/// Calls an action with the index of the node that has a number; does nothing without such a node.
+fn with_node(emulator: &mut Emulator, number: u32, action: impl FnOnce(&mut Emulator, usize)) {
     if let Some(node) = emulator.node_index(number) {
         action(emulator, node);
     }
 }
 
-fn on_faults(emulator: &mut Emulator, number: u32, change: impl FnOnce(&mut NodeFaults)) {
-    on_node(emulator, number, |emulator, node| emulator.change_faults(node, change));
+fn with_faults(emulator: &mut Emulator, number: u32, change: impl FnOnce(&mut NodeFaults)) {
+    with_node(emulator, number, |emulator, node| emulator.change_faults(node, change));
 }
 
 /// Executes steps at their times on `clock`, counted from `start`; steps that do not affect the emulator are
--- a/crates/extents/src/extent_map.rs
+++ b/crates/extents/src/extent_map.rs
@@ -30,7 +30,7 @@
     rows: Vec<Row>,
 }
 
-/// One change of the map. An extent is identified by its first offset, `start`.
+/// A change of the map. An extent is identified by its first offset, `start`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Adds a volume of one extent, at version 1.
@@ -76,7 +76,7 @@
     },
 }
 
-/// The changes of one epoch.
+/// Changes of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Changes {
     /// Epoch of the map after the changes.
@@ -137,7 +137,7 @@
         /// First offset of the extent.
         start: u64,
     },
-    /// The first extent does not start at 0, or the starts of the extents do not rise.
+    /// The extents do not start at 0, do not rise, or leave a gap.
     #[error("the extents of volume {volume} leave a gap or overlap")]
     NotContiguous {
         /// Number of the volume.
--- a/crates/extents/src/migration_limits/tests.rs
+++ b/crates/extents/src/migration_limits/tests.rs
@@ -16,8 +16,8 @@
                 running.extend(may.then_some(*m));
                 !may
             });
-            let at = |s: u32| running.iter().filter(|m| m.source == s || m.target == s).count();
-            if running.len() > 3 || (0..5).any(|s| at(s) > 2) {
+            let running_at_shard = |s: u32| running.iter().filter(|m| m.source == s || m.target == s).count();
+            if running.len() > 3 || (0..5).any(|s| running_at_shard(s) > 2) {
                 return false;
             }
             running.pop();
--- a/crates/scenario/src/audit/at_most_once.rs
+++ b/crates/scenario/src/audit/at_most_once.rs
@@ -45,11 +45,11 @@
     verdict.add_checked(Rule::AtMostOnce, effects.len());
 }
 
-/// Finds attempts that repeat a possibly executed attempt outside the deduplication scope or window.
+/// Finds attempts that repeat a possibly executed attempt without being covered by deduplication.
 fn check_attempts(run: &Run<'_>, tracked: &TrackedRequest, verdict: &mut Verdict) {
     let attempts: Vec<&TrackedAttempt> = run.attempts_of(tracked).collect();
     for (index, attempt) in attempts.iter().enumerate() {
-        let earlier = attempts[..index].iter().find(|earlier| !earlier.known_not_executed(attempt.at));
+        let earlier = attempts[..index].iter().find(|earlier| !earlier.reported_not_executed(attempt.at));
         let Some(earlier) = earlier else { continue };
         if let Some(description) = unsafe_repeat(run, tracked, earlier, attempt) {
             verdict.add_attempt(Rule::AtMostOnce, attempt.at, attempt, description);
@@ -81,7 +81,7 @@
     let class = &run.evidence.host.scheduler.classes[usize::from(tracked.request.class)];
     let deduplicated_everywhere = class.idempotency == Idempotency::IdempotentWithKey
         && class.deduplication_scope == DeduplicationScope::All;
-    let executed = run.attempts_of(tracked).find(|attempt| !attempt.known_not_executed(at));
+    let executed = run.attempts_of(tracked).find(|attempt| !attempt.reported_not_executed(at));
     if let Some(attempt) = executed.filter(|_| !deduplicated_everywhere) {
         verdict.add_attempt(Rule::AtMostOnce, at, attempt, "rejected though it may have been executed");
     }
--- a/crates/scenario/src/audit/evidence.rs
+++ b/crates/scenario/src/audit/evidence.rs
@@ -44,7 +44,7 @@
         self.emulator.nodes.iter().find(|node| node.number == number)
     }
 
-    /// Returns the units of work that a node can execute per millisecond at a time since its start.
+    /// Returns the units of work that a node can execute per millisecond, at a time after its start.
     pub(super) fn units_per_ms(&self, node: &NodeConfig, since_start: Ms) -> f64 {
         let slow_start = self.emulator.slow_start;
         let warmed_up = (1.0 - slow_start.initial_capacity) * since_start / slow_start.duration;
@@ -66,7 +66,7 @@
     }
 }
 
-/// The effect of a write on one block.
+/// Effect of a write on one block.
 pub(super) struct BlockWrite {
     pub at: Ms,
     /// Incarnation of the host that sent the request.
@@ -117,7 +117,7 @@
 
 impl TrackedAttempt {
     /// Returns whether the node had answered by the given time that it did not execute the attempt.
-    pub(super) fn known_not_executed(&self, by: Ms) -> bool {
+    pub(super) fn reported_not_executed(&self, by: Ms) -> bool {
         self.answered.is_some_and(|(at, executed)| !executed && at <= by)
     }
 }
--- a/crates/scenario/src/audit/retry_storm.rs
+++ b/crates/scenario/src/audit/retry_storm.rs
@@ -18,7 +18,7 @@
 /// Interval between the starts of the examined windows.
 const WINDOW_STEP: Ms = 250.0;
 
-/// The restart of one node, or of several nodes within one window.
+/// Restart of one node, or of several nodes within one window.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct NodeReturn {
     /// Time at which the first of the nodes started.
@@ -114,8 +114,8 @@
 }
 
 fn run_begin(evidence: &Evidence<'_>) -> Ms {
-    let sent = |(at, event): &(Ms, ClientEvent)| matches!(event, ClientEvent::Sent(_)).then_some(*at);
-    evidence.client_events.iter().find_map(sent).unwrap_or(0.0)
+    let sent_at = |(at, event): &(Ms, ClientEvent)| matches!(event, ClientEvent::Sent(_)).then_some(*at);
+    evidence.client_events.iter().find_map(sent_at).unwrap_or(0.0)
 }
 
 fn next_stop(evidence: &Evidence<'_>, after: Ms) -> Option<Ms> {
@@ -184,7 +184,7 @@
     restarts
 }
 
-/// One sending of a request by a client.
+/// A transmission of a request by a client.
 struct Send {
     at: Ms,
     is_retry: bool,
--- a/crates/scenario/src/audit/verdict.rs
+++ b/crates/scenario/src/audit/verdict.rs
@@ -30,7 +30,7 @@
 }
 
 impl Rule {
-    /// All rules, in the order of a report.
+    /// All rules, in the order of reports.
     pub const ALL: [Rule; 9] = [
         Rule::FinalAnswer,
         Rule::AtMostOnce,
@@ -65,7 +65,7 @@
     }
 }
 
-/// One violation of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Finding {
     /// Rule that was violated.
--- a/crates/scenario/src/benchmark.rs
+++ b/crates/scenario/src/benchmark.rs
@@ -262,7 +262,7 @@
 
 #[derive(Clone, Copy)]
 enum Load {
-    /// The highest rate that the path supports.
+    /// Highest rate that the path supports.
     Flood,
     /// A number of requests per second.
     Rate(f64),
--- a/crates/scenario/src/client_event.rs
+++ b/crates/scenario/src/client_event.rs
@@ -26,7 +26,7 @@
     pub write: bool,
     /// Index of the connection. The host receives requests in the order sent on a connection.
     pub connection: usize,
-    /// Units of work.
+    /// Number of units of work.
     pub units: f64,
     /// Client timeout of the request.
     pub timeout: Ms,
--- a/crates/scenario/src/client_loop.rs
+++ b/crates/scenario/src/client_loop.rs
@@ -320,7 +320,7 @@
         let mut frames = Frames::new(&bytes);
         for message in frames.by_ref() {
             match message {
-                Ok(Message::Hello(hello)) => self.connections.on_hello(index, &hello),
+                Ok(Message::Hello(greeting)) => self.connections.on_greeting(index, &greeting),
                 Ok(Message::FinalAnswer(answer)) => {
                     let retry_after = f64::from(answer.retry_after_us) / 1000.0;
                     self.on_answer(answer.request_id, answer.code, retry_after, answer.payload);
@@ -332,8 +332,8 @@
                 }
             }
         }
-        let used = frames.consumed();
-        self.connections.give_back(index, bytes, used);
+        let consumed = frames.consumed();
+        self.connections.return_input(index, bytes, consumed);
         if ended {
             self.on_connection_lost(index);
         }
--- a/crates/scenario/src/config.rs
+++ b/crates/scenario/src/config.rs
@@ -95,7 +95,7 @@
     pub retry_behaviours: Vec<RetryBehaviour>,
 }
 
-/// The settings of a scenario.
+/// Settings of a scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioConfig {
     /// Time during which clients send requests.
@@ -142,14 +142,17 @@
     let scenario = root.optional_block("drill");
     let traffic = root.optional_block("traffic");
     let time = |name, absent| {
-        scenario.as_ref().map_or(absent, |p: &SettingsBlock<'_>| p.attribute(name).duration_ms_or(absent))
+        scenario
+            .as_ref()
+            .map_or(absent, |block: &SettingsBlock<'_>| block.attribute(name).duration_ms_or(absent))
     };
     let (duration, drain_grace, clock_tolerance) =
         (time("time", 10_000.0), time("drain_within", 250.0), time("noise", 60.0));
-    let alone = scenario.as_ref().map(|p| p.attribute("alone")).filter(|field| field.is_present());
-    let hosts_without_coalescing = alone.map_or(Vec::new(), |field| field.integers());
-    let traffic = traffic.map(|p| read_traffic(&p, host));
-    let retry_storm = root.optional_block("storm").map(|p| read_retry_storm(&p));
+    let hosts_setting =
+        scenario.as_ref().map(|block| block.attribute("alone")).filter(|field| field.is_present());
+    let hosts_without_coalescing = hosts_setting.map_or(Vec::new(), |field| field.integers());
+    let traffic = traffic.map(|block| read_traffic(&block, host));
+    let retry_storm = root.optional_block("storm").map(|block| read_retry_storm(&block));
     if traffic.is_none() && scenario.is_some() {
         root.report_error("the block traffic is missing; a drill needs clients");
     }
@@ -164,43 +167,43 @@
     })
 }
 
-fn read_retry_storm(p: &SettingsBlock<'_>) -> RetryStormExpectation {
+fn read_retry_storm(block: &SettingsBlock<'_>) -> RetryStormExpectation {
     RetryStormExpectation {
-        max_load: p.attribute("ceiling").number(),
-        quiet_duration: p.attribute("quiet").duration_ms(),
-        recovery_share: p.attribute("recovers_to").fraction_or(0.9),
-        max_recovery_time: p.attribute("recovers_in").duration_ms_or(10_000.0),
+        max_load: block.attribute("ceiling").number(),
+        quiet_duration: block.attribute("quiet").duration_ms(),
+        recovery_share: block.attribute("recovers_to").fraction_or(0.9),
+        max_recovery_time: block.attribute("recovers_in").duration_ms_or(10_000.0),
     }
 }
 
-fn read_traffic(p: &SettingsBlock<'_>, host: &HostConfig) -> TrafficConfig {
-    let mixes: Vec<Mix> = p.labelled_blocks("mix").iter().filter_map(|mix| read_mix(mix, host)).collect();
+fn read_traffic(block: &SettingsBlock<'_>, host: &HostConfig) -> TrafficConfig {
+    let mixes: Vec<Mix> = block.labelled_blocks("mix").iter().filter_map(|mix| read_mix(mix, host)).collect();
     if mixes.iter().map(|mix| mix.share).sum::<f64>() <= 0.0 {
-        p.report_error("no mix with a share; expected at least one block mix \"band\"");
+        block.report_error("no mix with a share; expected at least one block mix \"band\"");
     }
     TrafficConfig {
-        rate: p.attribute("rate").number(),
-        connections_per_host: p.attribute("clients").integer_or(1..=10_000, 4) as usize,
-        keys: p.attribute("keys").integer_or(1..=1_000_000, 100),
-        mean_run_length: p.attribute("run").integer_or(1..=1_000_000, 1),
-        retries: p.attribute("retries").bool_or(true),
+        rate: block.attribute("rate").number(),
+        connections_per_host: block.attribute("clients").integer_or(1..=10_000, 4) as usize,
+        keys: block.attribute("keys").integer_or(1..=1_000_000, 100),
+        mean_run_length: block.attribute("run").integer_or(1..=1_000_000, 1),
+        retries: block.attribute("retries").bool_or(true),
         mixes,
-        retry_behaviours: p.labelled_blocks("habit").iter().map(read_retry_behaviour).collect(),
+        retry_behaviours: block.labelled_blocks("habit").iter().map(read_retry_behaviour).collect(),
     }
 }
 
-fn read_mix(p: &SettingsBlock<'_>, host: &HostConfig) -> Option<Mix> {
+fn read_mix(block: &SettingsBlock<'_>, host: &HostConfig) -> Option<Mix> {
     let mut classes = host.classes.iter().map(String::as_str).zip(0..);
-    let class = classes.find(|(name, _)| *name == p.label()).map(|(_, number)| number);
+    let class = classes.find(|(name, _)| *name == block.label()).map(|(_, number)| number);
     if class.is_none() {
-        p.report_error(format!("a mix of the unknown band {:?}", p.label()));
+        block.report_error(format!("a mix of the unknown band {:?}", block.label()));
     }
     Some(Mix {
-        share: p.attribute("share").number(),
-        write: p.attribute("write").bool_or(false),
-        max_units: p.attribute("units").integer_or(1..=host.scheduler.max_units.max(1.0) as u64, 1),
-        blocks: p.attribute("blocks").integer_or(0..=1 << 16, 0),
-        payload: p.attribute("payload").integer_or(0..=1 << 20, 64) as usize,
+        share: block.attribute("share").number(),
+        write: block.attribute("write").bool_or(false),
+        max_units: block.attribute("units").integer_or(1..=host.scheduler.max_units.max(1.0) as u64, 1),
+        blocks: block.attribute("blocks").integer_or(0..=1 << 16, 0),
+        payload: block.attribute("payload").integer_or(0..=1 << 20, 64) as usize,
         class: class?,
     })
 }
@@ -208,12 +211,12 @@
 const BACKOFFS: [(&str, Backoff); 3] =
     [("at-once", Backoff::None), ("fixed", Backoff::Fixed), ("exponential", Backoff::Exponential)];
 
-fn read_retry_behaviour(p: &SettingsBlock<'_>) -> RetryBehaviour {
+fn read_retry_behaviour(block: &SettingsBlock<'_>) -> RetryBehaviour {
     RetryBehaviour {
-        share: p.attribute("share").number(),
-        backoff: p.attribute("again").one_of_or(&BACKOFFS, Backoff::Exponential),
-        delay: p.attribute("wait").duration_ms_or(50.0),
-        max_sends: p.attribute("tries").integer_or(1..=1000, 4) as u32,
-        retry_after_compliance: p.attribute("heeds").fraction_or(1.0),
+        share: block.attribute("share").number(),
+        backoff: block.attribute("again").one_of_or(&BACKOFFS, Backoff::Exponential),
+        delay: block.attribute("wait").duration_ms_or(50.0),
+        max_sends: block.attribute("tries").integer_or(1..=1000, 4) as u32,
+        retry_after_compliance: block.attribute("heeds").fraction_or(1.0),
     }
 }
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -18,7 +18,7 @@
         /// Underlying error.
         source: io::Error,
     },
-    /// The first line of a process is not its address.
+    /// The first output line of a process does not contain its address.
     #[error("{program} printed {line:?} instead of its address")]
     NoAddress {
         /// Path of the program.
@@ -56,7 +56,7 @@
         /// Underlying error.
         source: io::Error,
     },
-    /// The clients' thread panicked.
+    /// The thread of the clients panicked.
     #[error("the thread of the clients panicked")]
     ClientsFailed,
     /// The settings of a measurement are invalid.
--- a/crates/scenario/src/host_connections.rs
+++ b/crates/scenario/src/host_connections.rs
@@ -55,8 +55,8 @@
         for index in self.of_host(host) {
             // Requests of a connection that cannot be opened are not sent.
             let Ok(mut connection) = Connection::connect(&self.poll, address, index) else { continue };
-            let hello = Hello::new(Role::Client, index as u32, 0, AGE_LONG_RUNNING);
-            connection.queue(&Message::Hello(hello), UNTRACKED);
+            let greeting = Hello::new(Role::Client, index as u32, 0, AGE_LONG_RUNNING);
+            connection.queue(&Message::Hello(greeting), UNTRACKED);
             self.connections[index] = Some(HostConnection { connection, incarnation: None });
         }
     }
@@ -72,9 +72,9 @@
     }
 
     /// Records the greeting of the host at the other end.
-    pub(crate) fn on_hello(&mut self, index: usize, hello: &Hello) {
+    pub(crate) fn on_greeting(&mut self, index: usize, greeting: &Hello) {
         if let Some(host) = &mut self.connections[index] {
-            host.incarnation = Some(hello.incarnation);
+            host.incarnation = Some(greeting.incarnation);
         }
     }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Reads the received bytes; unused bytes are returned with [`HostConnections::give_back`].
+    /// Reads the received bytes; unused bytes are returned with [`HostConnections::return_input`].
     pub(crate) fn receive(&mut self, index: usize) -> Option<ReceivedBytes> {
         let connection = &mut self.connections[index].as_mut()?.connection;
         let ended = connection.fill().is_err();
@@ -93,7 +93,7 @@
     }
 
     /// Returns the buffer to the connection and discards its first `used` bytes.
-    pub(crate) fn give_back(&mut self, index: usize, bytes: Vec<u8>, used: usize) {
+    pub(crate) fn return_input(&mut self, index: usize, bytes: Vec<u8>, used: usize) {
         if let Some(host) = &mut self.connections[index] {
             host.connection.return_input(bytes, used);
         }
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -77,9 +77,9 @@
         while let Some(Ok(message)) = frames.next() {
             self.forward(key, &message);
         }
-        let used = frames.consumed();
+        let consumed = frames.consumed();
         if let Some(connection) = self.connection(key) {
-            connection.return_input(input, used);
+            connection.return_input(input, consumed);
         }
         match key.checked_sub(CLIENTS) {
             Some(client) if ended => _ = self.clients.try_remove(client),
--- a/crates/scenario/src/scenario_run.rs
+++ b/crates/scenario/src/scenario_run.rs
@@ -40,7 +40,7 @@
     /// Number of requests that failed.
     #[serde(rename = "scrapped")]
     pub failed: u64,
-    /// Number of requests whose connection ended because the host was killed.
+    /// Number of requests whose connection to the host ended before an answer.
     pub host_died: u64,
     /// Number of requests without an answer in time.
     pub unanswered: u64,
@@ -124,7 +124,7 @@
     let clients = clients.finish()?;
     let exit_codes =
         hosts.into_iter().flatten().map(HostProcess::end).collect::<Result<Vec<_>, ScenarioError>>()?;
-    let stored = stored_data(&handle, emulator, options.defect);
+    let stored_keys = read_stored_keys(&handle, emulator, options.defect);
     let emulator_delay = handle.query(|emulator| emulator.longest_delay()).unwrap_or_default();
     let node_events = handle.take_events();
     let verdict = audit(&Evidence {
@@ -134,7 +134,7 @@
         node_events: &node_events,
         client_events: &clients.events,
         stalls: &stalls,
-        stored: &stored,
+        stored: &stored_keys,
     });
     Ok(report(settings, options, clients, emulator_delay, verdict, exit_codes))
 }
@@ -190,12 +190,12 @@
     config.seed ^= options.seed << 8;
     let interceptor = options.defect.and_then(|defect| defect.interceptor(settings.host));
     let handle = EmulatorHandle::start(config, clock, interceptor)?;
-    let is = |other: SeededDefect| options.defect == Some(other);
+    let is_seeded = |other: SeededDefect| options.defect == Some(other);
     let defects = EmulatorDefects {
         fence_ignored: is_data_defect(options.defect),
-        moved_as_success: is(SeededDefect::IgnoredRedirect),
-        swapped_blocks: is(SeededDefect::SwappedBlocks),
-        half_map_updates: is(SeededDefect::HalfMapUpdates),
+        moved_as_success: is_seeded(SeededDefect::IgnoredRedirect),
+        swapped_blocks: is_seeded(SeededDefect::SwappedBlocks),
+        half_map_updates: is_seeded(SeededDefect::HalfMapUpdates),
     };
     handle.execute(move |emulator| emulator.seed_defects(defects));
     Ok(handle)
@@ -215,19 +215,19 @@
 
 /// Returns the payloads that the owners of all keys store. Without an extent map there is no fence to ignore, so
 /// the data defect removes a key instead.
-fn stored_data(
+fn read_stored_keys(
     handle: &EmulatorHandle,
     emulator: &EmulatorConfig,
     defect: Option<SeededDefect>,
 ) -> Vec<StoredKey> {
-    let mut stored = handle.query(|emulator| emulator.stored_keys()).unwrap_or_default();
+    let mut stored_keys = handle.query(|emulator| emulator.stored_keys()).unwrap_or_default();
     if is_data_defect(defect) && emulator.extents_per_volume == 0 {
-        stored.pop();
+        stored_keys.pop();
     }
-    stored
+    stored_keys
 }
 
-/// The part of a script that affects hosts and clients.
+/// Execution of the steps of a script that affect hosts and clients.
 struct HostScript<'a> {
     program: HostProgram,
     hosts: Vec<Option<HostProcess>>,
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -11,7 +11,7 @@
     id: u64,
     /// Hosts through which clients access the volume.
     hosts: Vec<usize>,
-    /// Factor by which the traffic of the volume exceeds its usual traffic.
+    /// Current traffic of the volume, as a multiple of its usual traffic.
     surge: f64,
     /// Key and host of the last request, by traffic mix.
     last_requests: Vec<(u64, usize)>,
