--- a/crates/hcl-settings/src/attribute.rs
+++ b/crates/hcl-settings/src/attribute.rs
@@ -1,4 +1,4 @@
-//! One attribute, read as the type that its reader expects.
+//! A single attribute, read as the type that the caller expects.
 
 use crate::errors::ErrorKind;
 use crate::SettingsBlock;
@@ -7,24 +7,24 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// An attribute, present or not. Reading it as another type than it has collects an error; the value is then the type's
-/// default, which is never used.
+/// An attribute that may be absent from the file. Reading a value of the wrong type records an error and returns the
+/// type's default, which is never used, since a file with an error yields no value.
 pub struct SettingsAttribute<'b, 't> {
     block: &'b SettingsBlock<'t>,
     name: &'static str,
     attribute: Option<&'t Attribute>,
 }
 
-/// Units of time that a value may name, and their lengths in milliseconds.
+/// Time units allowed in a duration, with their lengths in milliseconds.
 const UNITS: [(&str, f64); 5] =
     [("us", 0.001), ("ms", 1.0), ("s", 1000.0), ("min", 60_000.0), ("h", 3_600_000.0)];
 
-/// Characters of a value that a message shows.
-const SHOWN_CHARACTERS: usize = 40;
+/// Maximum number of characters of a value shown in an error message.
+const MAX_SHOWN_CHARACTERS: usize = 40;
 
-const DURATION: &str = "a time as \"200ms\" or \"1.5s\"";
-const NUMBER: &str = "a number from 0";
-const ADDRESS: &str = "an address and port as \"127.0.0.1:7400\"";
+const DURATION: &str = "a duration such as \"200ms\" or \"1.5s\"";
+const NUMBER: &str = "a non-negative number";
+const ADDRESS: &str = "an address and port such as \"127.0.0.1:7400\"";
 
 impl<'b, 't> SettingsAttribute<'b, 't> {
     pub(crate) fn new(
@@ -35,12 +35,13 @@
         SettingsAttribute { block, name, attribute }
     }
 
-    /// Whether the file has the attribute.
+    /// Returns whether the file contains the attribute.
     pub fn is_present(&self) -> bool {
         self.attribute.is_some()
     }
 
-    /// The value through `parse`; none where the attribute is absent or wrong.
+    /// Returns the value converted by `parse`, or `None` if the attribute is absent. Records an error and returns `None`
+    /// if `parse` rejects the value.
     fn read<T>(&self, expected: &str, parse: impl FnOnce(&Expression) -> Option<T>) -> Option<T> {
         let value = &self.attribute?.value;
         let parsed = parse(value);
@@ -52,7 +53,7 @@
         parsed
     }
 
-    /// Collects an error where the attribute is absent.
+    /// Returns the value or the type's default; records an error if the attribute is absent.
     fn require<T: Default>(&self, value: Option<T>, expected: &str) -> T {
         if self.attribute.is_none() {
             let (scope, name, expected) = (self.block.scope(), self.name, expected.to_string());
@@ -61,38 +62,38 @@
         value.unwrap_or_default()
     }
 
-    /// A length of time in milliseconds, written as "200ms".
+    /// Returns a duration in milliseconds, written in the file as "200ms", for example.
     pub fn duration_ms(&self) -> f64 {
         self.require(self.read(DURATION, parse_duration_ms), DURATION)
     }
 
-    /// A length of time in milliseconds, with a default.
+    /// Returns a duration in milliseconds, or `default` if the attribute is absent.
     pub fn duration_ms_or(&self, default: f64) -> f64 {
         self.read(DURATION, parse_duration_ms).unwrap_or(default)
     }
 
-    /// A number that is finite and not below 0.
+    /// Returns a finite number of at least 0.
     pub fn number(&self) -> f64 {
         self.require(self.read(NUMBER, parse_number), NUMBER)
     }
 
-    /// A number that is finite and not below 0, with a default.
+    /// Returns a finite number of at least 0, or `default` if the attribute is absent.
     pub fn number_or(&self, default: f64) -> f64 {
         self.read(NUMBER, parse_number).unwrap_or(default)
     }
 
-    /// A fraction from 0 to 1, with a default.
+    /// Returns a fraction from 0 to 1, or `default` if the attribute is absent.
     pub fn fraction_or(&self, default: f64) -> f64 {
         self.read("a number from 0 to 1", |v| parse_number(v).filter(|n| *n <= 1.0)).unwrap_or(default)
     }
 
-    /// An integer within a range.
+    /// Returns an integer within `range`.
     pub fn integer(&self, range: RangeInclusive<u64>) -> u64 {
         let expected = format!("a whole number from {} to {}", range.start(), range.end());
         self.require(self.read(&expected, |v| parse_integer(v).filter(|n| range.contains(n))), &expected)
     }
 
-    /// An integer within a range, with a default.
+    /// Returns an integer within `range`, or `default` if the attribute is absent.
     pub fn integer_or(&self, range: RangeInclusive<u64>, default: u64) -> u64 {
         if self.is_present() {
             self.integer(range)
@@ -101,23 +102,23 @@
         }
     }
 
-    /// A list of integers.
+    /// Returns a list of integers.
     pub fn integers(&self) -> Vec<u64> {
-        let expected = "a list of whole numbers as [0, 1]";
+        let expected = "a list of whole numbers such as [0, 1]";
         self.require(self.read(expected, |v| v.as_array()?.iter().map(parse_integer).collect()), expected)
     }
 
-    /// True or false, with a default.
+    /// Returns a boolean, or `default` if the attribute is absent.
     pub fn bool_or(&self, default: bool) -> bool {
         self.read("true or false", Expression::as_bool).unwrap_or(default)
     }
 
-    /// A string.
+    /// Returns a string.
     pub fn string(&self) -> String {
-        self.require(self.read("a text", |v| v.as_str().map(str::to_string)), "a text")
+        self.require(self.read("a string", |v| v.as_str().map(str::to_string)), "a string")
     }
 
-    /// A string, with a default.
+    /// Returns a string, or `default` if the attribute is absent.
     pub fn string_or(&self, default: &str) -> String {
         if self.is_present() {
             self.string()
@@ -126,12 +127,12 @@
         }
     }
 
-    /// An address and port as "127.0.0.1:7400".
+    /// Returns an address and port, written in the file as "127.0.0.1:7400", for example.
     pub fn address(&self) -> Option<SocketAddr> {
         self.require(self.read(ADDRESS, |v| v.as_str()?.parse().ok()).map(Some), ADDRESS)
     }
 
-    /// An address and port, with a default.
+    /// Returns an address and port, or `default` if the attribute is absent.
     pub fn address_or(&self, default: SocketAddr) -> SocketAddr {
         if self.is_present() {
             self.address().unwrap_or(default)
@@ -140,7 +141,7 @@
         }
     }
 
-    /// One of a table's names, as the value beside it.
+    /// Looks up the string in a table of allowed names and returns the value for the name.
     pub fn one_of<T: Copy>(&self, table: &[(&str, T)]) -> Option<T> {
         let names: Vec<String> = table.iter().map(|(name, _)| format!("{name:?}")).collect();
         let expected = names.join(" or ");
@@ -151,7 +152,7 @@
         self.require(self.read(&expected, find).map(Some), &expected)
     }
 
-    /// One of a table's names, as the value beside it, with a default.
+    /// Looks up the string in a table of allowed names; returns `default` if the attribute is absent.
     pub fn one_of_or<T: Copy>(&self, table: &[(&str, T)], default: T) -> T {
         if self.is_present() {
             self.one_of(table).unwrap_or(default)
@@ -171,17 +172,17 @@
 
 fn parse_duration_ms(value: &Expression) -> Option<f64> {
     let text = value.as_str()?;
-    let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
-    let (number, unit) = text.split_at(digits);
+    let unit_start = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
+    let (number, unit) = text.split_at(unit_start);
     let length = UNITS.iter().find(|(name, _)| *name == unit.trim())?.1;
     number.parse::<f64>().ok().map(|n| n * length)
 }
 
-/// A value as the file has it, shortened where it is long.
+/// Returns the source text of a value, truncated to [`MAX_SHOWN_CHARACTERS`].
 fn shorten(value: &Expression) -> String {
     let text = value.to_string();
     let text = text.trim();
-    match text.char_indices().nth(SHOWN_CHARACTERS) {
+    match text.char_indices().nth(MAX_SHOWN_CHARACTERS) {
         Some((cut, _)) => format!("{}...", &text[..cut]),
         None => text.to_string(),
     }
--- a/crates/hcl-settings/src/block.rs
+++ b/crates/hcl-settings/src/block.rs
@@ -1,4 +1,4 @@
-//! A block of a settings file, read by name.
+//! A block of a settings file, whose attributes and nested blocks are read by name.
 
 use crate::errors::{ErrorCollector, ErrorKind, Scope};
 use crate::SettingsAttribute;
@@ -8,26 +8,26 @@
 use std::cell::RefCell;
 use std::ops::Range;
 
-/// A block of the file, or the whole file.
+/// A block of the file, or the root block that represents the whole file.
 pub struct SettingsBlock<'t> {
     collector: &'t ErrorCollector<'t>,
     body: &'t Body,
     label: Option<String>,
-    /// Its name in messages, as `class "read"`.
+    /// Name and label as shown in error messages, such as `class "read"`.
     name: String,
-    /// Where it begins, in bytes of the file.
+    /// Byte offset of the block in the file.
     offset: usize,
-    known: RefCell<KnownNames>,
+    requested: RefCell<RequestedNames>,
 }
 
-/// The names that a reader has asked for.
+/// Names of attributes and blocks that the caller has read.
 #[derive(Default)]
-struct KnownNames {
+struct RequestedNames {
     attributes: Vec<&'static str>,
     blocks: Vec<&'static str>,
 }
 
-/// Whether blocks of a name carry a label.
+/// Number of labels required on blocks of a given name.
 #[derive(Clone, Copy, PartialEq)]
 enum Labels {
     None,
@@ -42,16 +42,17 @@
             label: None,
             name: String::new(),
             offset: 0,
-            known: RefCell::default(),
+            requested: RefCell::default(),
         }
     }
 
-    /// The block's label; empty for the whole file.
+    /// Returns the block's label, or an empty string if the block has none.
     pub fn label(&self) -> &str {
         self.label.as_deref().unwrap_or("")
     }
 
-    /// All blocks of a name that carry a label, in the order of the file; two with one label are an error.
+    /// Returns all labelled blocks of a given name in file order. Two blocks with the same label are an error, recorded at
+    /// the later block.
     pub fn labelled_blocks(&self, name: &'static str) -> Vec<SettingsBlock<'t>> {
         let blocks = self.blocks(name, Labels::One);
         for (i, block) in blocks.iter().enumerate() {
@@ -62,12 +63,12 @@
         blocks
     }
 
-    /// All blocks of a name whose labels may repeat.
+    /// Returns all labelled blocks of a given name in file order; labels may repeat.
     pub fn repeated_blocks(&self, name: &'static str) -> Vec<SettingsBlock<'t>> {
         self.blocks(name, Labels::One)
     }
 
-    /// The one block of a name without a label, if there is one.
+    /// Returns the unlabelled block of a given name, if present; records an error for each further block of the name.
     pub fn optional_block(&self, name: &'static str) -> Option<SettingsBlock<'t>> {
         let mut blocks = self.blocks(name, Labels::None);
         for block in blocks.iter().skip(1) {
@@ -76,7 +77,7 @@
         (!blocks.is_empty()).then(|| blocks.swap_remove(0))
     }
 
-    /// The one block of a name without a label; its absence is an error.
+    /// Returns the unlabelled block of a given name; records an error if the block is absent.
     pub fn required_block(&self, name: &'static str) -> Option<SettingsBlock<'t>> {
         let block = self.optional_block(name);
         if block.is_none() {
@@ -85,44 +86,44 @@
         block
     }
 
-    /// The attribute of a name, present or not.
+    /// Returns the attribute of a given name, which may be absent.
     pub fn attribute<'b>(&'b self, name: &'static str) -> SettingsAttribute<'b, 't> {
-        self.known.borrow_mut().attributes.push(name);
+        self.requested.borrow_mut().attributes.push(name);
         SettingsAttribute::new(self, name, self.body.get_attribute(name))
     }
 
-    /// Reports an error of the block as a whole.
+    /// Records an error at the start of the block.
     pub fn report_error(&self, message: impl Into<String>) {
         self.add_error(ErrorKind::Invalid(message.into()));
     }
 
-    /// Reports an error of one attribute; of the block where that is absent.
+    /// Records an error at an attribute, or at the start of the block if the attribute is absent.
     pub fn report_attribute_error(&self, name: &str, message: impl Into<String>) {
         let offset = self.body.get_attribute(name).map_or(self.offset, |a| self.attribute_offset(a));
         self.collector.add(offset, ErrorKind::Invalid(message.into()));
     }
 
-    /// Adds an error at the block's beginning.
+    /// Records an error of the given kind at the start of the block.
     pub(crate) fn add_error(&self, kind: ErrorKind) {
         self.collector.add(self.offset, kind);
     }
 
-    /// Adds an error at a value of the block.
+    /// Records an error at the position of a value in the block.
     pub(crate) fn add_value_error(&self, value: &Expression, kind: ErrorKind) {
         self.collector.add(start(value.span(), self.offset), kind);
     }
 
-    /// The block as the scope of an error.
+    /// Returns the error scope that names this block.
     pub(crate) fn scope(&self) -> Scope {
         Scope(self.name.clone())
     }
 
     fn blocks(&self, name: &'static str, labels: Labels) -> Vec<SettingsBlock<'t>> {
-        self.known.borrow_mut().blocks.push(name);
-        self.body.get_blocks(name).map(|block| self.inner(block, name, labels)).collect()
+        self.requested.borrow_mut().blocks.push(name);
+        self.body.get_blocks(name).map(|block| self.child(block, name, labels)).collect()
     }
 
-    fn inner(&self, block: &'t Block, name: &str, expected: Labels) -> SettingsBlock<'t> {
+    fn child(&self, block: &'t Block, name: &str, expected: Labels) -> SettingsBlock<'t> {
         let offset = start(block.ident.span(), self.offset);
         let labels: Vec<&str> = block.labels.iter().map(|l| l.as_str()).collect();
         match (expected, labels.len()) {
@@ -136,25 +137,25 @@
         }
         let label = labels.first().map(|l| l.to_string());
         let name = label.as_ref().map_or(name.to_string(), |l| format!("{name} {l:?}"));
-        let known = RefCell::default();
-        SettingsBlock { collector: self.collector, body: &block.body, label, name, offset, known }
+        let requested = RefCell::default();
+        SettingsBlock { collector: self.collector, body: &block.body, label, name, offset, requested }
     }
 
     fn attribute_offset(&self, attribute: &Attribute) -> usize {
         start(attribute.key.span(), start(attribute.value.span(), self.offset))
     }
 
-    fn add_unknown(&self, offset: usize, what: &'static str, name: &str, known: &[&'static str]) {
+    fn add_unknown(&self, offset: usize, item: &'static str, name: &str, known: &[&'static str]) {
         let scope = self.scope();
         let hint = hint(name, known);
-        self.collector.add(offset, ErrorKind::Unknown { scope, what, name: name.to_string(), hint });
+        self.collector.add(offset, ErrorKind::Unknown { scope, item, name: name.to_string(), hint });
     }
 }
 
 impl Drop for SettingsBlock<'_> {
-    /// Reports what no reader has asked for.
+    /// Records an error for each attribute and block that the caller has not read.
     fn drop(&mut self) {
-        let KnownNames { attributes, blocks } = &*self.known.borrow();
+        let RequestedNames { attributes, blocks } = &*self.requested.borrow();
         for a in self.body.attributes().filter(|a| !attributes.contains(&a.key.as_str())) {
             self.add_unknown(self.attribute_offset(a), "setting", a.key.as_str(), attributes);
         }
@@ -164,7 +165,7 @@
     }
 }
 
-/// The nearest known name; all known names where none is near.
+/// Returns a message suffix with the most similar known name, or with all known names if none is similar.
 fn hint(name: &str, known: &[&'static str]) -> String {
     let nearest = known.iter().map(|k| (strsim::damerau_levenshtein(k, name), *k)).min();
     match nearest {
@@ -174,6 +175,6 @@
     }
 }
 
-fn start(span: Option<Range<usize>>, otherwise: usize) -> usize {
-    span.map_or(otherwise, |s| s.start)
+fn start(span: Option<Range<usize>>, default: usize) -> usize {
+    span.map_or(default, |s| s.start)
 }
--- a/crates/hcl-settings/src/errors.rs
+++ b/crates/hcl-settings/src/errors.rs
@@ -1,10 +1,10 @@
-//! The errors of a settings file, and their collection while it is read.
+//! Errors of a settings file, and the collector that records them while the file is read.
 
 use std::cell::RefCell;
 use std::fmt;
 use thiserror::Error;
 
-/// What is wrong at one place of a file.
+/// Kind of an error in a settings file, with the details for its message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ErrorKind {
     /// The file cannot be read.
@@ -16,73 +16,73 @@
     /// A required attribute is absent.
     #[error("{scope}{name} is missing; expected {expected}")]
     AttributeMissing {
-        /// The block that lacks it.
+        /// Block in which the attribute is missing.
         scope: Scope,
-        /// The attribute's name.
+        /// Name of the attribute.
         name: &'static str,
-        /// The form of its value.
+        /// Description of the expected value.
         expected: String,
     },
-    /// An attribute's value has the wrong type or lies out of its range.
+    /// The value of an attribute has the wrong type or is out of range.
     #[error("{scope}{name} is {found}; expected {expected}")]
     UnexpectedValue {
-        /// The block that holds it.
+        /// Block that contains the attribute.
         scope: Scope,
-        /// The attribute's name.
+        /// Name of the attribute.
         name: &'static str,
-        /// The value in the file, shortened.
+        /// Source text of the value, truncated.
         found: String,
-        /// The form of its value.
+        /// Description of the expected value.
         expected: String,
     },
     /// A required block is absent.
     #[error("{scope}the block {name} is missing")]
     BlockMissing {
-        /// The block that lacks it.
+        /// Block in which the required block is missing.
         scope: Scope,
-        /// Its name.
+        /// Name of the missing block.
         name: &'static str,
     },
-    /// A block that may stand once stands again.
-    #[error("a second {0} block; one is the most")]
+    /// A block that may occur only once is repeated.
+    #[error("duplicate block {0}; at most one is allowed")]
     BlockRepeated(&'static str),
-    /// Two blocks of a name have the same label; this is the second one's name and label.
-    #[error("a second {0}")]
+    /// Two blocks of the same name have the same label; the value is the name and label of the second block.
+    #[error("duplicate {0}")]
     LabelRepeated(String),
-    /// A block that needs a label has none or several.
-    #[error("the block {name} has {labels} labels; expected one, its name")]
+    /// A block that requires exactly one label has none or several.
+    #[error("the block {name} has {labels} labels; expected exactly one label, the name")]
     LabelExpected {
-        /// The block's name.
+        /// Name of the block.
         name: String,
-        /// How many labels it has.
+        /// Number of labels found.
         labels: usize,
     },
-    /// A block that takes no label has one.
+    /// A block that must not have a label has one or more.
     #[error("the block {name} has {labels} labels; expected none")]
     LabelUnexpected {
-        /// The block's name.
+        /// Name of the block.
         name: String,
-        /// How many labels it has.
+        /// Number of labels found.
         labels: usize,
     },
-    /// An attribute or a block that no reader asked for.
-    #[error("{scope}unknown {what} {name}{hint}")]
+    /// The file contains an attribute or block that the caller does not read.
+    #[error("{scope}unknown {item} {name}{hint}")]
     Unknown {
-        /// The block that holds it.
+        /// Block that contains the unknown item.
         scope: Scope,
-        /// What it is.
-        what: &'static str,
-        /// Its name.
+        /// Kind of the item: "setting" or "block".
+        item: &'static str,
+        /// Name of the item.
         name: String,
-        /// The nearest known name, or all of them.
+        /// Message suffix with the most similar known name, or with all known names.
         hint: String,
     },
-    /// What a reader reported itself: values that do not fit each other.
+    /// An error reported by the caller, such as values that contradict each other.
     #[error("{0}")]
     Invalid(String),
 }
 
-/// The block to which an error belongs, as a prefix of its message; empty for the whole file.
+/// Block in which an error occurred, displayed as a prefix of the message; empty for the whole file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scope(pub(crate) String);
 
@@ -96,23 +96,23 @@
     }
 }
 
-/// One error of a file; line and column count from 1, both 0 where the file cannot be read.
+/// A single error in a file. Line and column start at 1; both are 0 if the file cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The line.
+    /// Line number.
     pub line: usize,
-    /// The column in characters.
+    /// Column in characters.
     pub column: usize,
-    /// What is wrong there.
+    /// Kind of the error at this position.
     pub kind: ErrorKind,
 }
 
-/// All errors of a file in the order of their positions; its display has one line for each.
+/// All errors of a file, ordered by position; displayed as one line per error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsErrors {
-    /// The file's name.
+    /// Name of the file as shown in messages.
     pub file: String,
-    /// Its errors.
+    /// Errors, ordered by position.
     pub errors: Vec<SettingsError>,
 }
 
@@ -138,7 +138,7 @@
 
 impl std::error::Error for SettingsErrors {}
 
-/// Collects the errors of one text while it is read.
+/// Collects the errors found while one text is read.
 pub(crate) struct ErrorCollector<'t> {
     text: &'t str,
     errors: RefCell<Vec<SettingsError>>,
@@ -149,7 +149,7 @@
         ErrorCollector { text, errors: RefCell::default() }
     }
 
-    /// Adds an error at a byte of the text.
+    /// Records an error at a byte offset of the text.
     pub(crate) fn add(&self, offset: usize, kind: ErrorKind) {
         let before = &self.text[..offset.min(self.text.len())];
         let line = before.matches('\n').count() + 1;
--- a/crates/hcl-settings/src/lib.rs
+++ b/crates/hcl-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads a settings file in HCL as a whole. Every error is collected with its line and column, what was found and what
-//! was expected, so that an operator corrects a file once; a file with an error yields no value.
+//! Reads settings files in HCL. All errors of a file are reported together, each with line, column, actual value and
+//! expected value, so that an operator can correct the file in one pass. A file with any error yields no value.
 //!
-//! A reader names the attributes and blocks that it knows by asking for them. What is left when a [`SettingsBlock`] is
-//! dropped is unknown, and is reported with the nearest known name.
+//! The caller declares the attributes and blocks that it supports by reading them. Attributes and blocks that have not
+//! been read when a [`SettingsBlock`] is dropped are reported as unknown, together with the most similar known name.
 
 mod attribute;
 mod block;
@@ -15,7 +15,7 @@
 use errors::ErrorCollector;
 use std::path::Path;
 
-/// Reads the file at `path` through `reader`, whose value counts only where the file has no error.
+/// Reads the file at `path` and returns the value built by `reader`, or all errors of the file if there are any.
 pub fn read_file<T>(path: &Path, reader: impl FnOnce(&SettingsBlock<'_>) -> T) -> Result<T, SettingsErrors> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Reads a text as [`read_file`] reads a file; `file` is its name in messages.
+/// Reads settings from `text` like [`read_file`]; `file` is the name shown in error messages.
 pub fn read_text<T>(
     file: &str,
     text: &str,
--- a/crates/hcl-settings/tests/errors.rs
+++ b/crates/hcl-settings/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Valid files are read; of others every error is reported with its position.
+//! Reading of valid files, and the errors with positions that invalid files produce.
 
 use magpiewick_hcl_settings::{read_text, SettingsBlock};
 use quickcheck::quickcheck;
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn a_valid_file_is_read() {
+fn valid_file_is_read() {
     let text = "host {\n  number = 3\n}\nband \"read\" {\n  soft_limit = \"1.5s\"\n}\n";
     assert_eq!(read_text("f.hcl", text, read_class), Ok((1500.0, 1.0, 3)));
 }
 
 #[test]
-fn all_errors_are_reported_at_once_with_their_positions() {
+fn all_errors_are_reported_together_with_positions() {
     let text =
         "host {\n  numbr = 3\n}\nband \"read\" {\n  soft_limit = 200\n  payoff = -1\n}\nbnd \"x\" {}\n";
     assert_eq!(
@@ -33,8 +33,8 @@
         [
             "f.hcl:1:1: in host: number is missing; expected a whole number from 0 to 9",
             "f.hcl:2:3: in host: unknown setting numbr; did you mean number?",
-            "f.hcl:5:16: in band \"read\": soft_limit is 200; expected a time as \"200ms\" or \"1.5s\"",
-            "f.hcl:6:12: in band \"read\": payoff is -1; expected a number from 0",
+            "f.hcl:5:16: in band \"read\": soft_limit is 200; expected a duration such as \"200ms\" or \"1.5s\"",
+            "f.hcl:6:12: in band \"read\": payoff is -1; expected a non-negative number",
             "f.hcl:8:1: unknown block bnd; did you mean band?",
         ]
     );
@@ -43,15 +43,16 @@
 #[test]
 fn repeated_and_missing_blocks_are_reported() {
     assert_eq!(errors("band \"a\" {\n  soft_limit = \"1s\"\n}\n"), ["f.hcl:1:1: the block host is missing"]);
-    let twice = "host {\n  number = 1\n}\nhost {\n}\nband \"a\" {\n  soft_limit = \"1s\"\n}\nband \"a\" {}\n";
+    let duplicates =
+        "host {\n  number = 1\n}\nhost {\n}\nband \"a\" {\n  soft_limit = \"1s\"\n}\nband \"a\" {}\n";
     assert_eq!(
-        errors(twice),
-        ["f.hcl:4:1: a second host block; one is the most", "f.hcl:9:1: a second band \"a\""]
+        errors(duplicates),
+        ["f.hcl:4:1: duplicate block host; at most one is allowed", "f.hcl:9:1: duplicate band \"a\""]
     );
 }
 
 #[test]
-fn syntax_errors_are_reported_with_their_position() {
+fn syntax_error_is_reported_with_position() {
     let found = errors("host {\n  number = = 3\n}\n");
     assert!(found[0].starts_with("f.hcl:2:12: not HCL: "), "{found:?}");
 }
