--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line. Former names of subcommands and flags stay as aliases.
+//! Definition of the command line. Former names of subcommands and flags remain available as aliases.
 
 use crate::commands::{
     bench::BenchArguments, extents::ExtentsArguments, load::LoadArguments, node::NodeArguments,
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The whole command line.
+/// Arguments of the program.
 #[derive(Parser)]
 #[command(
     name = "magpiewick",
@@ -20,40 +20,40 @@
     pub command: Command,
 }
 
-/// One subcommand with its arguments.
+/// Subcommand to run, with its arguments.
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Run a host; with a block `standin` in the file, its emulated services run with it
+    /// Run a host; if the file has a block `standin`, run its emulated services as well
     Serve(ServeArguments),
-    /// Check a settings file; all its errors are reported at once
+    /// Check a settings file and report all errors in it
     Check(SettingsFile),
-    /// Run one of a file's storage nodes as an emulated service, with the faults that the file has for it
+    /// Run one storage node of a file as an emulated service, with the faults that the file defines for the node
     Node(NodeArguments),
-    /// Run a file's endpoint list service and all its nodes as emulated services
+    /// Run the endpoint list service and all storage nodes of a file as emulated services
     List(SettingsFile),
-    /// Run a scenario on loopback and audit the seven rules from the traffic alone
+    /// Run a scenario on loopback and check all rules by an audit of the network traffic
     #[command(alias = "drill")]
     Scenario(ScenarioArguments),
-    /// Offer a file's traffic to a running host
+    /// Generate the load that a file defines against a running host
     Load(LoadArguments),
-    /// Measure what a host costs, against a bare relay and against clients connected straight to a node
+    /// Measure the overhead of a host compared with a plain relay and with clients connected directly to a node
     Bench(BenchArguments),
-    /// Show, migrate or watch extents at a map service, or cancel a migration
+    /// Show, migrate or watch extents of a map service, or cancel a migration
     Extents(ExtentsArguments),
-    /// Run a host on the operators' platform, configured by its environment alone
+    /// Run a host on the operators' platform, configured only through its environment
     Platform,
-    /// Run a bare relay, as the baseline of `bench`
+    /// Run a plain relay, the baseline of `bench`
     #[command(hide = true)]
     Relay { nodes: Vec<SocketAddr> },
 }
 
-/// The argument of subcommands that take a settings file and nothing else.
+/// Argument of the subcommands that take only a settings file.
 #[derive(clap::Args)]
 pub(crate) struct SettingsFile {
     pub file: PathBuf,
 }
 
-/// The form in which a report is printed.
+/// Output format of a report.
 #[derive(Clone, Copy, ValueEnum)]
 pub(crate) enum ReportFormat {
     Text,
--- a/crates/cli/src/commands/bench.rs
+++ b/crates/cli/src/commands/bench.rs
@@ -1,4 +1,5 @@
-//! `magpiewick bench`: what a host costs, beside a bare relay and clients connected straight to a node.
+//! `magpiewick bench`: measures the overhead of a host compared with a plain relay and with clients connected directly
+//! to a node.
 
 use crate::error::{Error, ExitStatus};
 use magpiewick_scenario::{bench, bench_reads, Measured};
@@ -6,18 +7,18 @@
 
 #[derive(clap::Args)]
 pub(crate) struct BenchArguments {
-    /// Numbers of nodes
+    /// Numbers of nodes to measure with
     #[arg(long, value_delimiter = ',', default_values_t = [1, 8, 60])]
     nodes: Vec<usize>,
-    /// Requests per second for the latencies; half of the host's throughput otherwise
+    /// Requests per second for latency measurements; defaults to half of the host's throughput
     #[arg(long)]
     rate: Option<f64>,
-    /// Measure large reads to their last byte instead, split and whole
+    /// Measure the time to the last byte of large reads instead, both split and unsplit
     #[arg(long)]
     reads: bool,
 }
 
-/// Measures and prints one line per figure.
+/// Runs the measurements and prints one line per result.
 pub(crate) fn run(arguments: &BenchArguments) -> Result<ExitStatus, Error> {
     let program = std::env::current_exe()?;
     if arguments.reads {
@@ -42,7 +43,7 @@
     Ok(())
 }
 
-fn print_requests(all: &[Measured]) {
+fn print_requests(results: &[Measured]) {
     println!(
         "{:9} {:>5} {:>24} {:>9} {:>22} {:>22} {:>22} {:>18} {:>24}",
         "way",
@@ -55,7 +56,7 @@
         "cpu us a command",
         "MB first, full, after"
     );
-    for measured in all {
+    for measured in results {
         println!(
             "{:9} {:>5} {:>24} {:>9.0} {:>22} {:>22} {:>22} {:>18} {:>24}",
             measured.way,
@@ -71,7 +72,7 @@
     }
 }
 
-/// A median with the least and the most of its runs.
-fn with_spread([median, least, most]: [f64; 3], decimals: usize) -> String {
-    format!("{median:.decimals$} ({least:.decimals$}-{most:.decimals$})")
+/// Formats a median together with the minimum and the maximum of its runs.
+fn with_spread([median, min, max]: [f64; 3], decimals: usize) -> String {
+    format!("{median:.decimals$} ({min:.decimals$}-{max:.decimals$})")
 }
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -4,7 +4,7 @@
 use crate::settings;
 use std::path::Path;
 
-/// Reads the file; errors in it end the subcommand with their list.
+/// Reads the file and prints a summary; returns all errors of the file if there are any.
 pub(super) fn run(file: &Path) -> Result<ExitStatus, Error> {
     let host = settings::read(file)?.host;
     println!(
--- a/crates/cli/src/commands/extents/map_service.rs
+++ b/crates/cli/src/commands/extents/map_service.rs
@@ -1,4 +1,4 @@
-//! A blocking client of the map service.
+//! Blocking client for the map service.
 
 use magpiewick_node_protocol::{decode, encode, Decoded, Hello, Message, MigrationStage, Role, LONG_AGO};
 use std::io::{self, ErrorKind, Read, Write};
@@ -9,21 +9,21 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 const READ_BYTES: usize = 1 << 16;
 
-/// How far the migration of an extent has come, as the service reports it.
+/// State of the migration of an extent, as reported by the map service.
 pub(super) struct MigrationState {
     pub from: u32,
     pub to: u32,
     pub stage: MigrationStage,
 }
 
-/// A connection to the service.
+/// Client connection to the map service.
 pub(super) struct MapService {
     stream: TcpStream,
     received: Vec<u8>,
 }
 
 impl MapService {
-    /// Connects as a client.
+    /// Connects to the service in the client role.
     pub(super) fn connect(address: SocketAddr) -> io::Result<MapService> {
         let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         stream.set_read_timeout(Some(READ_TIMEOUT))?;
@@ -32,25 +32,25 @@
         Ok(service)
     }
 
-    /// How long a read waits at most.
+    /// Sets the maximum time that a read waits.
     pub(super) fn set_read_timeout(&self, timeout: Duration) -> io::Result<()> {
         self.stream.set_read_timeout(Some(timeout))
     }
 
-    /// Asks for the map and for each change of it from now on.
+    /// Subscribes to the map: the service sends the current map and all later changes.
     pub(super) fn watch(&mut self) -> io::Result<()> {
         self.send(&Message::WatchMap)
     }
 
-    /// Asks for a migration, or for its end with `abandon`, and returns the state that follows.
+    /// Requests a migration, or its cancellation if `cancel` is set, and returns the resulting state.
     pub(super) fn migrate(
         &mut self,
         volume: u64,
         start: u64,
         shard: u32,
-        abandon: bool,
+        cancel: bool,
     ) -> io::Result<MigrationState> {
-        self.send(&Message::Migrate { volume, start, shard, abort: abandon })?;
+        self.send(&Message::Migrate { volume, start, shard, abort: cancel })?;
         self.receive(|message| match message {
             Message::MigrationState { from, to, stage, .. } => {
                 Some(MigrationState { from: *from, to: *to, stage: *stage })
@@ -59,16 +59,16 @@
         })
     }
 
-    /// Passes messages to `wanted` until it returns a value.
-    pub(super) fn receive<T>(&mut self, mut wanted: impl FnMut(&Message<'_>) -> Option<T>) -> io::Result<T> {
+    /// Receives messages until `select` returns a value for one of them.
+    pub(super) fn receive<T>(&mut self, mut select: impl FnMut(&Message<'_>) -> Option<T>) -> io::Result<T> {
         loop {
             let decoded = decode(&self.received).map_err(|e| io::Error::new(ErrorKind::InvalidData, e))?;
             match decoded {
                 Decoded::Frame(message, length) => {
-                    let found = wanted(&message);
+                    let selected = select(&message);
                     self.received.drain(..length);
-                    if let Some(found) = found {
-                        return Ok(found);
+                    if let Some(selected) = selected {
+                        return Ok(selected);
                     }
                 }
                 Decoded::Skipped(length) => _ = self.received.drain(..length),
@@ -86,7 +86,7 @@
     fn fill(&mut self) -> io::Result<()> {
         let mut buffer = [0; READ_BYTES];
         match self.stream.read(&mut buffer)? {
-            0 => Err(io::Error::new(ErrorKind::UnexpectedEof, "the service closed")),
+            0 => Err(io::Error::new(ErrorKind::UnexpectedEof, "the map service closed the connection")),
             length => {
                 self.received.extend_from_slice(&buffer[..length]);
                 Ok(())
--- a/crates/cli/src/commands/extents/mod.rs
+++ b/crates/cli/src/commands/extents/mod.rs
@@ -1,4 +1,4 @@
-//! `magpiewick extents`: shows, migrates and watches extents at a map service.
+//! `magpiewick extents`: shows, migrates and watches extents of a map service.
 
 mod map_service;
 
@@ -12,7 +12,7 @@
 
 #[derive(clap::Args)]
 pub(crate) struct ExtentsArguments {
-    /// The list and map service
+    /// Address of the endpoint list and map service
     #[arg(long)]
     service: SocketAddr,
     #[command(subcommand)]
@@ -23,11 +23,11 @@
 enum ExtentsAction {
     /// Print the map: volume, start, end, shard, version
     Show {
-        /// Only this volume
+        /// Print only the extents of this volume
         #[arg(long)]
         volume: Option<u64>,
     },
-    /// Migrate the extent that starts here to a shard, and wait until that is over
+    /// Migrate the extent with this start to a shard and wait until the migration has ended
     #[command(alias = "move")]
     Migrate {
         #[arg(long)]
@@ -37,7 +37,7 @@
         #[arg(long)]
         to: u32,
     },
-    /// Cancel the migration of an extent, if it has not been switched yet
+    /// Cancel the migration of an extent, unless ownership has already been switched
     #[command(alias = "abandon")]
     Cancel {
         #[arg(long)]
@@ -45,7 +45,7 @@
         #[arg(long)]
         start: u64,
     },
-    /// Print changes of the map as they come, for so many seconds
+    /// Print changes of the map as they arrive, for the given number of seconds
     #[command(alias = "follow")]
     Watch {
         #[arg(long, default_value_t = 60)]
@@ -53,20 +53,20 @@
     },
 }
 
-/// A shard without a node: asked to migrate there, the service does nothing but report the state.
+/// Shard number that no node serves: a migration request to this shard only returns the current state.
 const NO_SHARD: u32 = u32::MAX;
 const MIGRATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Does what was asked; a service that did not do it shows in the exit status.
+/// Runs the requested action; the exit status reports whether the service carried out the action.
 pub(crate) fn run(arguments: &ExtentsArguments) -> Result<ExitStatus, Error> {
     let mut service = MapService::connect(arguments.service)?;
-    let done = match arguments.action {
+    let succeeded = match arguments.action {
         ExtentsAction::Show { volume } => show(&mut service, volume)?,
         ExtentsAction::Migrate { volume, start, to } => migrate(&mut service, volume, start, to)?,
         ExtentsAction::Cancel { volume, start } => cancel(&mut service, volume, start)?,
         ExtentsAction::Watch { seconds } => watch(&mut service, Duration::from_secs(seconds))?,
     };
-    Ok(if done { ExitStatus::Success } else { ExitStatus::CheckFailed })
+    Ok(if succeeded { ExitStatus::Success } else { ExitStatus::CheckFailed })
 }
 
 fn show(service: &mut MapService, volume: Option<u64>) -> io::Result<bool> {
@@ -74,21 +74,21 @@
     let mut rows = vec![["volume", "start", "end", "shard", "version"].map(str::to_string)];
     service.receive(|message| {
         let Message::ExtentMap(update) = message else { return None };
-        let wanted = update.entries.iter().filter(|line| volume.is_none_or(|v| v == line.volume));
-        rows.extend(wanted.map(row));
+        let selected = update.entries.iter().filter(|entry| volume.is_none_or(|v| v == entry.volume));
+        rows.extend(selected.map(row));
         update.last.then_some(())
     })?;
     let table: String =
         rows.iter().map(|[a, b, c, d, e]| format!("{a:>10} {b:>12} {c:>12} {d:>6} {e:>8}\n")).collect();
     match io::stdout().write_all(table.as_bytes()) {
-        // A reader of the first lines alone is no failure.
+        // A reader such as `head` that closes the pipe early is not an error.
         Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(error),
         _ => Ok(true),
     }
 }
 
-fn row(line: &MapEntry) -> [String; 5] {
-    let fields = [line.volume, line.start, line.position, line.shard.into(), line.version.into()];
+fn row(entry: &MapEntry) -> [String; 5] {
+    let fields = [entry.volume, entry.start, entry.position, entry.shard.into(), entry.version.into()];
     fields.map(|field| field.to_string())
 }
 
@@ -117,16 +117,16 @@
     Ok(state.stage == MigrationStage::Aborted)
 }
 
-fn watch(service: &mut MapService, time: Duration) -> io::Result<bool> {
-    service.set_read_timeout(time)?;
+fn watch(service: &mut MapService, duration: Duration) -> io::Result<bool> {
+    service.set_read_timeout(duration)?;
     service.watch()?;
-    let until = Instant::now() + time;
+    let deadline = Instant::now() + duration;
     let watched = service.receive(|message| {
         if let Message::ExtentMap(update) = message {
-            let changes = update.entries.iter().filter(|line| line.kind != MapEntryKind::Extent);
-            changes.for_each(|line| print_change(update.epoch, line));
+            let changes = update.entries.iter().filter(|entry| entry.kind != MapEntryKind::Extent);
+            changes.for_each(|entry| print_change(update.epoch, entry));
         }
-        (Instant::now() >= until).then_some(true)
+        (Instant::now() >= deadline).then_some(true)
     });
     match watched {
         Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Ok(true),
@@ -134,9 +134,9 @@
     }
 }
 
-fn print_change(epoch: impl std::fmt::Display, line: &MapEntry) {
+fn print_change(epoch: impl std::fmt::Display, entry: &MapEntry) {
     println!(
         "epoch {epoch} {:?} volume {} start {} shard {} version {}",
-        line.kind, line.volume, line.start, line.shard, line.version
+        entry.kind, entry.volume, entry.start, entry.shard, entry.version
     );
 }
--- a/crates/cli/src/commands/list.rs
+++ b/crates/cli/src/commands/list.rs
@@ -1,11 +1,11 @@
-//! `magpiewick list`: a file's endpoint list service and all its nodes as emulated services.
+//! `magpiewick list`: runs the endpoint list service and all storage nodes of a file as emulated services.
 
-use crate::emulated_services::{self, Announced};
+use crate::emulated_services::{self, AnnouncedService};
 use crate::error::{Error, ExitStatus};
 use crate::settings;
 use std::path::Path;
 
-/// Runs the services until a termination signal.
+/// Runs the services until a termination signal arrives.
 pub(super) fn run(file: &Path) -> Result<ExitStatus, Error> {
-    emulated_services::run(settings::read(file)?, file, Announced::EndpointList)
+    emulated_services::run(settings::read(file)?, file, AnnouncedService::EndpointList)
 }
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `magpiewick load`: offers a file's traffic to a running host.
+//! `magpiewick load`: generates the load that a file defines against a running host.
 
 use crate::arguments::ReportFormat;
 use crate::error::{Error, ExitStatus};
@@ -11,10 +11,10 @@
 #[derive(clap::Args)]
 pub(crate) struct LoadArguments {
     file: PathBuf,
-    /// The host; the file's `listen` otherwise
+    /// Address of the host; defaults to `listen` of the file
     #[arg(long)]
     host: Option<SocketAddr>,
-    /// Requests per second, in place of the file's
+    /// Requests per second; overrides the file
     #[arg(long)]
     rate: Option<f64>,
     #[arg(long, default_value_t = 1)]
@@ -23,14 +23,14 @@
     format: ReportFormat,
 }
 
-/// Offers the traffic and prints what came of it.
+/// Generates the load and prints a report of the results.
 pub(crate) fn run(arguments: &LoadArguments) -> Result<ExitStatus, Error> {
     let mut settings = settings::read(&arguments.file)?;
     let Some(scenario) = &mut settings.scenario else {
         return Err(Error::block_missing(&arguments.file, "traffic"));
     };
     scenario.traffic.rate = arguments.rate.unwrap_or(scenario.traffic.rate);
-    // The whole traffic goes to the one host.
+    // All load is sent to this single host.
     settings.host.start.hosts = 1.0;
     let address = arguments.host.unwrap_or(settings.host.listen);
     let report = offer_load(&settings.host, scenario, address, arguments.seed)?;
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one module each.
+//! Subcommands, one module each.
 
 pub(crate) mod bench;
 mod check;
@@ -14,7 +14,7 @@
 use crate::arguments::Command;
 use crate::error::{Error, ExitStatus};
 
-/// Runs a subcommand to its end.
+/// Runs a subcommand and returns its exit status.
 pub(crate) fn run(command: Command) -> Result<ExitStatus, Error> {
     match command {
         Command::Serve(arguments) => serve::run(&arguments),
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -1,6 +1,6 @@
-//! `magpiewick node`: one of a file's storage nodes as an emulated service.
+//! `magpiewick node`: runs one storage node of a file as an emulated service.
 
-use crate::emulated_services::{self, Announced};
+use crate::emulated_services::{self, AnnouncedService};
 use crate::error::{Error, ExitStatus};
 use crate::settings;
 use std::path::PathBuf;
@@ -8,12 +8,12 @@
 #[derive(clap::Args)]
 pub(crate) struct NodeArguments {
     file: PathBuf,
-    /// The node's number
+    /// Number of the node
     #[arg(long)]
     number: u32,
 }
 
-/// Runs the node until a termination signal.
+/// Runs the node until a termination signal arrives.
 pub(crate) fn run(arguments: &NodeArguments) -> Result<ExitStatus, Error> {
     let NodeArguments { file, number } = arguments;
     let mut settings = settings::read(file)?;
@@ -22,5 +22,5 @@
     if emulator.nodes.is_empty() {
         return Err(Error::NodeUnknown { file: file.clone(), number: *number });
     }
-    emulated_services::run(settings, file, Announced::FirstNode)
+    emulated_services::run(settings, file, AnnouncedService::FirstNode)
 }
--- a/crates/cli/src/commands/platform.rs
+++ b/crates/cli/src/commands/platform.rs
@@ -1,4 +1,4 @@
-//! `magpiewick platform`: a host on the operators' platform.
+//! `magpiewick platform`: runs a host on the operators' platform.
 
 use crate::error::{Error, ExitStatus};
 use crate::logging;
--- a/crates/cli/src/commands/scenario/mod.rs
+++ b/crates/cli/src/commands/scenario/mod.rs
@@ -16,18 +16,18 @@
     seed: u64,
     #[arg(long, value_enum, default_value_t = ReportFormat::Text)]
     format: ReportFormat,
-    /// Seed a defect that breaks this rule, or another promise, to see the audit find it
+    /// Seed a defect, given by the name of the rule that it violates or by its own name, to test the audit
     #[arg(long, alias = "plant", value_parser = parse_defect)]
     defect: Option<SeededDefect>,
-    /// Run it a second time with hosts without slow start and retry-after, and report both
+    /// Run the scenario a second time without slow start and retry-after, and report both runs
     #[arg(long)]
     undamped: bool,
-    /// Write a line for each request, with its one final answer, to this file
+    /// Write one line for each request and for each final answer to this file
     #[arg(long, alias = "pairs")]
     records: Option<PathBuf>,
 }
 
-/// Runs the scenario and prints its report; a broken rule shows in the exit status.
+/// Runs the scenario and prints its report; the exit status reports whether any rule was violated.
 pub(crate) fn run(arguments: &ScenarioArguments) -> Result<ExitStatus, Error> {
     let file = &arguments.file;
     let settings = settings::read(file)?;
--- a/crates/cli/src/commands/scenario/report.rs
+++ b/crates/cli/src/commands/scenario/report.rs
@@ -1,13 +1,13 @@
-//! Prints the report of a scenario as text or JSON.
+//! Output of a scenario report as text or JSON.
 
 use crate::arguments::ReportFormat;
 use magpiewick_scenario::{Finding, Rule, ScenarioReport};
 use std::io;
 
-/// Findings of one rule that the text shows; the rest is counted.
-const FINDINGS_SHOWN: usize = 5;
+/// Maximum number of findings per rule in the text format; further findings are only counted.
+const MAX_SHOWN_FINDINGS: usize = 5;
 
-/// Prints the report on standard output.
+/// Prints the report to standard output.
 pub(super) fn print(report: &ScenarioReport, format: ReportFormat) -> io::Result<()> {
     match format {
         ReportFormat::Json => println!("{}", serde_json::to_string_pretty(report)?),
@@ -49,7 +49,7 @@
     );
 }
 
-/// What coalescing and split reads came to, for each host that was sent writes.
+/// Prints the results of coalescing and split reads for each host that received writes.
 fn print_hosts(report: &ScenarioReport) {
     for host in report.verdict.by_host.iter().filter(|host| host.writes > 0) {
         let node_requests_per_write = host.node_requests as f64 / host.writes_sent.max(1) as f64;
@@ -82,7 +82,7 @@
     }
 }
 
-/// What each return of nodes after an outage came to.
+/// Prints the load on nodes and the recovery after each outage.
 fn print_storms(report: &ScenarioReport, prefix: &str) {
     let Some(storms) = &report.verdict.retry_storms else { return };
     println!(
@@ -109,11 +109,11 @@
     let findings: Vec<_> = report.verdict.findings.iter().filter(|finding| finding.rule == rule).collect();
     let verdict = if findings.is_empty() { "kept" } else { "BROKEN" };
     println!("  {:7} {verdict:6} checked {checked}", rule.name());
-    for finding in findings.iter().take(FINDINGS_SHOWN) {
+    for finding in findings.iter().take(MAX_SHOWN_FINDINGS) {
         print_finding(finding);
     }
-    if findings.len() > FINDINGS_SHOWN {
-        println!("    and {} more", findings.len() - FINDINGS_SHOWN);
+    if findings.len() > MAX_SHOWN_FINDINGS {
+        println!("    and {} more", findings.len() - MAX_SHOWN_FINDINGS);
     }
 }
 
--- a/crates/cli/src/commands/scenario/request_records.rs
+++ b/crates/cli/src/commands/scenario/request_records.rs
@@ -1,4 +1,4 @@
-//! The file of request records: one JSON object per line, for each attempt of a client and for each final answer.
+//! File of request records, with one JSON object per line for each attempt of a client and for each final answer.
 
 use magpiewick_node_protocol::FinalCode;
 use magpiewick_scenario::{ClientEvent, ClientRequest, ScenarioReport};
@@ -7,7 +7,7 @@
 use std::io::{self, BufWriter, Write};
 use std::path::Path;
 
-/// Writes all records of a run in the order in which clients made them.
+/// Writes all records of a run in the order in which the clients recorded them.
 pub(super) fn write(path: &Path, report: &ScenarioReport) -> io::Result<()> {
     let mut file = BufWriter::new(File::create(path)?);
     for (at_ms, event) in &report.client_events {
@@ -20,7 +20,7 @@
     match event {
         ClientEvent::Sent(request) => request_record(at_ms, request),
         ClientEvent::Answered { number, code, retry_after } => json!({
-            "at_ms": at_ms, "try": number, "answer": answer_word(*code), "back_ms": retry_after
+            "at_ms": at_ms, "try": number, "answer": answer_name(*code), "back_ms": retry_after
         }),
         ClientEvent::BlockRead { number, block, mark } => json!({
             "at_ms": at_ms, "try": number, "block": block, "found": mark
@@ -40,8 +40,8 @@
     })
 }
 
-/// The word of a final answer in the file, in which it stays whatever the code is called.
-fn answer_word(code: FinalCode) -> &'static str {
+/// Returns the name of a final answer in the file format, which is independent of the name of the code.
+fn answer_name(code: FinalCode) -> &'static str {
     match code {
         FinalCode::Succeeded => "settled",
         FinalCode::Rejected => "bounced",
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -1,8 +1,8 @@
-//! `magpiewick serve`: a host, with the emulated services of its file.
+//! `magpiewick serve`: runs a host, with the emulated services of its settings file.
 
 use crate::error::{Error, ExitStatus};
 use crate::logging;
-use crate::settings::{self, fresh_number};
+use crate::settings::{self, random_nonzero};
 use crate::signals::termination_signals;
 use magpiewick_emulator::EmulatorHandle;
 use magpiewick_gateway::{Gateway, HostEnd};
@@ -15,30 +15,30 @@
 #[derive(clap::Args)]
 pub(crate) struct ServeArguments {
     file: PathBuf,
-    /// The host's number, in place of the file's
+    /// Number of the host; overrides the file
     #[arg(long)]
     number: Option<u32>,
-    /// The address for clients, in place of the file's
+    /// Address on which to accept clients; overrides the file
     #[arg(long)]
     listen: Option<SocketAddr>,
-    /// The endpoint list service, in place of the file's
+    /// Address of the endpoint list service; overrides the file
     #[arg(long)]
     list: Option<SocketAddr>,
-    /// The seed of the random source, in place of the file's
+    /// Seed of the random source; overrides the file
     #[arg(long)]
     seed: Option<u64>,
-    /// Run no emulated services
+    /// Do not run emulated services
     #[arg(long, alias = "bare")]
     no_emulator: bool,
-    /// Send every request by itself, whatever the file says of merging
+    /// Do not coalesce requests, even if the file enables coalescing
     #[arg(long, alias = "alone")]
     no_coalescing: bool,
-    /// Switch slow start and retry-after off, for comparison
+    /// Disable slow start and retry-after, for comparison
     #[arg(long, hide = true)]
     undamped: bool,
 }
 
-/// Serves until a termination signal.
+/// Runs the host until a termination signal arrives.
 pub(crate) fn run(arguments: &ServeArguments) -> Result<ExitStatus, Error> {
     let mut settings = settings::read(&arguments.file)?;
     override_settings(&mut settings, arguments);
@@ -53,7 +53,7 @@
         }
         None => None,
     };
-    let gateway = Gateway::bind(settings.host, signals, fresh_number())?;
+    let gateway = Gateway::bind(settings.host, signals, random_nonzero())?;
     println!("ready {}", gateway.address());
     io::stdout().flush()?;
     let end = gateway.run()?;
--- a/crates/cli/src/emulated_services.rs
+++ b/crates/cli/src/emulated_services.rs
@@ -1,4 +1,4 @@
-//! Runs the emulated endpoint list service and storage nodes of a settings file until a termination signal.
+//! Runs the emulated endpoint list service and storage nodes of a settings file until a termination signal arrives.
 
 use crate::error::{Error, ExitStatus};
 use crate::logging;
@@ -9,15 +9,15 @@
 use std::io::{self, Read, Write};
 use std::path::Path;
 
-/// The service whose address is printed once all are ready.
+/// Service whose address is printed when all services are ready.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Announced {
+pub(crate) enum AnnouncedService {
     EndpointList,
     FirstNode,
 }
 
-/// Runs the services with the file's faults. Its nodes keep no record of their attempts: nobody will audit them.
-pub(crate) fn run(settings: Config, file: &Path, announced: Announced) -> Result<ExitStatus, Error> {
+/// Runs the services with the faults defined in the file. The nodes do not record attempts, since no audit follows.
+pub(crate) fn run(settings: Config, file: &Path, announced: AnnouncedService) -> Result<ExitStatus, Error> {
     let Some(emulator) = settings.emulator else { return Err(Error::block_missing(file, "standin")) };
     logging::start(&settings.host.log);
     let mut signals = termination_signals()?;
@@ -27,8 +27,8 @@
     services.execute(|emulator| emulator.disable_recording());
     let addresses = services.query(|emulator| emulator.node_addresses()).unwrap_or_default();
     let address = match announced {
-        Announced::EndpointList => services.list,
-        Announced::FirstNode => addresses.first().map_or(services.list, |a| a.1),
+        AnnouncedService::EndpointList => services.list,
+        AnnouncedService::FirstNode => addresses.first().map_or(services.list, |a| a.1),
     };
     println!("ready {address}");
     io::stdout().flush()?;
@@ -37,10 +37,10 @@
     let steps = faults.iter().flat_map(|f| f.steps(nodes_in_zone)).collect();
     tracing::info!(nodes = nodes.len(), "emulated_services_started");
     signals.set_nonblocking(true)?;
-    let signalled = || Read::read(&mut &signals, &mut [0; 1]).is_ok();
-    play_script(&services, &clock, clock.now(), steps, |_| {}, signalled);
+    let is_terminated = || Read::read(&mut &signals, &mut [0; 1]).is_ok();
+    play_script(&services, &clock, clock.now(), steps, |_| {}, is_terminated);
     signals.set_nonblocking(false)?;
-    // Whatever the read returns, the wait is over.
+    // Waits for the signal; any result of the read, even an error, ends the wait.
     _ = signals.read(&mut [0; 1]);
     Ok(ExitStatus::Success)
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a subcommand failed, and the exit codes that `docs/operators.md` lists.
+//! Errors of subcommands, and the exit codes listed in `docs/operators.md`.
 
 use magpiewick_emulator::EmulatorError;
 use magpiewick_hcl_settings::SettingsErrors;
@@ -8,17 +8,17 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The exit code of the program.
+/// Exit code of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
     Success = 0,
-    /// A rule was broken, or a service did not do what it was asked.
+    /// A rule was violated, or a service did not carry out the requested action.
     CheckFailed = 1,
-    /// The arguments, the settings or the environment are wrong.
+    /// The arguments, the settings or the environment are invalid.
     Usage = 2,
-    /// The system refused something.
+    /// A system call failed, or the emulated services or a scenario failed to run.
     SystemError = 3,
-    /// The host stopped before each request had its final answer.
+    /// The host stopped before every request had received its final answer.
     RequestsUnanswered = 4,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Why a subcommand could not do its work.
+/// Reason for which a subcommand failed.
 #[derive(Debug, Error)]
 pub(crate) enum Error {
     #[error(transparent)]
@@ -37,7 +37,7 @@
     BlockMissing { file: PathBuf, block: &'static str },
     #[error("{}: no node {number} in the block standin", file.display())]
     NodeUnknown { file: PathBuf, number: u32 },
-    /// What the environment or the settings of the platform have wrong.
+    /// Invalid environment or settings of the platform.
     #[error("{0}")]
     PlatformSettings(String),
     #[error(transparent)]
@@ -49,12 +49,12 @@
 }
 
 impl Error {
-    /// The error for a block that a subcommand needs and the file lacks.
+    /// Returns the error for a required block that is missing from the file.
     pub(crate) fn block_missing(file: &Path, block: &'static str) -> Error {
         Error::BlockMissing { file: file.to_path_buf(), block }
     }
 
-    /// The exit code that goes with the error.
+    /// Returns the exit code for the error.
     pub(crate) fn exit_status(&self) -> ExitStatus {
         match self {
             Error::Settings(_)
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Prints the error on standard error; what begins with a file's name needs no program name before it.
+    /// Prints the error to standard error. A message that starts with a file name gets no program name as a prefix.
     pub(crate) fn print(&self) {
         match self {
             Error::Settings(_) | Error::BlockMissing { .. } | Error::NodeUnknown { .. } => {
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,10 +1,10 @@
-//! Structured logs on standard error, as text or JSON.
+//! Structured logging to standard error, as text or JSON.
 
 use magpiewick_gateway::config::{LogConfig, LogFormat};
 use std::io::IsTerminal;
 use tracing_subscriber::EnvFilter;
 
-/// Installs the global subscriber; `MAGPIEWICK_LOG` overrides the level of the file, in the syntax of `EnvFilter`.
+/// Installs the global subscriber. `MAGPIEWICK_LOG` overrides the level set in the file, in the syntax of `EnvFilter`.
 pub(crate) fn start(config: &LogConfig) {
     let requests = if config.requests { "info" } else { "off" };
     let filter = EnvFilter::try_from_env("MAGPIEWICK_LOG")
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `magpiewick`. `docs/operators.md` describes its subcommands, exit codes and log lines.
+//! Main program of `magpiewick`. `docs/operators.md` describes its subcommands, exit codes and log lines.
 
 mod arguments;
 mod commands;
@@ -17,7 +17,7 @@
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
         Err(error) => {
-            // Help and version are no errors; what cannot be printed has no reader.
+            // Help and version are not errors. A failure to print is ignored: standard output or error is closed.
             _ = error.print();
             let status = if error.use_stderr() { ExitStatus::Usage } else { ExitStatus::Success };
             return status.into();
