--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -1,8 +1,8 @@
-//! Exit codes and error messages of the command line, and the former names of subcommands and flags.
+//! Exit codes and error messages of the command line, and former names of subcommands and flags.
 
 use std::process::Command;
 
-/// The exit code and standard error of a subcommand.
+/// Runs the program and returns its exit code and standard error.
 fn run(arguments: &[&str]) -> (Option<i32>, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_magpiewick")).args(arguments).output().unwrap();
     (output.status.code(), String::from_utf8(output.stderr).unwrap())
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_unknown_defect_is_a_usage_error_that_lists_the_known_ones() {
+fn unknown_defect_is_a_usage_error_that_lists_known_defects() {
     let (code, stderr) = run(&["scenario", "absent.hcl", "--defect", "none"]);
     assert!(code == Some(2) && stderr.contains("lost") && stderr.contains("deaf"), "{stderr}");
 }
--- a/crates/cli/tests/platform/alike_responses.rs
+++ b/crates/cli/tests/platform/alike_responses.rs
@@ -1,5 +1,5 @@
-//! Nodes that give the same response to different requests, as to two reads of one object or two writes answered `OK`:
-//! equal content alone is no sign that a response belongs to another request.
+//! Nodes that send identical responses to different requests, for example to two reads of one object or to two writes
+//! answered with `OK`. Identical content alone does not show that a response belongs to another request.
 
 use crate::support::http_message::request_bytes;
 use crate::support::node::{Behaviour, Node};
@@ -11,27 +11,27 @@
 const EMPTY_BODY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const SHORT_OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nOK";
 
-/// Requests of one client; their statuses.
+/// Sends requests from one client and returns the response statuses.
 fn send_requests(cluster: &TestCluster, client: usize, count: usize, pause: Duration) -> Vec<u16> {
     let mut connection = cluster.client();
     let send = |i: usize| {
         let class = ["read", "write", "once"][(i + client) % 3];
         let shard = (i + client) % cluster.nodes.len();
         let id = format!("c{client}-{i}");
-        let answer = connection.request(&request_bytes(&id, class, shard as i32, 2900));
+        let response = connection.request(&request_bytes(&id, class, shard as i32, 2900));
         std::thread::sleep(pause);
-        answer.unwrap_or_else(|| panic!("{id} has no answer")).status()
+        response.unwrap_or_else(|| panic!("no response to {id}")).status()
     };
     (0..count).map(send).collect()
 }
 
-fn connections(nodes: &[std::sync::Arc<Node>]) -> u64 {
+fn connection_count(nodes: &[std::sync::Arc<Node>]) -> u64 {
     nodes.iter().map(|node| node.connections.load(Ordering::SeqCst)).sum()
 }
 
-/// Guards against true answers that are thrown away, and a connection for each exchange.
+/// Guards against correct responses that are discarded as duplicates, and against a new connection for each exchange.
 #[test]
-fn honest_nodes_that_answer_alike_serve_each_request_once_over_few_connections() {
+fn identical_correct_responses_are_served_without_retries_over_few_connections() {
     for response in [SAME_BODY, EMPTY_BODY, SHORT_OK] {
         let cluster = TestCluster::start(4);
         cluster.nodes.iter().for_each(|node| node.set_default(Behaviour::Write(response)));
@@ -43,16 +43,16 @@
             clients.into_iter().flat_map(|client| client.join().unwrap()).collect()
         });
         let attempts: usize = cluster.nodes.iter().map(|node| node.request_count()).sum();
-        let connections = connections(&cluster.nodes);
+        let connections = connection_count(&cluster.nodes);
         assert!(statuses.iter().all(|status| *status == 200), "{response:?}: {statuses:?}");
         assert_eq!(attempts, statuses.len(), "{response:?}: attempts and requests");
         assert!(connections <= statuses.len() as u64 / 5, "{response:?}: {connections} connections");
     }
 }
 
-/// Guards against a node that is distrusted for good after one answer that looked like a copy.
+/// Guards against permanent exclusion of a node after one response that looked like a duplicate.
 #[test]
-fn a_single_node_that_answers_alike_loses_at_most_one_answer_and_is_trusted_again() {
+fn single_node_with_identical_responses_loses_at_most_one_response() {
     let cluster = TestCluster::start(1);
     cluster.nodes[0].set_default(Behaviour::Write(SAME_BODY));
     let statuses = send_requests(&cluster, 0, 30, Duration::from_millis(130));
@@ -60,6 +60,6 @@
     assert!(not_served <= 1, "{statuses:?}");
     let attempts = cluster.nodes[0].request_count();
     assert!(attempts <= statuses.len() + 1, "{attempts} attempts of {} requests", statuses.len());
-    let connections = connections(&cluster.nodes);
-    assert!(connections <= 4, "{connections} connections for 30 requests one after the other");
+    let connections = connection_count(&cluster.nodes);
+    assert!(connections <= 4, "{connections} connections for 30 sequential requests");
 }
--- a/crates/cli/tests/platform/bad_clients.rs
+++ b/crates/cli/tests/platform/bad_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect, and clients that break HTTP.
+//! Clients that disconnect, and clients that violate HTTP.
 
 use crate::support::http_client::HttpClient;
 use crate::support::http_message::{assert_served, request_bytes};
@@ -8,20 +8,20 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_client_disconnect_cancels_the_attempt_and_releases_the_request_id() {
+fn client_disconnect_cancels_the_attempt_and_releases_the_request_id() {
     let cluster = TestCluster::start(1);
     cluster.nodes[0].enqueue(&[Behaviour::NoResponse]);
     let mut client = cluster.client();
     client.send(&request_bytes("c1", "read", 0, 2000));
     cluster.nodes[0].wait_for_requests(1);
-    let other = cluster.client().request(&request_bytes("c1", "read", 0, 2000)).unwrap();
-    assert_eq!(other.status(), 409, "the id is open");
+    let duplicate = cluster.client().request(&request_bytes("c1", "read", 0, 2000)).unwrap();
+    assert_eq!(duplicate.status(), 409, "the id is in use");
     drop(client);
     std::thread::sleep(Duration::from_millis(100));
     assert_served(cluster.client().request(&request_bytes("c1", "read", 0, 2000)), "c1");
 }
 
-/// What malformed clients send; `{path}` and `{fields}` stand for valid ones.
+/// Malformed requests; `{path}` and `{fields}` are replaced by a valid path and valid fields.
 const MALFORMED_REQUESTS: [&str; 17] = [
     "\0\u{1}\u{2}\u{3}",
     "nonsense\r\n\r\n",
@@ -43,12 +43,12 @@
 ];
 
 #[test]
-fn malformed_requests_get_an_error_or_a_close_and_are_not_forwarded() {
+fn malformed_requests_are_rejected_or_closed_and_not_forwarded() {
     let cluster = TestCluster::start(1);
     let path = "/api/00000003b4d60021/7f3a9c21e0b4d655";
     let fields =
         "X-Request-Id: bad\r\nX-Class: write\r\nX-Qos-Policy: gold\r\nX-Deadline: 900m\r\nX-Placement: units=1,shard=0,hosts=1\r\n";
-    let asked = Instant::now();
+    let start = Instant::now();
     let clients: Vec<HttpClient> = MALFORMED_REQUESTS
         .iter()
         .map(|bytes| {
@@ -58,10 +58,10 @@
         })
         .collect();
     for (mut client, bytes) in clients.into_iter().zip(MALFORMED_REQUESTS) {
-        if let Some(answer) = client.receive() {
-            assert!(matches!(answer.status(), 400..=428 | 431 | 505), "{bytes:?}: {answer:?}");
+        if let Some(response) = client.receive() {
+            assert!(matches!(response.status(), 400..=428 | 431 | 505), "{bytes:?}: {response:?}");
         }
-        assert!(asked.elapsed() < Duration::from_secs(3), "{bytes:?}: {:?}", asked.elapsed());
+        assert!(start.elapsed() < Duration::from_secs(3), "{bytes:?}: {:?}", start.elapsed());
     }
     assert_eq!(cluster.nodes[0].request_count(), 0);
     assert_served(cluster.client().request(&request_bytes("good", "read", 0, 900)), "good");
@@ -82,33 +82,33 @@
     ] {
         let mut client = cluster.client();
         let bytes = outer.replace("Content-Length: 10\r\n", &lengths) + "0\r\n\r\n" + &hidden;
-        let answer = client.request(bytes.as_bytes()).unwrap();
-        assert!(matches!(answer.status(), 400 | 501), "{lengths:?}: {answer:?}");
-        assert!(client.closes_without_response(), "{lengths:?}: something came behind the rejection");
+        let response = client.request(bytes.as_bytes()).unwrap();
+        assert!(matches!(response.status(), 400 | 501), "{lengths:?}: {response:?}");
+        assert!(client.closes_without_response(), "{lengths:?}: bytes arrived after the rejection");
     }
     assert_eq!(cluster.nodes[0].request_count(), 0);
-    // Within one chunk these bytes are data like any other, and the node gets all of them as one body.
+    // Inside a single chunk, the same bytes are ordinary data and reach the node as one body.
     let bytes = outer.replace("Content-Length: 10\r\n", "Transfer-Encoding: chunked\r\n")
         + &format!("{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len());
     assert_served(cluster.client().request(bytes.as_bytes()), "outer");
-    let got = cluster.nodes[0].received.lock().unwrap();
-    assert_eq!((got.len(), got[0].body.as_slice()), (1, hidden.as_bytes()));
+    let received = cluster.nodes[0].received.lock().unwrap();
+    assert_eq!((received.len(), received[0].body.as_slice()), (1, hidden.as_bytes()));
 }
 
 #[test]
-fn an_oversized_body_is_rejected_from_its_head() {
+fn oversized_body_is_rejected_based_on_content_length() {
     let cluster = TestCluster::start(1);
     let mut client = cluster.client();
     let head = String::from_utf8(request_bytes("big", "write", 0, 900)).unwrap();
     let head = head.replace("Content-Length: 10", "Content-Length: 60000000").replace("some bytes", "");
     client.send(head.as_bytes());
     let mut stream = client.stream.try_clone().unwrap();
-    // The client sends as fast as it can until the host closes.
+    // The client sends at full speed until the host closes the connection.
     let sender = std::thread::spawn(move || {
         let chunk = [7; 1 << 16];
         (0..60_000_000 / chunk.len()).all(|_| stream.write_all(&chunk).is_ok())
     });
-    let answer = client.receive();
-    assert!(answer.is_none_or(|a| a.status() == 413));
-    assert!(!sender.join().unwrap(), "all of it was taken");
+    let response = client.receive();
+    assert!(response.is_none_or(|r| r.status() == 413));
+    assert!(!sender.join().unwrap(), "the host accepted the whole body");
 }
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! A host of the platform end to end on loopback.
+//! End-to-end tests of a platform host on loopback.
 
 mod alike_responses;
 mod bad_clients;
--- a/crates/cli/tests/platform/node_responses.rs
+++ b/crates/cli/tests/platform/node_responses.rs
@@ -1,4 +1,4 @@
-//! What each response of a node, and each end of an attempt, comes to for the client.
+//! Result for the client of each kind of node response and of each end of an attempt.
 
 use crate::support::discovery::instance;
 use crate::support::http_message::{assert_served, expected_body, request_bytes};
@@ -7,18 +7,19 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// The status of a request whose first attempt meets this behaviour, and how many attempts reached the node.
+/// Sends a request whose first attempt meets the given behaviour. Returns the response status and the number of
+/// attempts that reached the node.
 fn outcome_of_first_attempt(class: &str, behaviour: Behaviour) -> (u16, usize) {
     let cluster = TestCluster::start(1);
     cluster.nodes[0].enqueue(std::slice::from_ref(&behaviour));
-    let answer = cluster
+    let response = cluster
         .client()
         .request(&request_bytes("c1", class, 0, 1500))
-        .unwrap_or_else(|| panic!("{behaviour:?}: no answer"));
-    if answer.status() == 200 {
-        assert_eq!(String::from_utf8_lossy(&answer.body), expected_body("c1"), "{behaviour:?}");
+        .unwrap_or_else(|| panic!("{behaviour:?}: no response"));
+    if response.status() == 200 {
+        assert_eq!(String::from_utf8_lossy(&response.body), expected_body("c1"), "{behaviour:?}");
     }
-    (answer.status(), cluster.nodes[0].request_count())
+    (response.status(), cluster.nodes[0].request_count())
 }
 
 #[test]
@@ -42,7 +43,7 @@
         Behaviour::Write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{body}"),
         Behaviour::Write("HTTP/1.1 200 OK\r\nContent-Length: 24\r\nContent-Length: 3\r\n\r\n{body}"),
         Behaviour::WriteThenClose("HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n{body}"),
-        // A reset does not delimit a body: nobody knows how much was to come.
+        // A reset does not mark the end of a body, so the length of the body is unknown.
         Behaviour::WriteThenReset("HTTP/1.1 200 OK\r\n\r\n{body}"),
     ] {
         assert_eq!(outcome_of_first_attempt("read", behaviour.clone()), (200, 2), "{behaviour:?}");
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn an_upstream_connection_with_unsolicited_bytes_is_not_reused() {
+fn upstream_connection_with_unsolicited_bytes_is_not_reused() {
     let cluster = TestCluster::start(1);
     let mut client = cluster.client();
     cluster.nodes[0].enqueue(&[
@@ -96,40 +97,41 @@
     let cluster = TestCluster::start(1);
     cluster.nodes[0].set_default(Behaviour::NoResponse);
     for class in ["read", "write", "once"] {
-        let (asked, mut client) = (Instant::now(), cluster.client());
-        let answer = client.request(&request_bytes(&format!("x-{class}"), class, 0, 600)).unwrap();
+        let (start, mut client) = (Instant::now(), cluster.client());
+        let response = client.request(&request_bytes(&format!("x-{class}"), class, 0, 600)).unwrap();
         assert!(
-            answer.status() >= 500 && asked.elapsed() < Duration::from_millis(650),
-            "{class}: {answer:?}"
+            response.status() >= 500 && start.elapsed() < Duration::from_millis(650),
+            "{class}: {response:?}"
         );
-        if answer.status() == 503 {
-            let back: f64 = answer.field("retry-after").expect("a time to come back").parse().unwrap();
-            assert!((0.0..=0.5).contains(&back));
+        if response.status() == 503 {
+            let retry_after: f64 =
+                response.field("retry-after").expect("a retry-after field").parse().unwrap();
+            assert!((0.0..=0.5).contains(&retry_after));
         }
     }
 }
 
 #[test]
-fn a_truncated_response_times_out_early() {
+fn truncated_response_times_out_early() {
     let cluster = TestCluster::start(1);
     let mut client = cluster.client();
-    for (id, short) in
+    for (id, truncated) in
         [("a", "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n{body}"), ("b", "HTTP/1.1 200 OK\r\nCont")]
     {
-        cluster.nodes[0].enqueue(&[Behaviour::Write(short)]);
-        let asked = Instant::now();
+        cluster.nodes[0].enqueue(&[Behaviour::Write(truncated)]);
+        let start = Instant::now();
         assert_served(client.request(&request_bytes(id, "read", 0, 1500)), id);
-        assert!(asked.elapsed() < Duration::from_millis(300), "{:?}", asked.elapsed());
+        assert!(start.elapsed() < Duration::from_millis(300), "{:?}", start.elapsed());
     }
 }
 
 #[test]
-fn a_refused_connection_counts_as_not_run() {
+fn refused_connection_counts_as_not_run() {
     let cluster = TestCluster::start(1);
-    let nowhere = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    cluster.discovery.publish(vec![instance("s-9", nowhere, 0, "SERVING")]);
+    let closed_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    cluster.discovery.publish(vec![instance("s-9", closed_address, 0, "SERVING")]);
     std::thread::sleep(Duration::from_millis(100));
-    let answer = cluster.client().request(&request_bytes("c1", "once", 0, 600)).unwrap();
-    assert_eq!(answer.status(), 503, "a rejected request may be sent again: {answer:?}");
+    let response = cluster.client().request(&request_bytes("c1", "once", 0, 600)).unwrap();
+    assert_eq!(response.status(), 503, "a rejected request may be sent again: {response:?}");
     assert_eq!(cluster.nodes[0].request_count(), 0);
 }
--- a/crates/cli/tests/platform/resource_limits.rs
+++ b/crates/cli/tests/platform/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Connections, memory and descriptors stay within their limits.
+//! Limits on connections, memory and descriptors.
 
 use crate::support::host_settings::Limits;
 use crate::support::http_client::HttpClient;
@@ -25,16 +25,16 @@
 fn clients_that_do_not_read_responses_are_disconnected() {
     let cluster = TestCluster::start(1);
     cluster.nodes[0].set_default(Behaviour::WriteBody(1_000_000));
-    let mut all: Vec<HttpClient> =
+    let mut clients: Vec<HttpClient> =
         (0..12).map(|_| HttpClient::with_receive_buffer(16 << 10, cluster.host_address)).collect();
-    for (i, client) in all.iter_mut().enumerate() {
-        // Several answers each: the kernel holds some of them for the host, 4 MB at most.
+    for (i, client) in clients.iter_mut().enumerate() {
+        // Several responses per client, since the kernel buffers some of them for the host, up to 4 MB.
         (0..8).for_each(|j| client.send(&request_bytes(&format!("c{i}-{j}"), "read", 0, 3000)));
     }
-    cluster.wait_until("its clients are connected", |cluster| cluster.client_connections() >= 12);
-    cluster.wait_until("they are disconnected", |cluster| cluster.client_connections() == 0);
-    let mut reads = cluster.client();
-    assert_eq!(reads.request(&request_bytes("reads", "read", 0, 3000)).unwrap().body.len(), 1_000_000);
+    cluster.wait_until("the clients are connected", |cluster| cluster.client_connections() >= 12);
+    cluster.wait_until("the clients are disconnected", |cluster| cluster.client_connections() == 0);
+    let mut reading = cluster.client();
+    assert_eq!(reading.request(&request_bytes("reads", "read", 0, 3000)).unwrap().body.len(), 1_000_000);
 }
 
 #[test]
@@ -43,13 +43,13 @@
     cluster.nodes[0].set_default(Behaviour::WriteBody(1_000_000));
     let before = cluster.host.memory_kb();
     let mut client = HttpClient::with_receive_buffer(16 << 10, cluster.host_address);
-    let all: Vec<u8> = (0..60).flat_map(|i| request_bytes(&format!("c{i}"), "read", 0, 3000)).collect();
-    client.send(&all);
-    cluster.wait_until("it is disconnected", |cluster| cluster.client_connections() == 0);
-    // One response as received, as a body and as sent, each in a buffer that doubled as it grew.
+    let requests: Vec<u8> = (0..60).flat_map(|i| request_bytes(&format!("c{i}"), "read", 0, 3000)).collect();
+    client.send(&requests);
+    cluster.wait_until("the client is disconnected", |cluster| cluster.client_connections() == 0);
+    // A response is held three times, as received, as a body and as sent, each in a buffer that doubles as it grows.
     assert!(
         cluster.host.peak_memory_kb() < before + 8_000,
-        "{} KB of {before} at first",
+        "{} KB, {before} KB at the start",
         cluster.host.peak_memory_kb()
     );
 }
@@ -58,14 +58,14 @@
 fn slow_responses_stay_within_the_memory_limit() {
     let cluster = TestCluster::with_limits(16, Limits { memory_mb: 24, ..Limits::default() });
     cluster.nodes.iter().for_each(|node| node.set_default(Behaviour::Trickle(1_000_000)));
-    let mut all: Vec<HttpClient> = (0..64)
+    let mut clients: Vec<HttpClient> = (0..64)
         .map(|i| {
             let mut client = cluster.client();
             client.send(&request_bytes(&format!("c{i}"), "read", i % 16, 1500));
             client
         })
         .collect();
-    for client in &mut all {
+    for client in &mut clients {
         assert!(matches!(client.receive().unwrap().status(), 502 | 503));
     }
     assert!(cluster.host.peak_memory_kb() < 24 << 10, "{} KB", cluster.host.peak_memory_kb());
@@ -76,29 +76,29 @@
     let cluster = TestCluster::with_limits(1, Limits { descriptors: 40, ..Limits::default() });
     let idle: Vec<TcpStream> =
         (0..100).map_while(|_| TcpStream::connect(cluster.host_address).ok()).collect();
-    let mut all: Vec<HttpClient> = (0..12).map(|_| cluster.client()).collect();
-    let asked = (0..).zip(&mut all);
-    asked.for_each(|(i, client)| client.send(&request_bytes(&format!("r{i}"), "read", 0, 900)));
-    (0..).zip(&mut all).for_each(|(i, client)| assert_served(client.receive(), &format!("r{i}")));
+    let mut clients: Vec<HttpClient> = (0..12).map(|_| cluster.client()).collect();
+    let numbered = (0..).zip(&mut clients);
+    numbered.for_each(|(i, client)| client.send(&request_bytes(&format!("r{i}"), "read", 0, 900)));
+    (0..).zip(&mut clients).for_each(|(i, client)| assert_served(client.receive(), &format!("r{i}")));
     assert_eq!(idle.len(), 100);
-    // All connections have an outstanding request.
+    // Every connection has an outstanding request.
     cluster.nodes[0].set_default(Behaviour::NoResponse);
     let mut busy: Vec<HttpClient> = (0..60).map(|_| cluster.client()).collect();
-    let asked = (0..).zip(&mut busy);
-    asked.for_each(|(i, client)| client.send(&request_bytes(&format!("b{i}"), "read", 0, 1500)));
+    let numbered = (0..).zip(&mut busy);
+    numbered.for_each(|(i, client)| client.send(&request_bytes(&format!("b{i}"), "read", 0, 1500)));
     std::thread::sleep(Duration::from_millis(200));
     let before = cluster.host.cpu_ticks().unwrap();
     std::thread::sleep(Duration::from_secs(1));
-    assert!(cluster.host.cpu_ticks().unwrap() - before < 20, "it spins");
+    assert!(cluster.host.cpu_ticks().unwrap() - before < 20, "the host spins");
     cluster.nodes[0].set_default(Behaviour::Write(OK_RESPONSE));
-    // A node that was unresponsive gets requests again step by step.
-    cluster.wait_until("it serves again", |cluster| {
+    // A node that was unresponsive receives requests again only gradually.
+    cluster.wait_until("the host serves again", |cluster| {
         cluster.client().request(&request_bytes("last", "read", 0, 900)).is_some_and(|a| a.status() == 200)
     });
 }
 
 #[test]
-fn idle_keep_alive_connections_leave_room_for_new_clients() {
+fn idle_keep_alive_connections_leave_descriptors_for_new_clients() {
     let cluster = TestCluster::with_limits(1, Limits { sockets: 128, ..Limits::default() });
     let mut idle: Vec<HttpClient> = (0..60)
         .map(|i| {
@@ -107,9 +107,9 @@
             client
         })
         .collect();
-    // A third of the descriptors is kept for idle clients.
+    // A third of the descriptors is available to idle clients.
     let timeout = Some(Duration::from_millis(1));
     idle.iter_mut().for_each(|client| client.stream.set_read_timeout(timeout).unwrap());
     let open = idle.into_iter().filter_map(|mut client| client.is_idle().then_some(())).count();
-    assert!((20..40).contains(&open), "{open} stay open");
+    assert!((20..40).contains(&open), "{open} connections stay open");
 }
--- a/crates/cli/tests/platform/response_matching.rs
+++ b/crates/cli/tests/platform/response_matching.rs
@@ -1,5 +1,5 @@
-//! Each request that was read gets exactly one response, its own, whatever arrives on a connection outside an exchange
-//! and whatever ends while a response is outstanding.
+//! Matching of responses to requests: each request that was read gets exactly one response, its own. This also holds if
+//! bytes arrive on a connection outside an exchange, or if a connection, host or attempt ends before the response.
 
 use crate::support::discovery::instance;
 use crate::support::host_settings::Limits;
@@ -13,17 +13,17 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// Sends one request after the other with a pause after each; each response must be its own.
+/// Sends requests sequentially with a pause after each; asserts that each response belongs to its request.
 fn assert_own_responses(cluster: &TestCluster, name: &str, class: &str, pause: Duration) {
     let mut client = cluster.client();
     for i in 0..6 {
         let id = format!("{name}-{i}");
-        let answer = client
+        let response = client
             .request(&request_bytes(&id, class, 0, 2000))
-            .unwrap_or_else(|| panic!("{id} has no answer"));
-        let body = String::from_utf8_lossy(&answer.body).into_owned();
-        match answer.status() {
-            200 => assert_eq!(body, expected_body(&id), "{id} got an answer that was not made for it"),
+            .unwrap_or_else(|| panic!("no response to {id}"));
+        let body = String::from_utf8_lossy(&response.body).into_owned();
+        match response.status() {
+            200 => assert_eq!(body, expected_body(&id), "{id} received the response to another request"),
             status => assert!(class == "once" && status == 502, "{id}: {status} {body}"),
         }
         std::thread::sleep(pause);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn unsolicited_bytes_are_never_taken_for_the_next_response() {
+fn unsolicited_bytes_are_never_used_as_the_next_response() {
     for unsolicited in [
         Unsolicited::Duplicate,
         Unsolicited::EarlierDuplicate,
@@ -43,7 +43,7 @@
         Unsolicited::Garbage,
         Unsolicited::InterimResponse,
     ] {
-        // A connection is reused at once, or after it was idle.
+        // Connections are reused immediately, or after an idle period.
         std::thread::scope(|scope| {
             for (pause, class) in
                 [0, 15, 250].into_iter().flat_map(|pause| [(pause, "read"), (pause, "once")])
@@ -63,8 +63,8 @@
     }
 }
 
-/// Five clients that send one request after the other, while one response in three is written twice, with 2 ms of
-/// network between host and node: how many responses belonged to another request.
+/// Runs five clients that send requests sequentially while the node writes one response in three twice, with a network
+/// delay of 2 ms between host and node. Returns the number of responses that belonged to another request.
 fn mismatched_responses(seed: u64, delays_ms: &[u64]) -> usize {
     let cluster = TestCluster::start(1);
     let network =
@@ -83,39 +83,40 @@
     std::thread::sleep(Duration::from_millis(100));
     let run = |client: usize| {
         let mut connection = cluster.client();
-        let mismatched = |i: usize| {
+        let is_mismatched = |i: usize| {
             let id = format!("c{client}-{i}");
-            let answer = connection.request(&request_bytes(&id, "read", 0, 2000)).unwrap();
-            answer.status() == 200 && answer.body != expected_body(&id).into_bytes()
+            let response = connection.request(&request_bytes(&id, "read", 0, 2000)).unwrap();
+            response.status() == 200 && response.body != expected_body(&id).into_bytes()
         };
-        (0..120).map(mismatched).filter(|mismatched| *mismatched).count()
+        (0..120).map(is_mismatched).filter(|mismatched| *mismatched).count()
     };
     std::thread::scope(|scope| {
-        let all: Vec<_> = (0..5).map(|client| scope.spawn(move || run(client))).collect();
-        all.into_iter().map(|client| client.join().unwrap()).sum()
+        let clients: Vec<_> = (0..5).map(|client| scope.spawn(move || run(client))).collect();
+        clients.into_iter().map(|client| client.join().unwrap()).sum()
     })
 }
 
 #[test]
 fn late_duplicate_responses_reach_no_client() {
-    for (seed, late) in [(1, &[1, 2, 3, 4, 5, 6][..]), (2, &[12, 20][..]), (3, &[40, 70, 120, 200][..])] {
-        assert_eq!(mismatched_responses(seed, late), 0, "copies that are {late:?} ms late");
+    for (seed, delays_ms) in [(1, &[1, 2, 3, 4, 5, 6][..]), (2, &[12, 20][..]), (3, &[40, 70, 120, 200][..])]
+    {
+        assert_eq!(mismatched_responses(seed, delays_ms), 0, "duplicates delayed by {delays_ms:?} ms");
     }
 }
 
-/// A request that the host answers by itself, at once.
+/// Returns a request that the host answers immediately without a node.
 fn immediate_request(form: usize, id: &str) -> Vec<u8> {
-    let plain = String::from_utf8(request_bytes(id, "read", 0, 900)).unwrap();
+    let valid = String::from_utf8(request_bytes(id, "read", 0, 900)).unwrap();
     match form {
         0 => b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n".to_vec(),
-        1 => plain.replace("X-Class: read", "X-Class: unheard-of").into_bytes(),
-        _ => plain.replace("X-Deadline: 900m", "X-Deadline: 1m").into_bytes(),
+        1 => valid.replace("X-Class: read", "X-Class: unheard-of").into_bytes(),
+        _ => valid.replace("X-Deadline: 900m", "X-Deadline: 1m").into_bytes(),
     }
 }
 
-/// Sends three pipelined requests again and again until the connection ends; the number of responses to each three.
-fn pipeline_in_threes(mut client: HttpClient, name: &str, form: usize) -> Vec<usize> {
-    let mut answers = Vec::new();
+/// Sends batches of three pipelined requests until the connection ends. Returns the number of responses to each batch.
+fn pipeline_batches(mut client: HttpClient, name: &str, form: usize) -> Vec<usize> {
+    let mut response_counts = Vec::new();
     for batch in 0.. {
         let [first, second, third] = ["a", "b", "c"].map(|part| format!("{name}-{batch}-{part}"));
         let requests = [
@@ -124,55 +125,55 @@
             request_bytes(&third, "read", 0, 2500),
         ];
         client.send(&requests.concat());
-        let came = (0..3).map_while(|_| client.receive()).count();
-        answers.push(came);
-        if came < 3 || client.is_closed() {
+        let received = (0..3).map_while(|_| client.receive()).count();
+        response_counts.push(received);
+        if received < 3 || client.is_closed() {
             break;
         }
     }
-    answers
+    response_counts
 }
 
 #[test]
-fn requests_behind_an_immediate_response_are_answered_during_shutdown() {
+fn requests_pipelined_after_an_immediate_response_are_answered_during_shutdown() {
     for form in 0..3 {
         let mut cluster = TestCluster::start(1);
         cluster.nodes[0].set_default(Behaviour::RespondAfter(Duration::from_millis(120)));
         cluster.host.signal("TERM");
         std::thread::sleep(Duration::from_millis(2800));
-        let all: Vec<_> = (0..6)
+        let clients: Vec<_> = (0..6)
             .map(|client| {
                 std::thread::sleep(Duration::from_millis(21));
                 let connection = cluster.client();
-                std::thread::spawn(move || pipeline_in_threes(connection, &format!("c{client}"), form))
+                std::thread::spawn(move || pipeline_batches(connection, &format!("c{client}"), form))
             })
             .collect();
-        for client in all {
-            let answers = client.join().unwrap();
-            assert!(answers.iter().all(|came| matches!(came, 0 | 3)), "form {form}: {answers:?}");
+        for client in clients {
+            let counts = client.join().unwrap();
+            assert!(counts.iter().all(|count| matches!(count, 0 | 3)), "form {form}: {counts:?}");
         }
         assert!(cluster.host.wait_for_exit().success());
     }
 }
 
 #[test]
-fn requests_behind_a_hanging_one_are_answered_before_forced_shutdown() {
+fn requests_pipelined_after_an_unanswered_one_are_answered_before_forced_shutdown() {
     let mut cluster = TestCluster::start(1);
     cluster.nodes[0].set_default(Behaviour::NoResponse);
     cluster.host.signal("TERM");
     std::thread::sleep(Duration::from_millis(3000));
     let mut client = cluster.client();
-    let all: Vec<u8> = (0..4).flat_map(|i| request_bytes(&format!("r{i}"), "once", 0, 3000)).collect();
-    let asked = Instant::now();
-    client.send(&all);
+    let requests: Vec<u8> = (0..4).flat_map(|i| request_bytes(&format!("r{i}"), "once", 0, 3000)).collect();
+    let start = Instant::now();
+    client.send(&requests);
     for i in 0..4 {
-        let answer = client.receive().unwrap_or_else(|| panic!("r{i} was read and has no answer"));
-        assert!(matches!(answer.status(), 502 | 503), "{answer:?}");
+        let response = client.receive().unwrap_or_else(|| panic!("r{i} was read and has no response"));
+        assert!(matches!(response.status(), 502 | 503), "{response:?}");
     }
     assert!(
-        asked.elapsed() < Duration::from_millis(700),
-        "the forced shutdown came first: {:?}",
-        asked.elapsed()
+        start.elapsed() < Duration::from_millis(700),
+        "the forced shutdown came before the responses: {:?}",
+        start.elapsed()
     );
     assert!(cluster.host.wait_for_exit().success());
 }
@@ -183,67 +184,72 @@
     cluster.nodes[0].enqueue(&[Behaviour::RespondAfter(Duration::from_millis(300))]);
     let mut client = cluster.client();
     let many = 8000;
-    let all: Vec<u8> = (0..many).flat_map(|i| request_bytes(&format!("r{i}"), "read", 0, 3000)).collect();
-    assert!(all.len() > 3 << 19, "{} bytes", all.len());
+    let requests: Vec<u8> =
+        (0..many).flat_map(|i| request_bytes(&format!("r{i}"), "read", 0, 3000)).collect();
+    assert!(requests.len() > 3 << 19, "{} bytes", requests.len());
     let mut sender = client.stream.try_clone().unwrap();
-    let sending = std::thread::spawn(move || Write::write_all(&mut sender, &all));
+    let sending = std::thread::spawn(move || Write::write_all(&mut sender, &requests));
     for i in 0..many {
-        let answer = client.receive().unwrap_or_else(|| panic!("r{i} was read and has no answer"));
-        match answer.status() {
-            200 => assert_served(Some(answer), &format!("r{i}")),
-            status => assert_eq!(status, 503, "{answer:?}"),
+        let response = client.receive().unwrap_or_else(|| panic!("r{i} was read and has no response"));
+        match response.status() {
+            200 => assert_served(Some(response), &format!("r{i}")),
+            status => assert_eq!(status, 503, "{response:?}"),
         }
     }
     sending.join().unwrap().unwrap();
 }
 
 #[test]
-fn a_flood_under_a_small_memory_limit_is_answered_completely() {
+fn all_requests_of_a_flood_are_answered_under_a_small_memory_limit() {
     let cluster = TestCluster::with_limits(1, Limits { memory_mb: 16, ..Limits::default() });
     cluster.nodes[0].set_default(Behaviour::RespondAfter(Duration::from_millis(1)));
     let floods: Vec<_> = (0..8)
         .map(|flood| {
             let mut client = cluster.client();
-            let all: Vec<u8> =
+            let requests: Vec<u8> =
                 (0..2500).flat_map(|i| request_bytes(&format!("f{flood}-{i}"), "read", 0, 3000)).collect();
             std::thread::spawn(move || {
                 let mut sender = client.stream.try_clone().unwrap();
-                let sending = std::thread::spawn(move || Write::write_all(&mut sender, &all).is_ok());
-                let answers = (0..2500).map_while(|_| client.receive()).count();
-                (answers, sending.join().unwrap())
+                let sending = std::thread::spawn(move || Write::write_all(&mut sender, &requests).is_ok());
+                let responses = (0..2500).map_while(|_| client.receive()).count();
+                (responses, sending.join().unwrap())
             })
         })
         .collect();
     for flood in floods {
-        assert_eq!(flood.join().unwrap(), (2500, true), "answers, and whether all could be sent");
+        assert_eq!(
+            flood.join().unwrap(),
+            (2500, true),
+            "number of responses, and whether all requests could be sent"
+        );
     }
     assert!(cluster.host.peak_memory_kb() < 16 << 10, "{} KB", cluster.host.peak_memory_kb());
 }
 
 #[test]
-fn a_response_at_the_moment_of_the_idle_check_reaches_its_client() {
-    // The scheduler itself ends no request before.
+fn response_concurrent_with_the_idle_check_reaches_its_client() {
+    // With these settings, the scheduler does not end a request before the idle check.
     let cluster = TestCluster::with_settings(1, |settings| {
         settings["limits"]["cancelling"] = json!(false);
         settings["profiles"][0]["slo_ns"] = json!(3_000_000_000u64);
     });
-    // A connection is checked 2.2 s after it came. The host is stopped then, so that it meets the check and the first
-    // response at the same moment.
+    // The idle check of a connection is due 2.2 s after the connection was accepted. The host is stopped at that time,
+    // so that after it continues the check and the first response are due together.
     cluster.nodes[0].set_default(Behaviour::RespondAfter(Duration::from_millis(2180)));
-    let mut all: Vec<HttpClient> = (0..8).map(|_| cluster.client()).collect();
-    for (i, client) in all.iter_mut().enumerate() {
+    let mut clients: Vec<HttpClient> = (0..8).map(|_| cluster.client()).collect();
+    for (i, client) in clients.iter_mut().enumerate() {
         client.send(&request_bytes(&format!("r{i}"), "read", 0, 2900));
     }
     std::thread::sleep(Duration::from_millis(2120));
     cluster.host.signal("STOP");
     std::thread::sleep(Duration::from_millis(140));
     cluster.host.signal("CONT");
-    for (i, client) in all.iter_mut().enumerate() {
-        let answer = client.receive().unwrap_or_else(|| panic!("r{i} has no answer"));
-        match answer.status() {
-            200 => assert_served(Some(answer), &format!("r{i}")),
-            // The scheduler may have ended the attempt meanwhile.
-            status => assert_eq!(status, 503, "{answer:?}"),
+    for (i, client) in clients.iter_mut().enumerate() {
+        let response = client.receive().unwrap_or_else(|| panic!("no response to r{i}"));
+        match response.status() {
+            200 => assert_served(Some(response), &format!("r{i}")),
+            // The scheduler may have ended the attempt in the meantime.
+            status => assert_eq!(status, 503, "{response:?}"),
         }
     }
 }
--- a/crates/cli/tests/platform/startup_errors.rs
+++ b/crates/cli/tests/platform/startup_errors.rs
@@ -1,4 +1,4 @@
-//! Errors of the environment and the settings file at the start.
+//! Errors in the environment and the settings file at startup.
 
 #[test]
 fn startup_errors_are_reported_in_one_line() {
@@ -11,7 +11,7 @@
     };
     let file = std::env::temp_dir().join(format!("magpiewick-{}-bad.json", std::process::id()));
     let path = file.to_str().unwrap();
-    for (text, named) in [
+    for (text, expected) in [
         (None, "PROXY_CONFIG"),
         (Some(""), "line 1"),
         (Some("{"), "line 1"),
@@ -41,7 +41,7 @@
         text.into_iter().for_each(|text| std::fs::write(path, text).unwrap());
         let (code, stderr) = run(text.map(|_| path));
         assert!(
-            code == Some(2) && stderr.lines().count() == 1 && stderr.contains(named),
+            code == Some(2) && stderr.lines().count() == 1 && stderr.contains(expected),
             "{text:?}: {stderr}"
         );
     }
--- a/crates/cli/tests/platform/syscall_faults.rs
+++ b/crates/cli/tests/platform/syscall_faults.rs
@@ -1,4 +1,4 @@
-//! Failing system calls: each errno has the effect that it stands for and no other.
+//! Failing system calls: the host handles each errno according to its meaning.
 
 use crate::support::http_client::HttpClient;
 use crate::support::http_message::{assert_served, request_bytes};
@@ -18,14 +18,14 @@
 const EMFILE: i32 = 24;
 const ENOMEM: i32 = 12;
 
-/// Sends requests over new connections; how many were served.
+/// Sends requests over new connections and returns the number of requests served.
 fn served_count(cluster: &TestCluster, requests: usize) -> usize {
     let is_served = |i| {
         let bytes = request_bytes(&format!("r{i}"), "read", 0, 900);
         HttpClient::connect(cluster.host_address)
             .ok()?
             .request(&bytes)
-            .filter(|answer| answer.status() == 200)
+            .filter(|response| response.status() == 200)
     };
     (0..requests).filter_map(is_served).count()
 }
@@ -48,14 +48,14 @@
         served_count(&cluster, 40);
         std::thread::sleep(Duration::from_millis(400));
         served_count(&cluster, 40);
-        let ended: Vec<&usize> = served.iter().filter(|i| idle[**i].is_closed()).collect();
-        assert!(ended.is_empty(), "errno {errno}: the connections of {ended:?} were ended");
+        let closed: Vec<&usize> = served.iter().filter(|i| idle[**i].is_closed()).collect();
+        assert!(closed.is_empty(), "errno {errno}: the connections of {closed:?} were closed");
     }
 }
 
 #[test]
-fn socket_exhaustion_is_not_taken_for_a_faulty_endpoint() {
-    // Each request needs a connection of its own, as its node ends the one before.
+fn local_socket_errors_are_not_attributed_to_the_endpoint() {
+    // Each request needs a new connection, because the node closes the connection after each response.
     for fault in ["socket=105/3", "connect=99/3", "connect=4/3"] {
         let cluster = TestCluster::with_syscall_faults(1, fault);
         cluster.nodes[0].set_default(Behaviour::WriteThenClose(OK_RESPONSE));
@@ -80,15 +80,15 @@
     }
 }
 
-/// Guards against clients that are evicted for descriptors of which there are plenty.
+/// Guards against eviction of clients to free descriptors when descriptors are not actually exhausted.
 #[test]
-fn calls_that_fail_by_chance_evict_no_client_and_lose_no_request() {
+fn sporadic_descriptor_errors_evict_no_client_and_lose_no_request() {
     for (accept, socket) in [(EMFILE, EMFILE), (ENFILE, ENFILE), (ENOBUFS, ENOMEM)] {
         let faults = format!("accept4={accept}/4,socket={socket}/4");
         let cluster = TestCluster::with_syscall_faults(2, &faults);
         cluster.nodes.iter().for_each(|node| node.set_default(Behaviour::WriteThenClose(OK_RESPONSE)));
         let mut open: Vec<(HttpClient, usize)> = Vec::new();
-        // A client whose first connection failed, as its accept did, is none of those that must stay connected.
+        // A client whose accept failed is replaced: only clients that were accepted must stay connected.
         while open.len() < 8 {
             let (mut client, id) = (cluster.client(), format!("first-{}", open.len()));
             if client.request(&request_bytes(&id, "read", 0, 2900)).is_some() {
@@ -96,38 +96,40 @@
             }
         }
         for round in 0..40 {
-            // Other clients come and go meanwhile.
+            // Other clients connect and disconnect in the meantime.
             _ = HttpClient::connect(cluster.host_address);
-            for (number, (client, answers)) in open.iter_mut().enumerate() {
+            for (number, (client, responses)) in open.iter_mut().enumerate() {
                 let id = format!("r{round}-{number}");
-                let answer = client.request(&request_bytes(&id, "read", round % 2, 2900));
-                *answers += usize::from(answer.is_some_and(|answer| matches!(answer.status(), 200 | 503)));
+                let response = client.request(&request_bytes(&id, "read", round % 2, 2900));
+                *responses +=
+                    usize::from(response.is_some_and(|response| matches!(response.status(), 200 | 503)));
             }
         }
-        let answers: Vec<usize> = open.iter().map(|(_, answers)| *answers).collect();
+        let responses: Vec<usize> = open.iter().map(|(_, responses)| *responses).collect();
         assert_eq!(
-            answers, [40; 8],
-            "accept4 {accept}, socket {socket}: answers to 40 requests of each client"
+            responses, [40; 8],
+            "accept4 {accept}, socket {socket}: responses to 40 requests of each client"
         );
     }
 }
 
-/// Guards against clients that wait for seconds behind a crowd, as each failed accept delays all of it.
+/// Guards against clients that wait for seconds in a long accept queue because each failed accept delays the whole
+/// queue.
 #[test]
-fn clients_behind_a_crowd_are_accepted_soon_though_accepts_fail_by_chance() {
+fn clients_in_a_long_accept_queue_are_accepted_soon_despite_sporadic_accept_errors() {
     for errno in [EMFILE, ENFILE, ENOBUFS] {
         let cluster = TestCluster::with_syscall_faults(1, &format!("accept4={errno}/4"));
-        let crowd: Vec<TcpStream> =
+        let queued: Vec<TcpStream> =
             (0..200).map_while(|_| TcpStream::connect(cluster.host_address).ok()).collect();
         let mut clients: Vec<HttpClient> = (0..4).map(|_| cluster.client()).collect();
         let sent = Instant::now();
         for (number, client) in clients.iter_mut().enumerate() {
             client.send(&request_bytes(&format!("r{number}"), "read", 0, 900));
         }
-        // One of the four connections fails with its accept.
-        let answers = clients.iter_mut().filter_map(HttpClient::receive).count();
-        assert!(answers >= 3, "errno {errno}: {answers} answers");
+        // The accept of one of the four connections fails.
+        let responses = clients.iter_mut().filter_map(HttpClient::receive).count();
+        assert!(responses >= 3, "errno {errno}: {responses} responses");
         assert!(sent.elapsed() < Duration::from_millis(900), "errno {errno}: {:?}", sent.elapsed());
-        assert_eq!(crowd.len(), 200);
+        assert_eq!(queued.len(), 200);
     }
 }
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -1,27 +1,34 @@
-//! The whole path on loopback under injected faults: hosts as processes, emulated services, clients, and the audit.
+//! End-to-end scenarios on loopback under injected faults, with hosts as processes, emulated services, clients and the
+//! audit.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::sync::Mutex;
 
-/// Scenarios depend on timing, so they run one at a time.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+/// Lock that serializes scenarios, since their results depend on timing.
+static SCENARIO_LOCK: Mutex<()> = Mutex::new(());
 
-fn file(name: &str) -> PathBuf {
+fn scenario_file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name)
 }
 
-/// Runs a scenario; its exit code and its report.
+/// Runs a scenario and returns its exit code and its report.
 fn run_scenario(name: &str, arguments: &[&str]) -> (Option<i32>, serde_json::Value) {
-    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
+    let _guard = SCENARIO_LOCK.lock().unwrap_or_else(|e| e.into_inner());
     let mut command = Command::new(env!("CARGO_BIN_EXE_magpiewick"));
-    let Output { status, stdout, stderr } =
-        command.arg("scenario").arg(file(name)).args(["--format", "json"]).args(arguments).output().unwrap();
+    let Output { status, stdout, stderr } = command
+        .arg("scenario")
+        .arg(scenario_file(name))
+        .args(["--format", "json"])
+        .args(arguments)
+        .output()
+        .unwrap();
     let stderr = String::from_utf8_lossy(&stderr);
     (status.code(), serde_json::from_slice(&stdout).unwrap_or_else(|e| panic!("{e}: {stderr}")))
 }
 
-/// A run in which every rule was checked and kept, and every request has one final answer.
+/// Runs a scenario and returns its report. Asserts that every rule was checked, that none was violated, and that every
+/// request has exactly one final answer.
 fn run_without_findings(name: &str, seed: &[&str]) -> serde_json::Value {
     let (code, report) = run_scenario(name, &[&["--seed"], seed].concat());
     assert_eq!((code, &report["findings"]), (Some(0), &serde_json::json!([])), "{report:#}");
@@ -29,13 +36,13 @@
         assert!(checked.as_u64().unwrap() > 0, "{rule} had nothing to check");
     }
     let count = |name: &str| report[name].as_u64().unwrap();
-    let ended = ["settled", "bounced", "scrapped", "host_died", "unanswered"].map(count);
-    assert_eq!(ended.iter().sum::<u64>(), count("taken"));
+    let final_counts = ["settled", "bounced", "scrapped", "host_died", "unanswered"].map(count);
+    assert_eq!(final_counts.iter().sum::<u64>(), count("taken"));
     report
 }
 
 #[test]
-fn the_bad_day_keeps_every_rule() {
+fn combined_faults_violate_no_rule() {
     let taken: u64 = ["1", "2", "3"]
         .iter()
         .map(|s| run_without_findings("bad-day.hcl", &[s])["taken"].as_u64().unwrap())
@@ -44,7 +51,7 @@
 }
 
 #[test]
-fn nodes_that_come_back_are_not_stormed_whatever_clients_do() {
+fn recovering_nodes_are_not_overloaded_by_retries() {
     let assert_no_storm = |report: serde_json::Value| {
         let returns = report["storms"]["returns"].as_array().unwrap().clone();
         assert_eq!(returns.len(), 3, "{report:#}");
@@ -55,7 +62,7 @@
         report["storms"]["tries"].as_f64().unwrap()
     };
     let attempts = ["1", "2"].map(|seed| assert_no_storm(run_without_findings("retry-storm.hcl", &[seed])));
-    // Clients that ignore retry-after and retry at once send much more, and nodes do not notice.
+    // Clients that ignore retry-after and retry immediately send many more requests, without more load on the nodes.
     let ignoring_clients =
         assert_no_storm(run_without_findings("retry-storm.hcl", &["3", "--defect", "deaf"]));
     assert!(
@@ -69,7 +76,7 @@
 }
 
 #[test]
-fn each_seeded_defect_is_found_and_nothing_else() {
+fn each_seeded_defect_is_the_only_finding() {
     run_without_findings("plants.hcl", &["5"]);
     for rule in ["lost", "twice", "drain", "cold", "order", "budget", "limits", "data"] {
         let (code, report) = run_scenario("plants.hcl", &["--defect", rule]);
@@ -81,7 +88,7 @@
 }
 
 #[test]
-fn records_keep_the_words_of_their_first_version() {
+fn request_records_use_the_documented_answer_names() {
     let path = std::env::temp_dir().join(format!("magpiewick-{}-records.jsonl", std::process::id()));
     let (code, report) = run_scenario("plants.hcl", &["--seed", "6", "--records", path.to_str().unwrap()]);
     assert_eq!(code, Some(0), "{report:#}");
@@ -95,7 +102,7 @@
 }
 
 #[test]
-fn a_former_owner_that_keeps_serving_and_an_ignored_rejection_are_found() {
+fn stale_owner_and_ignored_rejection_are_found() {
     for defect in ["data", "moved"] {
         let (code, report) = run_scenario("extent-moves.hcl", &["--defect", defect]);
         let findings = report["findings"].as_array().unwrap();
@@ -104,19 +111,20 @@
 }
 
 #[test]
-fn a_half_applied_map_update_is_found() {
+fn partially_applied_map_update_is_found() {
     let (code, report) = run_scenario("extent-moves.hcl", &["--defect", "half"]);
     let findings = report["findings"].as_array().unwrap();
     assert!(code == Some(1) && findings.iter().all(|f| f["rule"] == "data"), "{report:#}");
 }
 
 #[test]
-fn coalesced_writes_and_split_reads_keep_every_rule_with_fewer_node_requests() {
+fn coalescing_and_split_reads_reduce_node_requests_and_violate_no_rule() {
     for seed in ["1", "2", "3"] {
         let report = run_without_findings("merge-split.hcl", &[seed]);
         let host = |n: usize| &report["by_host"][n];
         let count = |n: usize, name: &str| host(n)[name].as_f64().unwrap();
-        // The target is a third; how many requests are pending, and so may be coalesced, depends on the machine's speed too.
+        // The target is a third. The bound is higher because the number of pending requests, which may be coalesced,
+        // also depends on the speed of the machine.
         assert!(count(0, "node_commands") < 0.5 * count(0, "sent"), "{report:#}");
         assert!(count(1, "node_commands") >= count(1, "sent"), "host 1 does not coalesce: {report:#}");
         assert!(count(0, "payoff") > count(1, "payoff"), "{report:#}");
@@ -128,13 +136,14 @@
     for (defect, rule) in [("batch", "twice"), ("swapped", "data"), ("again", "lost")] {
         let (code, report) = run_scenario("merge-split.hcl", &["--defect", defect]);
         let findings = report["findings"].as_array().unwrap();
-        let named = code == Some(1) && !findings.is_empty() && findings.iter().all(|f| f["rule"] == rule);
-        assert!(named, "{defect}: {report:#}");
+        let only_this_rule =
+            code == Some(1) && !findings.is_empty() && findings.iter().all(|f| f["rule"] == rule);
+        assert!(only_this_rule, "{defect}: {report:#}");
     }
 }
 
 #[test]
-fn extents_migrated_under_load_are_neither_lost_nor_served_by_two_owners() {
+fn extents_migrated_under_load_keep_data_and_a_single_owner() {
     for seed in ["1", "2", "3"] {
         let report = run_without_findings("extent-moves.hcl", &[seed]);
         let count = |name: &str| report[name].as_u64().unwrap();
--- a/crates/cli/tests/serve_descriptors.rs
+++ b/crates/cli/tests/serve_descriptors.rs
@@ -1,4 +1,4 @@
-//! `magpiewick serve` where the system allows it few descriptors.
+//! `magpiewick serve` with a low limit on open descriptors.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use support::host_process::cpu_ticks_of;
 
-/// Descriptors that the system allows; more connections than that wait.
+/// Number of descriptors that the system allows. More connections than this wait to be accepted.
 const DESCRIPTORS: usize = 40;
 const CONNECTIONS: usize = 100;
 
-/// A host, killed when it is dropped.
+/// Running host that is killed on drop.
 struct Host {
     process: Child,
     address: SocketAddr,
@@ -37,7 +37,7 @@
         Host { process, address }
     }
 
-    /// Processor time used, in hundredths of a second.
+    /// Returns the processor time used, in hundredths of a second.
     fn cpu_ticks(&self) -> u64 {
         cpu_ticks_of(self.process.id()).unwrap()
     }
@@ -50,17 +50,18 @@
     }
 }
 
-/// Guards against a loop that tries to accept again and again while nothing has changed.
+/// Guards against a loop that repeats failing accepts while no descriptor has become free.
 #[test]
-fn a_host_without_descriptors_does_not_spin_and_serves_when_it_has_some() {
+fn host_without_free_descriptors_does_not_spin_and_serves_once_some_are_free() {
     let host = Host::start();
-    let crowd: Vec<TcpStream> = (0..CONNECTIONS).map(|_| TcpStream::connect(host.address).unwrap()).collect();
+    let waiting_clients: Vec<TcpStream> =
+        (0..CONNECTIONS).map(|_| TcpStream::connect(host.address).unwrap()).collect();
     std::thread::sleep(Duration::from_millis(300));
     let before = host.cpu_ticks();
     std::thread::sleep(Duration::from_secs(1));
     let used = host.cpu_ticks() - before;
     assert!(used < 20, "{used} hundredths of a second");
-    drop(crowd);
+    drop(waiting_clients);
     let mut client = TcpStream::connect(host.address).unwrap();
     client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     assert_eq!(client.read(&mut [0]).unwrap(), 1, "no greeting");
--- a/crates/cli/tests/soak/audit.rs
+++ b/crates/cli/tests/soak/audit.rs
@@ -1,4 +1,4 @@
-//! The audit of a run from traffic alone: what clients saw of their requests, and what reached the nodes.
+//! Audit of a run based only on traffic: the requests recorded by the clients and the attempts recorded by the nodes.
 
 use crate::client::{Request, RequestEnd, RequestKind};
 use crate::node::{expected_body, Attempt};
@@ -8,29 +8,29 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// A response may come so long after its deadline. All bounds include some slack of measurement, and grow by the
-/// delays of the test itself.
+/// Maximum time between the deadline of a request and its response. All bounds include a measurement tolerance, and are
+/// extended by the delays of the test itself.
 const RESPONSE_AFTER_DEADLINE: Duration = Duration::from_millis(500 + 50);
-/// An attempt may start so long after its request has ended.
+/// Maximum time between the end of a request and the start of an attempt.
 const ATTEMPT_AFTER_END: Duration = Duration::from_millis(100 + 15);
-/// The deadline of an attempt may be so much later than its client's.
+/// Maximum time by which the deadline of an attempt may exceed the deadline of its client.
 const ATTEMPT_DEADLINE_EXCESS: Duration = Duration::from_millis(150 + 15);
-/// A request that crossed the close of its connection sees that close within this time.
+/// Maximum time in which the client sees the close of its connection, for a request sent while the host was closing.
 const CLOSE_CROSSED_WITHIN: Duration = Duration::from_millis(400);
-/// How far a kill and what it ends may lie apart.
+/// Maximum time difference between a kill and the events caused by the kill.
 const KILL_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// A broken rule.
+/// Violation of a rule.
 #[derive(Clone, Debug)]
 pub(crate) enum Finding {
     ForeignResponse { id: String, status: u16, begins: String },
-    NoResponse { id: String, host: usize, after: Duration, why: &'static str },
+    NoResponse { id: String, host: usize, after: Duration, reason: &'static str },
     LateResponse { id: String, by: Duration },
     UnsolicitedResponse { times: u64 },
     AttemptAfterEnd { id: String, after: Duration, end: &'static str },
     DeadlineExtended { id: String, by: Duration },
     RanTwice { id: String, attempts: usize },
-    AbnormalExit { host: usize, how: String },
+    AbnormalExit { host: usize, description: String },
 }
 
 impl fmt::Display for Finding {
@@ -39,8 +39,8 @@
             Finding::ForeignResponse { id, status, begins } => {
                 write!(f, "{id} got the response to another request: {status} {begins:?}")
             }
-            Finding::NoResponse { id, host, after, why } => {
-                write!(f, "{id} at host {host} got no response within {after:?}, and {why}")
+            Finding::NoResponse { id, host, after, reason } => {
+                write!(f, "{id} at host {host} got no response within {after:?}, and {reason}")
             }
             Finding::LateResponse { id, by } => write!(f, "{id} got its response {by:?} after its deadline"),
             Finding::UnsolicitedResponse { times } => {
@@ -50,15 +50,17 @@
                 write!(f, "an attempt of {id} started {after:?} after {end}")
             }
             Finding::DeadlineExtended { id, by } => {
-                write!(f, "an attempt had {by:?} more than {id} had left")
+                write!(f, "an attempt had {by:?} more than the time remaining for {id}")
             }
-            Finding::RanTwice { id, attempts } => write!(f, "{id} may run once and ran {attempts} times"),
-            Finding::AbnormalExit { host, how } => write!(f, "host {host}: {how}"),
+            Finding::RanTwice { id, attempts } => {
+                write!(f, "{id} may run at most once but ran {attempts} times")
+            }
+            Finding::AbnormalExit { host, description } => write!(f, "host {host}: {description}"),
         }
     }
 }
 
-/// What an audit found, and what it counted.
+/// Findings and event counts of an audit.
 #[derive(Debug, Default)]
 pub(crate) struct Report {
     pub findings: Vec<Finding>,
@@ -66,19 +68,19 @@
 }
 
 impl Report {
-    fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    fn count(&mut self, event: &'static str) {
+        *self.counts.entry(event).or_default() += 1;
     }
 
     pub(crate) fn summary(&self) -> String {
-        let counts = self.counts.iter().map(|(what, count)| format!("{what} {count}"));
+        let counts = self.counts.iter().map(|(event, count)| format!("{event} {count}"));
         counts.chain([format!("findings {}", self.findings.len())]).collect::<Vec<_>>().join(", ")
     }
 }
 
-/// Checks all requests, attempts and exits of a run.
+/// Audits all requests, attempts and exits of a run.
 pub(crate) fn audit(evidence: &Evidence) -> Report {
-    let Evidence { alike_percent, requests, unsolicited_count, test_delays, attempts, exits } = evidence;
+    let Evidence { identical_percent, requests, unsolicited_count, test_delays, attempts, exits } = evidence;
     let mut report = Report::default();
     let mut by_id: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     for attempt in attempts {
@@ -87,7 +89,7 @@
     }
     for request in requests {
         let attempts = by_id.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
-        let body = expected_body(&request.id, *alike_percent);
+        let body = expected_body(&request.id, *identical_percent);
         audit_end(&mut report, request, &body, attempts, exits, test_delays);
         audit_attempts(&mut report, request, attempts, test_delays);
     }
@@ -113,42 +115,42 @@
         RequestEnd::Cancelled { .. } => report.count("cancelled"),
         RequestEnd::Answered { status, body, at } => {
             report.count(if *status == 200 { "served" } else { "rejected or failed" });
-            let has_own = is_own(request, *status, body, own_body);
-            if !has_own || !is_responded(request, *status, attempts, *at) {
+            let is_own = is_own_response(request, *status, body, own_body);
+            if !is_own || !has_node_responded(request, *status, attempts, *at) {
                 let begins = String::from_utf8_lossy(&body[..body.len().min(24)]).into_owned();
                 let (id, status) = (request.id.clone(), *status);
                 report.findings.push(Finding::ForeignResponse { id, status, begins });
             }
-            let by = at.duration_since(request.sent).saturating_sub(request.due);
+            let past_due = at.duration_since(request.sent).saturating_sub(request.due);
             let bound = RESPONSE_AFTER_DEADLINE + test_delays.allowance(*at);
-            let late = at.duration_since(request.sent).saturating_sub(request.deadline);
-            if late > bound && by <= bound {
+            let past_deadline = at.duration_since(request.sent).saturating_sub(request.deadline);
+            if past_deadline > bound && past_due <= bound {
                 report.count("late behind pipelined requests");
             }
-            if by > bound {
-                report.findings.push(Finding::LateResponse { id: request.id.clone(), by });
+            if past_due > bound {
+                report.findings.push(Finding::LateResponse { id: request.id.clone(), by: past_due });
             }
         }
         RequestEnd::ConnectionClosed { at } => {
             report.count("closed");
             let after = at.duration_since(request.sent);
-            let crossed = after <= CLOSE_CROSSED_WITHIN + test_delays.allowance(*at);
-            if let Some(why) = outstanding(request, attempts, exits, *at, crossed) {
+            let crossed_close = after <= CLOSE_CROSSED_WITHIN + test_delays.allowance(*at);
+            if let Some(reason) = outstanding(request, attempts, exits, *at, crossed_close) {
                 let (id, host) = (request.id.clone(), request.host);
-                report.findings.push(Finding::NoResponse { id, host, after, why });
+                report.findings.push(Finding::NoResponse { id, host, after, reason });
             }
         }
     }
 }
 
-/// Whether a node had begun to respond to a request that was served: where responses are alike, a copy of another
-/// request's is told by that.
-fn is_responded(request: &Request, status: u16, attempts: &[&Attempt], at: Instant) -> bool {
+/// Returns whether a node had begun to respond to a served request before the client received the response; true for
+/// other requests. If responses are identical, only this reveals a duplicate of the response to another request.
+fn has_node_responded(request: &Request, status: u16, attempts: &[&Attempt], at: Instant) -> bool {
     let is_served = request.kind == RequestKind::Forwarded && status == 200;
     !is_served || attempts.iter().any(|attempt| attempt.responded.is_some_and(|responded| responded <= at))
 }
 
-fn is_own(request: &Request, status: u16, body: &[u8], own_body: &[u8]) -> bool {
+fn is_own_response(request: &Request, status: u16, body: &[u8], own_body: &[u8]) -> bool {
     match (request.kind, status) {
         (RequestKind::Forwarded, 200) => body == own_body,
         (RequestKind::Readiness, 200) => body == b"ready\n",
@@ -158,34 +160,35 @@
     }
 }
 
-/// Why a request whose connection closed needed a response all the same; none where it crossed the close unread.
+/// Returns the reason why a request whose connection was closed still required a response; `None` if the request was
+/// sent during the close and was not read.
 fn outstanding(
     request: &Request,
     attempts: &[&Attempt],
     exits: &[Exit],
     at: Instant,
-    crossed: bool,
+    crossed_close: bool,
 ) -> Option<&'static str> {
-    // Of the requests that a kill ends, only those sent long after the signal needed a response.
+    // Of the requests ended by a kill, only requests sent long after the signal required a response.
     let killed = exits.iter().find(|e| {
         e.host == request.host
             && e.status.is_none()
             && at + KILL_TOLERANCE >= e.at
             && request.sent <= e.at + KILL_TOLERANCE
     });
-    let early = killed.is_some_and(|e| {
+    let is_excused = killed.is_some_and(|e| {
         e.signalled.is_some_and(|signalled| request.sent < signalled + Duration::from_millis(700))
     });
-    if early {
+    if is_excused {
         return None;
     }
     if !attempts.is_empty() {
         return Some("it reached a node");
     }
-    if request.read {
-        return Some("it was read with one that was answered");
+    if request.is_read {
+        return Some("it was read together with a request that was answered");
     }
-    (!crossed).then_some("its connection stayed open for long")
+    (!crossed_close).then_some("its connection stayed open after the request")
 }
 
 fn audit_attempts(report: &mut Report, request: &Request, attempts: &[&Attempt], test_delays: &TestDelays) {
@@ -194,7 +197,7 @@
         let id = request.id.clone();
         let end = match &request.end {
             RequestEnd::Cancelled { at } => Some((*at, "its client had disconnected")),
-            // A request with its response has ended.
+            // The response ends the request.
             RequestEnd::Answered { at, .. } => Some((*at, "its response")),
             RequestEnd::ConnectionClosed { .. } => None,
         };
@@ -203,9 +206,9 @@
         if after > ATTEMPT_AFTER_END + allowance {
             report.findings.push(Finding::AttemptAfterEnd { id: id.clone(), after, end });
         }
-        let left = (request.sent + request.deadline).saturating_duration_since(attempt.at);
-        let by = attempt.timeout.saturating_sub(left);
-        // The least that the field can hold is a millisecond.
+        let remaining = (request.sent + request.deadline).saturating_duration_since(attempt.at);
+        let by = attempt.timeout.saturating_sub(remaining);
+        // The smallest value of the deadline field is one millisecond.
         if by > ATTEMPT_DEADLINE_EXCESS + allowance {
             report.findings.push(Finding::DeadlineExtended { id, by });
         }
@@ -217,11 +220,11 @@
 }
 
 fn audit_exit(report: &mut Report, exit: &Exit) {
-    let how = match (exit.signalled, exit.status) {
-        (None, status) => format!("it exited without a signal: {status:?}"),
+    let description = match (exit.signalled, exit.status) {
+        (None, status) => format!("exited without a signal: {status:?}"),
         (Some(_), Some(status)) if !status.success() => format!("{status:?}"),
         (Some(_), Some(_)) => return report.count("exited normally"),
         (Some(_), None) => return report.count("killed"),
     };
-    report.findings.push(Finding::AbnormalExit { host: exit.host, how });
+    report.findings.push(Finding::AbnormalExit { host: exit.host, description });
 }
--- a/crates/cli/tests/soak/client.rs
+++ b/crates/cli/tests/soak/client.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests alone, pipelined and split, and cancel some of them; each records what it saw.
+//! Clients that send single, pipelined and split requests, cancel some of them, and record the results.
 
 use crate::run_config::RunConfig;
 use crate::support::http_message::{request_bytes, HttpMessage};
@@ -8,18 +8,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// What a client expects of a request.
+/// Kind of a request, which determines the response expected by the client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestKind {
-    /// A request to a node, with the node's response to it.
+    /// Request that is forwarded to a node and gets the response of the node.
     Forwarded,
-    /// A readiness check, which the host answers by itself.
+    /// Readiness check, which the host answers without a node.
     Readiness,
-    /// A request that the host rejects by itself.
+    /// Request that the host rejects without a node.
     Rejected,
 }
 
-/// How a request ended for its client.
+/// End of a request as observed by its client.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestEnd {
     Answered {
@@ -27,54 +27,55 @@
         body: Vec<u8>,
         at: Instant,
     },
-    /// The connection ended without a whole response.
+    /// The connection ended without a complete response.
     ConnectionClosed {
         at: Instant,
     },
-    /// The client disconnected first.
+    /// The client disconnected before the response.
     Cancelled {
         at: Instant,
     },
 }
 
-/// A request as its client saw it.
+/// Request as recorded by its client.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub id: String,
     pub kind: RequestKind,
     pub host: usize,
-    /// When its last byte was written.
+    /// Time at which the last byte of the request was written.
     pub sent: Instant,
     pub deadline: Duration,
-    /// The longest deadline of this one and those pipelined before it: responses come in their order.
+    /// Longest deadline of this request and the requests pipelined before it, since responses are sent in request
+    /// order.
     pub due: Duration,
-    /// Another request of the same write was answered, so that this one was read as well.
-    pub read: bool,
+    /// Set if another request of the same write was answered, which shows that the host has read this request too.
+    pub is_read: bool,
     pub end: RequestEnd,
 }
 
-/// What a client saw.
+/// Results recorded by a client.
 pub(crate) struct ClientRecord {
     pub requests: Vec<Request>,
-    /// How often more arrived than the responses to the requests.
+    /// Number of times that bytes arrived beyond the responses to the requests.
     pub unsolicited_count: u64,
 }
 
-/// A client of one host.
+/// Client of one host.
 pub(crate) struct Client<'a> {
     pub config: &'a RunConfig,
     pub name: String,
     pub host: usize,
     pub address: SocketAddr,
     pub random: SeededRandom,
-    pub over: &'a AtomicBool,
+    pub is_over: &'a AtomicBool,
     pub request_count: u64,
-    /// How often more arrived than the responses to the requests.
+    /// Number of times that bytes arrived beyond the responses to the requests.
     pub unsolicited_count: u64,
     pub requests: Vec<Request>,
 }
 
-/// A request before its end.
+/// Request that has not ended yet.
 struct OpenRequest {
     id: String,
     kind: RequestKind,
@@ -86,10 +87,10 @@
 impl Client<'_> {
     /// Sends requests until the run is over.
     pub(crate) fn run(mut self) -> ClientRecord {
-        while !self.over.load(Ordering::SeqCst) {
+        while !self.is_over.load(Ordering::SeqCst) {
             match TcpStream::connect(self.address) {
                 Ok(stream) => self.use_connection(&stream),
-                // The host is gone for a while.
+                // The host is not running at the moment.
                 Err(_) => std::thread::sleep(Duration::from_millis(20)),
             }
         }
@@ -99,11 +100,11 @@
     /// Sends requests on one connection until it ends.
     fn use_connection(&mut self, stream: &TcpStream) {
         _ = stream.set_nodelay(true);
-        // Longer than any request may take: what is not there by then is missing.
+        // Longer than any request may take; a response that has not arrived by then is missing.
         _ = stream.set_read_timeout(Some(self.config.longest_deadline + Duration::from_secs(3)));
-        let Ok(reading) = stream.try_clone() else { return };
-        let mut reader = BufReader::new(reading);
-        while !self.over.load(Ordering::SeqCst) {
+        let Ok(read_stream) = stream.try_clone() else { return };
+        let mut reader = BufReader::new(read_stream);
+        while !self.is_over.load(Ordering::SeqCst) {
             if !self.exchange(stream, &mut reader) {
                 return;
             }
@@ -111,14 +112,14 @@
         }
     }
 
-    /// Writes one or several requests and reads their responses; false where the connection is over.
+    /// Writes one or several requests and reads their responses; returns whether the connection is still usable.
     fn exchange(&mut self, stream: &TcpStream, reader: &mut BufReader<TcpStream>) -> bool {
         let count = if self.random.below(4) == 0 { 2 + self.random.below(4) } else { 1 };
         let requests = self.next_requests(count);
         let bytes: Vec<u8> = requests.iter().flat_map(|request| request.bytes.clone()).collect();
-        let whole = self.random.below(5) > 0;
-        if !self.send(stream, &bytes, whole) {
-            // The host has not read the last request whole.
+        let is_single_write = self.random.below(5) > 0;
+        if !self.send(stream, &bytes, is_single_write) {
+            // The host has not read the last request completely.
             return false;
         }
         let sent = Instant::now();
@@ -141,8 +142,8 @@
                 }
                 None => RequestEnd::ConnectionClosed { at },
             };
-            // What was written at once is read at once.
-            self.record(request, sent, end, whole && answered > 0);
+            // Requests sent in a single write are read together.
+            self.record(request, sent, end, is_single_write && answered > 0);
         }
         if answered as u64 != count {
             return false;
@@ -154,12 +155,12 @@
         !is_closed(stream)
     }
 
-    fn record(&mut self, request: OpenRequest, sent: Instant, end: RequestEnd, read: bool) {
+    fn record(&mut self, request: OpenRequest, sent: Instant, end: RequestEnd, is_read: bool) {
         let OpenRequest { id, kind, deadline, due, .. } = request;
-        self.requests.push(Request { id, kind, host: self.host, sent, deadline, due, read, end });
+        self.requests.push(Request { id, kind, host: self.host, sent, deadline, due, is_read, end });
     }
 
-    /// Requests for one write, each due once all before it are.
+    /// Returns requests for one write, each due no earlier than the requests before it.
     fn next_requests(&mut self, count: u64) -> Vec<OpenRequest> {
         let mut requests: Vec<OpenRequest> = (0..count).map(|_| self.next_request()).collect();
         for i in 1..requests.len() {
@@ -173,11 +174,12 @@
         let id = format!("{}-{}", self.name, self.request_count);
         let class = ["read", "read", "write", "once"][self.random.below(4) as usize];
         let longest_deadline = self.config.longest_deadline;
-        let most = longest_deadline.as_millis() as u64;
-        let limit = if self.random.below(20) == 0 { 1 } else { most / 3 + self.random.below(most * 2 / 3) };
+        let max_ms = longest_deadline.as_millis() as u64;
+        let deadline_ms =
+            if self.random.below(20) == 0 { 1 } else { max_ms / 3 + self.random.below(max_ms * 2 / 3) };
         let shard = self.random.below(self.config.shards as u64) as i32;
-        let bytes = request_bytes(&id, class, shard, limit as u32);
-        let deadline = Duration::from_millis(limit);
+        let bytes = request_bytes(&id, class, shard, deadline_ms as u32);
+        let deadline = Duration::from_millis(deadline_ms);
         match self.random.below(16) {
             0 => {
                 let bytes = b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n".to_vec();
@@ -203,19 +205,19 @@
         }
     }
 
-    /// Writes bytes, at once or split; false where the host did not accept all of them.
-    fn send(&mut self, mut stream: &TcpStream, bytes: &[u8], whole: bool) -> bool {
-        if whole {
+    /// Writes bytes in a single write or split; returns whether the host accepted all of them.
+    fn send(&mut self, mut stream: &TcpStream, bytes: &[u8], is_single_write: bool) -> bool {
+        if is_single_write {
             return stream.write_all(bytes).is_ok();
         }
-        let mut rest = bytes;
-        while !rest.is_empty() {
-            let length = 1 + self.random.below(rest.len() as u64) as usize;
-            let (now, later) = rest.split_at(length);
-            if stream.write_all(now).is_err() {
+        let mut remaining = bytes;
+        while !remaining.is_empty() {
+            let length = 1 + self.random.below(remaining.len() as u64) as usize;
+            let (part, tail) = remaining.split_at(length);
+            if stream.write_all(part).is_err() {
                 return false;
             }
-            rest = later;
+            remaining = tail;
             std::thread::sleep(Duration::from_millis(self.random.below(8)));
         }
         true
@@ -233,7 +235,7 @@
     peek(stream).is_ok_and(|bytes| bytes > 0)
 }
 
-/// Whether the host has closed the connection.
+/// Returns whether the host has closed the connection.
 fn is_closed(stream: &TcpStream) -> bool {
     !peek(stream).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
 }
--- a/crates/cli/tests/soak/defect_relay.rs
+++ b/crates/cli/tests/soak/defect_relay.rs
@@ -1,4 +1,4 @@
-//! A relay between clients and a host with a seeded defect, for the audit to find.
+//! Relay between clients and a host with a seeded defect that the audit must find.
 
 use crate::run_config::Defect;
 use crate::support::loopback::{accept, listen};
@@ -8,12 +8,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Messages that are forwarded before the defect.
+/// Number of messages forwarded before the defect.
 const FORWARDED_BEFORE_DEFECT: u64 = 40;
-/// How long a lost request's connection stays open, as it would at a host that forgot the request.
+/// Time for which the connection of a lost request stays open, as on a host that has lost the request.
 const LOST_REQUEST_HOLD: Duration = Duration::from_secs(1);
 
-/// A relay in front of one host.
+/// Relay in front of one host.
 pub(crate) struct DefectRelay {
     pub address: SocketAddr,
 }
@@ -22,7 +22,7 @@
 struct Counters {
     requests: AtomicU64,
     responses: AtomicU64,
-    /// A response that was forwarded.
+    /// Response that was forwarded earlier.
     earlier_response: Mutex<Vec<u8>>,
 }
 
@@ -30,25 +30,30 @@
     pub(crate) fn start(host: SocketAddr, defect: Defect) -> DefectRelay {
         let (listener, address) = listen();
         let counters = Arc::new(Counters::default());
-        accept(listener, move |client| _ = carry(&client, host, defect, &counters));
+        accept(listener, move |client| _ = relay_connection(&client, host, defect, &counters));
         DefectRelay { address }
     }
 }
 
-fn carry(client: &TcpStream, host: SocketAddr, defect: Defect, counters: &Arc<Counters>) -> Option<()> {
+fn relay_connection(
+    client: &TcpStream,
+    host: SocketAddr,
+    defect: Defect,
+    counters: &Arc<Counters>,
+) -> Option<()> {
     let host = TcpStream::connect(host).ok()?;
     _ = (client.set_nodelay(true), host.set_nodelay(true));
-    let (back_from, back_to) = (host.try_clone().ok()?, client.try_clone().ok()?);
+    let (response_from, response_to) = (host.try_clone().ok()?, client.try_clone().ok()?);
     let response_counters = counters.clone();
     std::thread::spawn(move || {
-        pump(&back_from, &back_to, |bytes| {
+        copy_bytes(&response_from, &response_to, |bytes| {
             if defect == Defect::SwappedResponse {
                 response_counters.swap(bytes);
             }
             true
         });
     });
-    pump(client, &host, |bytes| defect != Defect::LostRequest || !counters.loses(bytes));
+    copy_bytes(client, &host, |bytes| defect != Defect::LostRequest || !counters.is_lost(bytes));
     Some(())
 }
 
@@ -66,15 +71,15 @@
         }
     }
 
-    /// Whether this request is the one to lose.
-    fn loses(&self, bytes: &[u8]) -> bool {
+    /// Returns whether this is the request to lose.
+    fn is_lost(&self, bytes: &[u8]) -> bool {
         let is_request = bytes.starts_with(b"GET /api") || bytes.starts_with(b"PUT /api");
         is_request && self.requests.fetch_add(1, Ordering::SeqCst) == FORWARDED_BEFORE_DEFECT
     }
 }
 
-/// Copies bytes one way until either side ends, or until `forwards` is false.
-fn pump(mut from: &TcpStream, mut to: &TcpStream, mut forwards: impl FnMut(&mut Vec<u8>) -> bool) {
+/// Copies bytes in one direction until either side closes, or until `forwards` returns false.
+fn copy_bytes(mut from: &TcpStream, mut to: &TcpStream, mut forwards: impl FnMut(&mut Vec<u8>) -> bool) {
     let mut buffer = vec![0; 64 << 10];
     while let Ok(length) = from.read(&mut buffer) {
         let mut bytes = buffer[..length].to_vec();
--- a/crates/cli/tests/soak/main.rs
+++ b/crates/cli/tests/soak/main.rs
@@ -1,8 +1,9 @@
-//! A soak of real processes on loopback: hosts under load are reloaded, stopped, shut down and killed as early as the
-//! platform's page allows, while nodes send late duplicates, garbage and truncated responses and clients pipeline, split
-//! and cancel requests. Every request is audited from what its client and the nodes saw.
+//! Soak test of real processes on loopback. Hosts under load are reloaded, stopped, shut down and killed as early as
+//! the documentation of the platform allows, while nodes send late duplicates, garbage and truncated responses and
+//! clients pipeline, split and cancel requests. Every request is audited against the records of its client and of the
+//! nodes.
 //!
-//! A few seeds run by default; `SOAK_SEEDS=1..50` runs others and reports each.
+//! A few seeds run by default; `SOAK_SEEDS=1..50` runs these seeds instead and reports each.
 
 mod audit;
 mod client;
@@ -22,7 +23,7 @@
 use std::time::{Duration, Instant};
 use test_delays::TestDelays;
 
-/// The seeds of a run without `SOAK_SEEDS`: few, and unlike each other.
+/// Seeds used without `SOAK_SEEDS`: a few that give different configurations.
 const DEFAULT_SEEDS: [u64; 5] = [1, 2, 3, 4, 5];
 
 fn seeds() -> Vec<u64> {
@@ -36,11 +37,11 @@
     let evidence = run::run(&config);
     let report = audit::audit(&evidence);
     let delay = evidence.test_delays.longest();
-    let faults = config.syscall_faults.unwrap_or("no call fails");
+    let faults = config.syscall_faults.unwrap_or("no failing system calls");
     println!(
-        "seed {seed}: {} hosts, {}% alike, {faults}, {}, the test late by {delay:?} at most",
+        "seed {seed}: {} hosts, {}% identical responses, {faults}, {}, longest delay of the test {delay:?}",
         config.hosts,
-        config.alike_percent,
+        config.identical_percent,
         report.summary()
     );
     for finding in &report.findings {
@@ -51,21 +52,22 @@
 
 #[test]
 fn each_request_read_gets_exactly_its_own_response() {
-    let broken: Vec<u64> =
+    let failed_seeds: Vec<u64> =
         seeds().into_iter().filter(|seed| !run_and_audit(*seed, None).is_empty()).collect();
-    assert!(broken.is_empty(), "seeds that broke a rule: {broken:?}");
+    assert!(failed_seeds.is_empty(), "seeds with violated rules: {failed_seeds:?}");
 }
 
 #[test]
-fn a_swapped_response_is_found() {
+fn swapped_response_is_found() {
     let found = run_and_audit(101, Some(Defect::SwappedResponse));
     assert!(found.iter().any(|f| matches!(f, Finding::ForeignResponse { .. })), "{found:?}");
 }
 
-/// A request that was served with the body that many have, and its node's attempt, which responded at `responded`.
-fn evidence_of_alike_response(served: Instant, responded: Instant) -> Evidence {
-    let (id, alike_percent) = ("h0c0-1".to_string(), 100);
-    let body = node::expected_body(&id, alike_percent);
+/// Returns the evidence of one request that was served with a body shared by many requests, and of its attempt, to
+/// which the node responded at `responded`.
+fn evidence_of_identical_response(served: Instant, responded: Instant) -> Evidence {
+    let (id, identical_percent) = ("h0c0-1".to_string(), 100);
+    let body = node::expected_body(&id, identical_percent);
     let (deadline, sent) = (Duration::from_secs(1), served - Duration::from_millis(20));
     let attempt = Attempt {
         id: id.clone(),
@@ -77,9 +79,9 @@
     };
     let end = RequestEnd::Answered { status: 200, body, at: served };
     let kind = RequestKind::Forwarded;
-    let request = Request { id, kind, host: 0, sent, deadline, due: deadline, read: true, end };
+    let request = Request { id, kind, host: 0, sent, deadline, due: deadline, is_read: true, end };
     Evidence {
-        alike_percent,
+        identical_percent,
         requests: vec![request],
         unsolicited_count: 0,
         test_delays: TestDelays::default(),
@@ -89,17 +91,17 @@
 }
 
 #[test]
-fn an_alike_response_that_no_node_has_given_yet_is_found() {
+fn identical_response_before_the_response_of_its_node_is_found() {
     let served = Instant::now() + Duration::from_secs(1);
     let millisecond = Duration::from_millis(1);
-    let own = audit::audit(&evidence_of_alike_response(served, served - millisecond));
+    let own = audit::audit(&evidence_of_identical_response(served, served - millisecond));
     assert!(own.findings.is_empty(), "{:?}", own.findings);
-    let copy = audit::audit(&evidence_of_alike_response(served, served + millisecond));
-    assert!(matches!(copy.findings[..], [Finding::ForeignResponse { .. }]), "{:?}", copy.findings);
+    let early = audit::audit(&evidence_of_identical_response(served, served + millisecond));
+    assert!(matches!(early.findings[..], [Finding::ForeignResponse { .. }]), "{:?}", early.findings);
 }
 
 #[test]
-fn a_lost_request_is_found() {
+fn lost_request_is_found() {
     let found = run_and_audit(102, Some(Defect::LostRequest));
     assert!(found.iter().any(|f| matches!(f, Finding::NoResponse { .. })), "{found:?}");
 }
--- a/crates/cli/tests/soak/node.rs
+++ b/crates/cli/tests/soak/node.rs
@@ -1,5 +1,5 @@
 //! Nodes that send late duplicates, garbage and truncated responses, hang, reject requests and reset connections. The
-//! attempts that reach them are recorded for the audit.
+//! nodes record the attempts received for the audit.
 
 use crate::run_config::RunConfig;
 use crate::support::http_message::HttpMessage;
@@ -11,33 +11,33 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long unsolicited bytes are under way.
+/// Simulated network delay of unsolicited bytes.
 const NETWORK_DELAY: Duration = Duration::from_millis(2);
 
-/// Bodies that many requests are given; the longest is cut by faults.
-const ALIKE_BODIES: [&[u8]; 2] = [b"OK, it was written", b""];
+/// Response bodies shared by many requests; faults truncate the longer one.
+const IDENTICAL_BODIES: [&[u8]; 2] = [b"OK, it was written", b""];
 
-/// An attempt as its node saw it.
+/// Attempt as recorded by its node.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub id: String,
     pub class: String,
-    /// When its last byte was read.
+    /// Time at which the last byte of the attempt was read.
     pub at: Instant,
-    /// The time left by the attempt's deadline field.
+    /// Remaining time according to the deadline field of the attempt.
     pub timeout: Duration,
-    /// Whether it ran, or may have.
+    /// Set if the attempt ran or may have run.
     pub ran: bool,
-    /// When its node began to respond to it; none where it did not.
+    /// Time at which the node began to respond; `None` if the node did not respond.
     pub responded: Option<Instant>,
 }
 
-/// The body of the response to a request, the same at each node: it begins with the request's id, and holds arbitrary
-/// bytes, unless it is the same as others'.
-pub(crate) fn expected_body(id: &str, alike_percent: u64) -> Vec<u8> {
+/// Returns the body of the response to a request, the same for each node: either the id of the request followed by
+/// random bytes, or one of the bodies shared by many requests.
+pub(crate) fn expected_body(id: &str, identical_percent: u64) -> Vec<u8> {
     let hash = id.bytes().fold(7u64, |sum, byte| sum.wrapping_mul(31).wrapping_add(u64::from(byte)));
-    if hash % 100 < alike_percent {
-        return ALIKE_BODIES[(hash / 100) as usize % ALIKE_BODIES.len()].to_vec();
+    if hash % 100 < identical_percent {
+        return IDENTICAL_BODIES[(hash / 100) as usize % IDENTICAL_BODIES.len()].to_vec();
     }
     let mut random = SeededRandom::new(hash);
     let length = if random.below(50) == 0 { 30_000 } else { 16 + random.below(900) as usize };
@@ -49,17 +49,17 @@
     body
 }
 
-/// What a node does with a request.
+/// Reaction of a node to a request.
 enum Behaviour {
     Respond,
-    /// Responds, and sends unsolicited bytes some time later unless another request waits.
+    /// Responds, and sends unsolicited bytes later unless another request has arrived.
     RespondThenSendLater(Unsolicited),
     /// Responds with unsolicited bytes in the same write.
     RespondWithExtra(Unsolicited),
     RespondChunked,
-    /// Responds with a body that ends with the connection.
+    /// Responds with a body delimited by the close of the connection.
     RespondUntilClose,
-    /// Sends an interim response first.
+    /// Responds after an interim response.
     RespondAfterInterim,
     /// Rejects the request without running it.
     Reject,
@@ -67,13 +67,13 @@
     Hang,
     Reset,
     SendGarbage,
-    /// Responds without the last bytes and keeps the connection.
+    /// Responds without the last bytes and keeps the connection open.
     Truncate,
     /// Responds without the last bytes and closes the connection.
     TruncateAndClose,
 }
 
-/// Bytes that belong to no open exchange.
+/// Bytes that do not belong to an open exchange.
 #[derive(Clone, Copy)]
 enum Unsolicited {
     Duplicate,
@@ -91,7 +91,7 @@
     }
 }
 
-/// A node that serves one shard.
+/// Node that serves one shard.
 pub(crate) struct Node {
     pub address: SocketAddr,
     attempts: Arc<Mutex<Vec<Attempt>>>,
@@ -116,7 +116,7 @@
     }
 }
 
-/// A host's connection to a node, with a random source of its own.
+/// Connection from a host to a node, with a separate random source.
 struct NodeConnection {
     config: RunConfig,
     random: SeededRandom,
@@ -163,14 +163,14 @@
         }
     }
 
-    /// Records an attempt; its place in the record.
+    /// Records an attempt and returns its index in the record.
     fn record(&self, attempt: Attempt) -> usize {
         let mut attempts = self.attempts.lock().unwrap();
         attempts.push(attempt);
         attempts.len() - 1
     }
 
-    /// Serves the connection; none once it has ended.
+    /// Serves the connection; returns `None` when the connection has ended.
     fn serve(mut self, mut stream: TcpStream) -> Option<()> {
         let mut reader = BufReader::new(stream.try_clone().ok()?);
         loop {
@@ -182,15 +182,15 @@
             let timeout_ms = message.field("x-deadline")?.trim_end_matches('m').parse().ok()?;
             let timeout = Duration::from_millis(timeout_ms);
             let ran = !matches!(behaviour, Behaviour::Reject);
-            let body = expected_body(&id, self.config.alike_percent);
-            let number = self.record(Attempt { id, class, at, timeout, ran, responded: None });
+            let body = expected_body(&id, self.config.identical_percent);
+            let index = self.record(Attempt { id, class, at, timeout, ran, responded: None });
             std::thread::sleep(Duration::from_millis(1 + self.random.below(12)));
-            self.attempts.lock().unwrap()[number].responded = Some(Instant::now());
+            self.attempts.lock().unwrap()[index].responded = Some(Instant::now());
             self.respond(&behaviour, &body, &mut stream)?;
         }
     }
 
-    /// None where the connection has ended.
+    /// Responds to a request; returns `None` if the connection has ended.
     fn respond(&mut self, behaviour: &Behaviour, body: &[u8], stream: &mut TcpStream) -> Option<()> {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         let response = [head.as_bytes(), body].concat();
@@ -233,7 +233,7 @@
     fn send_later(&mut self, bytes: &[u8], stream: &mut TcpStream) -> Option<()> {
         let delay = Duration::from_millis(1 + self.random.below(self.config.duplicate_delay_ms));
         if stays_idle(stream, delay) {
-            // The bytes are under way while the next request may be, too.
+            // During this delay, the next request may be in flight as well.
             std::thread::sleep(NETWORK_DELAY);
             stream.write_all(bytes).ok()?;
         }
@@ -255,7 +255,7 @@
     None
 }
 
-/// Whether nothing arrives on a connection for so long.
+/// Returns whether no byte arrives on a connection for the given time.
 fn stays_idle(stream: &TcpStream, time: Duration) -> bool {
     _ = stream.set_read_timeout(Some(time));
     let arrived = stream.peek(&mut [0]);
--- a/crates/cli/tests/soak/run.rs
+++ b/crates/cli/tests/soak/run.rs
@@ -1,4 +1,4 @@
-//! A run of the soak: hosts as processes, their nodes, discoveries and clients, and the faults injected into them.
+//! Execution of a soak run: host processes with their nodes, discoveries and clients, and the injected faults.
 
 use crate::client::{Client, ClientRecord, Request};
 use crate::defect_relay::DefectRelay;
@@ -16,24 +16,27 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The kill comes so long after the longest deadline, of which the platform's page counts so much.
+/// Time between the longest deadline and the kill.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-const LONGEST_DEADLINE_COUNTED: Duration = Duration::from_secs(3);
-/// How long hosts serve before the first gets SIGTERM, and how much later the next one gets it.
+/// Upper bound of the longest deadline when the kill time is calculated, as documented by the platform.
+const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
+/// Time for which hosts serve before the first host gets SIGTERM.
 const SERVING_TIME: Duration = Duration::from_millis(1200);
+/// Time between the SIGTERM of one host and of the next.
 const SHUTDOWN_STAGGER: Duration = Duration::from_millis(250);
-const STALL: Duration = Duration::from_millis(140);
-/// How long a restarted host must run.
-const RUNS_AFTER_RESTART: Duration = Duration::from_millis(400);
+/// Time for which a host is stopped by SIGSTOP.
+const STALL_TIME: Duration = Duration::from_millis(140);
+/// Time for which a restarted host must run.
+const MIN_TIME_AFTER_RESTART: Duration = Duration::from_millis(400);
 
-/// How a process of a host ended.
+/// End of a host process.
 #[derive(Clone, Debug)]
 pub(crate) struct Exit {
     pub host: usize,
-    /// When it got SIGTERM; none where it got none.
+    /// Time of the first SIGTERM; `None` if the process got no SIGTERM.
     pub signalled: Option<Instant>,
     pub at: Instant,
-    /// Its exit status; none where it was killed.
+    /// Exit status; `None` if the process was killed.
     pub status: Option<ExitStatus>,
 }
 
@@ -77,10 +80,10 @@
         }
     }
 
-    /// Waits until the process exits, and kills it at a given time where it has not.
-    fn wait_or_kill(&mut self, signalled: Instant, kill: Instant) -> Exit {
+    /// Waits until the process exits; kills the process if it is still running at the given time.
+    fn wait_or_kill(&mut self, signalled: Instant, kill_time: Instant) -> Exit {
         let signalled = Some(signalled);
-        while Instant::now() < kill {
+        while Instant::now() < kill_time {
             if let Some(status) = self.process.exit_status() {
                 return Exit { host: self.number, signalled, at: Instant::now(), status: Some(status) };
             }
@@ -96,26 +99,26 @@
     }
 }
 
-/// What a run leaves for the audit.
+/// Records of a run for the audit.
 pub(crate) struct Evidence {
-    /// Percentage of requests whose response is the same as that of others.
-    pub alike_percent: u64,
-    /// Requests as their clients saw them.
+    /// Percentage of requests whose response is identical to the response to other requests.
+    pub identical_percent: u64,
+    /// Requests as recorded by their clients.
     pub requests: Vec<Request>,
-    /// How often clients got more than the responses to their requests.
+    /// Number of times that clients received bytes beyond the responses to their requests.
     pub unsolicited_count: u64,
     pub test_delays: TestDelays,
-    /// Attempts as the nodes saw them.
+    /// Attempts as recorded by the nodes.
     pub attempts: Vec<Attempt>,
     pub exits: Vec<Exit>,
 }
 
-/// Runs hosts under load and faults to their end.
+/// Runs hosts under load and faults until all have been shut down, and returns the records.
 pub(crate) fn run(config: &RunConfig) -> Evidence {
     let nodes: Vec<Node> = (0..config.shards).map(|shard| Node::start(config, shard as u64)).collect();
-    let list =
+    let instance_of =
         |(shard, node): (usize, &Node)| instance(&format!("s-{shard}"), node.address, shard, "SERVING");
-    let instances: Vec<Value> = nodes.iter().enumerate().map(list).collect();
+    let instances: Vec<Value> = nodes.iter().enumerate().map(instance_of).collect();
     let discoveries: Vec<SocketAddr> = (0..2).map(|_| Discovery::start(instances.clone()).1).collect();
     let start = |number| Host::start(config, number, discoveries[0], &instances);
     let mut hosts: Vec<Host> = (0..config.hosts).map(start).collect();
@@ -125,24 +128,24 @@
         .collect();
     let idle_connections: Vec<TcpStream> =
         (0..config.idle_connections).map_while(|_| TcpStream::connect(hosts[0].address).ok()).collect();
-    let over = AtomicBool::new(false);
+    let is_over = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        let delays = scope.spawn(|| TestDelays::measure(&over));
+        let delays = scope.spawn(|| TestDelays::measure(&is_over));
         let mut clients = Vec::new();
         for host in &hosts {
             let address = relays[host.number].as_ref().map_or(host.address, |relay| relay.address);
             for number in 0..config.clients {
-                let client = client(config, host.number, number, address, &over);
+                let client = client(config, host.number, number, address, &is_over);
                 clients.push(scope.spawn(move || client.run()));
             }
         }
         let exits = inject_faults(config, &mut hosts, &discoveries);
-        over.store(true, Ordering::SeqCst);
+        is_over.store(true, Ordering::SeqCst);
         let test_delays = delays.join().unwrap();
         let records: Vec<ClientRecord> = clients.into_iter().map(|client| client.join().unwrap()).collect();
         drop(idle_connections);
         Evidence {
-            alike_percent: config.alike_percent,
+            identical_percent: config.identical_percent,
             unsolicited_count: records.iter().map(|record| record.unsolicited_count).sum(),
             requests: records.into_iter().flat_map(|record| record.requests).collect(),
             test_delays,
@@ -157,7 +160,7 @@
     host: usize,
     number: usize,
     address: SocketAddr,
-    over: &'a AtomicBool,
+    is_over: &'a AtomicBool,
 ) -> Client<'a> {
     Client {
         config,
@@ -165,26 +168,27 @@
         host,
         address,
         random: SeededRandom::new(config.seed * 7919 + (host * 100 + number) as u64),
-        over,
+        is_over,
         request_count: 0,
         unsolicited_count: 0,
         requests: Vec::new(),
     }
 }
 
-/// Reloads, stalls and shutdowns, one host after the other, each killed as early as the platform's page allows.
+/// Reloads, stalls and shuts down the hosts, staggered in time. Hosts are killed as early as the documentation of the
+/// platform allows.
 fn inject_faults(config: &RunConfig, hosts: &mut [Host], discoveries: &[SocketAddr]) -> Vec<Exit> {
     std::thread::sleep(SERVING_TIME);
     std::thread::scope(|scope| {
-        let ending: Vec<_> = hosts
+        let shutdowns: Vec<_> = hosts
             .iter_mut()
             .enumerate()
-            .map(|(place, host)| {
-                let delay = SHUTDOWN_STAGGER * (place % 6) as u32;
+            .map(|(index, host)| {
+                let delay = SHUTDOWN_STAGGER * (index % 6) as u32;
                 scope.spawn(move || shut_down_and_restart(config, host, discoveries, delay))
             })
             .collect();
-        ending.into_iter().flat_map(|host| host.join().unwrap()).collect()
+        shutdowns.into_iter().flat_map(|host| host.join().unwrap()).collect()
     })
 }
 
@@ -202,7 +206,7 @@
     }
     host.process.signal("TERM");
     let signalled = Instant::now();
-    let kill = signalled + config.longest_deadline.min(LONGEST_DEADLINE_COUNTED) + KILL_AFTER_DEADLINE;
+    let kill_time = signalled + config.longest_deadline.min(MAX_DEADLINE_BEFORE_KILL) + KILL_AFTER_DEADLINE;
     for _ in 0..random.below(3) {
         std::thread::sleep(Duration::from_millis(random.below(400)));
         match random.below(3) {
@@ -210,15 +214,15 @@
             1 => host.process.reload_with_discovery(discoveries[random.below(2) as usize]),
             _ if config.with_stalls => {
                 host.process.signal("STOP");
-                std::thread::sleep(STALL);
+                std::thread::sleep(STALL_TIME);
                 host.process.signal("CONT");
             }
             _ => {}
         }
     }
-    let exit = host.wait_or_kill(signalled, kill);
+    let exit = host.wait_or_kill(signalled, kill_time);
     host.restart();
-    std::thread::sleep(RUNS_AFTER_RESTART);
+    std::thread::sleep(MIN_TIME_AFTER_RESTART);
     let crash = host.process.exit_status().map(|status| Exit {
         host: host.number,
         signalled: None,
--- a/crates/cli/tests/soak/test_delays.rs
+++ b/crates/cli/tests/soak/test_delays.rs
@@ -1,4 +1,4 @@
-//! How late the test itself was: delays of a busy machine are no fault of a host.
+//! Delays of the test itself, since delays of a busy machine are not a fault of a host.
 
 use crate::support::loopback::{accept, listen};
 use std::io::{Read, Write};
@@ -6,53 +6,55 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The interval between two measurements.
+/// Interval between two measurements.
 const INTERVAL: Duration = Duration::from_millis(4);
-/// Shorter delays are not recorded.
-const RECORDED_FROM: Duration = Duration::from_millis(4);
-/// A delay counts for events within this distance.
-const NEAR: Duration = Duration::from_millis(400);
+/// Minimum delay that is recorded.
+const MIN_RECORDED_DELAY: Duration = Duration::from_millis(4);
+/// Maximum time between a delay and an event to which the delay applies.
+const MAX_DISTANCE: Duration = Duration::from_millis(400);
 
-/// When the test was delayed, and for how long.
+/// Times and lengths of the delays of the test.
 #[derive(Debug, Default)]
 pub(crate) struct TestDelays(Vec<(Instant, Duration)>);
 
 impl TestDelays {
-    /// Measures until the run is over.
-    pub(crate) fn measure(over: &AtomicBool) -> TestDelays {
+    /// Measures delays until the run is over.
+    pub(crate) fn measure(is_over: &AtomicBool) -> TestDelays {
         let (listener, echo) = listen();
         accept(listener, |mut stream| {
             let mut byte = [0];
             _ = stream.read_exact(&mut byte).and_then(|()| stream.write_all(&byte));
         });
         let mut recorded = Vec::new();
-        while !over.load(Ordering::SeqCst) {
+        while !is_over.load(Ordering::SeqCst) {
             let before = Instant::now();
             std::thread::sleep(INTERVAL);
             _ = request_echo(echo);
             let delay = before.elapsed().saturating_sub(INTERVAL);
-            if delay > RECORDED_FROM {
+            if delay > MIN_RECORDED_DELAY {
                 recorded.push((Instant::now(), delay));
             }
         }
         TestDelays(recorded)
     }
 
-    /// The extra time that an event then is allowed: twice the test's delay, as two of its threads take part.
+    /// Returns the additional time allowed for an event at this time: twice the longest delay of the test nearby, as
+    /// two threads of the test are involved in an event.
     pub(crate) fn allowance(&self, at: Instant) -> Duration {
-        let near = |recorded: &Instant| recorded.max(&at).duration_since(*recorded.min(&at)) <= NEAR;
-        let delays = self.0.iter().filter(|(recorded, _)| near(recorded)).map(|(_, delay)| *delay);
+        let is_near =
+            |recorded: &Instant| recorded.max(&at).duration_since(*recorded.min(&at)) <= MAX_DISTANCE;
+        let delays = self.0.iter().filter(|(recorded, _)| is_near(recorded)).map(|(_, delay)| *delay);
         2 * delays.max().unwrap_or_default()
     }
 
-    /// The longest delay of all.
+    /// Returns the longest delay of the run.
     pub(crate) fn longest(&self) -> Duration {
         self.0.iter().map(|(_, delay)| *delay).max().unwrap_or_default()
     }
 }
 
-/// The path of an attempt between host and node, without work at its end: a connection, a thread that accepts it, a byte
-/// there and back.
+/// Performs the steps of an attempt between host and node without work in the node: opens a connection, which a thread
+/// accepts, and sends a byte there and back.
 fn request_echo(echo: SocketAddr) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(echo)?;
     stream.write_all(&[1])?;
--- a/crates/cli/tests/support/discovery.rs
+++ b/crates/cli/tests/support/discovery.rs
@@ -1,4 +1,4 @@
-//! An emulated service discovery.
+//! Emulated service discovery.
 
 use super::http_message::HttpMessage;
 use super::loopback::{accept, listen};
@@ -9,15 +9,16 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// What is wrong with the responses of discovery.
+/// Fault in the responses of discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum FaultMode {
     #[default]
     Healthy,
-    /// Reads calls and does not respond.
+    /// Reads calls but does not respond.
     Unresponsive,
+    /// Responds with status 503.
     Busy,
-    /// Responds with something other than a list.
+    /// Responds with a body that is not a valid list.
     Malformed,
 }
 
@@ -29,7 +30,7 @@
     calls: Vec<String>,
 }
 
-/// An emulated discovery with its list of instances.
+/// Emulated discovery that serves a list of instances.
 #[derive(Default)]
 pub(crate) struct Discovery {
     state: Mutex<State>,
@@ -37,7 +38,7 @@
 }
 
 impl Discovery {
-    /// A discovery that serves on loopback as long as the process runs.
+    /// Starts a discovery that serves on loopback until the process exits.
     pub(crate) fn start(instances: Vec<Value>) -> (Arc<Discovery>, SocketAddr) {
         let discovery = Arc::new(Discovery::default());
         discovery.publish(instances);
@@ -47,16 +48,16 @@
         (discovery, address)
     }
 
-    /// Waits until the calls so far meet a condition.
-    pub(crate) fn wait_for_calls(&self, what: &str, met: impl Fn(&[String]) -> bool) {
-        let until = Instant::now() + WAIT_TIMEOUT;
-        while !met(&self.calls()) {
-            assert!(Instant::now() < until, "{what}: not by now: {:?}", self.calls());
+    /// Waits until the calls received so far meet a condition.
+    pub(crate) fn wait_for_calls(&self, condition: &str, is_met: impl Fn(&[String]) -> bool) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while !is_met(&self.calls()) {
+            assert!(Instant::now() < deadline, "timed out waiting until {condition}: {:?}", self.calls());
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Replaces the list, as its next generation.
+    /// Replaces the list and increments its generation.
     pub(crate) fn publish(&self, instances: Vec<Value>) {
         let mut state = self.state.lock().unwrap();
         state.generation += 1;
@@ -64,18 +65,18 @@
         self.changed.notify_all();
     }
 
-    /// How it responds from now on.
+    /// Sets the fault mode of all further responses.
     pub(crate) fn set_fault_mode(&self, fault_mode: FaultMode) {
         self.state.lock().unwrap().fault_mode = fault_mode;
         self.changed.notify_all();
     }
 
-    /// The targets of all calls that came.
+    /// Returns the request targets of all calls received.
     pub(crate) fn calls(&self) -> Vec<String> {
         self.state.lock().unwrap().calls.clone()
     }
 
-    /// The list in the form in which a host's settings hold a cached one.
+    /// Returns the list in the form of the cached list in the settings of a host.
     pub(crate) fn snapshot(&self) -> Value {
         let state = self.state.lock().unwrap();
         json!({"generation": state.generation, "reset": true, "instances": state.instances})
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Status and body of the response to a call, after the wait that it requests; none without a response.
+    /// Returns status and body of the response to a call, after the wait requested by the call; `None` if the call gets
+    /// no response.
     fn response(&self, target: String) -> Option<(u16, String)> {
         let parameter =
             |name: &str| target.split(['?', '&']).find_map(|p| p.strip_prefix(name)?.parse().ok());
@@ -105,7 +107,7 @@
             Some(state.generation) == known_generation && state.fault_mode == FaultMode::Healthy
         };
         state = self.changed.wait_timeout_while(state, wait, unchanged).unwrap().0;
-        // A whole list with each change: the simplest that the protocol allows.
+        // Each change is sent as a complete list, the simplest form that the protocol allows.
         let reset = known_generation != Some(state.generation);
         let instances = if reset { &state.instances[..] } else { &[] };
         let list = json!({"generation": state.generation, "reset": reset, "instances": instances});
@@ -118,7 +120,7 @@
     }
 }
 
-/// An instance as discovery lists it.
+/// Returns an instance in the form in which discovery lists it.
 pub(crate) fn instance(id: &str, address: SocketAddr, shard: usize, lifecycle: &str) -> Value {
     json!({"instanceId": id, "hostPort": address.to_string(), "zone": "a", "machineType": "m", "cell": shard,
         "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
--- a/crates/cli/tests/support/host_process.rs
+++ b/crates/cli/tests/support/host_process.rs
@@ -1,4 +1,4 @@
-//! A host as a process of its own.
+//! A platform host that runs in a separate process.
 
 use super::POLL_INTERVAL;
 use super::WAIT_TIMEOUT;
@@ -10,10 +10,10 @@
 use std::sync::OnceLock;
 use std::time::Instant;
 
-/// The descriptors that a restarted process may open.
+/// Maximum number of open descriptors of a restarted process.
 const DEFAULT_DESCRIPTORS: usize = 1024;
 
-/// A running host with its settings file; both end with it.
+/// Running host with its settings file. Dropping the value kills the process and deletes the file.
 pub(crate) struct HostProcess {
     config: Value,
     file: PathBuf,
@@ -21,40 +21,43 @@
 }
 
 impl HostProcess {
-    /// Starts a host. `syscall_faults` names socket calls that fail, in the form of `syscall_faults.c`.
+    /// Starts a host. `syscall_faults` names socket calls that fail, in the format described in `syscall_faults.c`.
     pub(crate) fn start(config: Value, descriptors: usize, syscall_faults: Option<&str>) -> HostProcess {
-        let file =
-            std::env::temp_dir().join(format!("magpiewick-{}-{}.json", std::process::id(), next_number()));
+        let file = std::env::temp_dir().join(format!(
+            "magpiewick-{}-{}.json",
+            std::process::id(),
+            next_file_number()
+        ));
         std::fs::write(&file, config.to_string()).unwrap();
         let child = spawn(&file, descriptors, syscall_faults);
         HostProcess { config, file, child }
     }
 
-    /// Starts the process again after its end, with a cached endpoint list.
+    /// Restarts the process after it has ended, with a cached endpoint list in its settings.
     pub(crate) fn restart_with_list(&mut self, cached: Value) {
         self.config["known"] = cached;
         self.write_config();
         self.restart();
     }
 
-    /// Starts the process again after its end.
+    /// Restarts the process after it has ended.
     pub(crate) fn restart(&mut self) {
         self.child = spawn(&self.file, DEFAULT_DESCRIPTORS, None);
     }
 
-    /// Names another discovery in the settings file, without a signal.
+    /// Changes the address of discovery in the settings file, without a signal.
     pub(crate) fn write_discovery(&mut self, discovery: SocketAddr) {
         self.config["discovery"] = json!(discovery.to_string());
         self.write_config();
     }
 
-    /// Names another discovery in the settings file and has the host reload it.
+    /// Changes the address of discovery in the settings file and signals the host to reload the file.
     pub(crate) fn reload_with_discovery(&mut self, discovery: SocketAddr) {
         self.write_discovery(discovery);
         self.signal("HUP");
     }
 
-    /// Has the host reload a file that is cut off.
+    /// Truncates the settings file and signals the host to reload the file.
     pub(crate) fn reload_truncated_file(&self) {
         std::fs::write(&self.file, "{").unwrap();
         self.signal("HUP");
@@ -64,51 +67,51 @@
         std::fs::write(&self.file, self.config.to_string()).unwrap();
     }
 
-    /// Sends a signal by name, as `TERM`.
+    /// Sends a signal, given by a name such as `TERM`.
     pub(crate) fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
         assert!(sent.unwrap().success());
     }
 
-    /// Ends the process by force.
+    /// Kills the process with SIGKILL.
     pub(crate) fn kill(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
     }
 
-    /// How the process ended; none while it runs.
+    /// Returns the exit status, or `None` while the process runs.
     pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process is running.
     pub(crate) fn is_running(&mut self) -> bool {
         self.exit_status().is_none()
     }
 
-    /// Waits until the process ends by itself.
+    /// Waits until the process exits without being killed.
     pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
-        let until = Instant::now() + WAIT_TIMEOUT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
             if let Some(status) = self.exit_status() {
                 return status;
             }
             std::thread::sleep(POLL_INTERVAL);
         }
-        panic!("the host did not end");
+        panic!("the host did not exit");
     }
 
-    /// How many descriptors are open.
+    /// Returns the number of open descriptors.
     pub(crate) fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// The most resident memory so far, in kilobytes.
+    /// Returns the peak resident memory in kilobytes.
     pub(crate) fn peak_memory_kb(&self) -> usize {
         self.status_kb("VmHWM:")
     }
 
-    /// The resident memory in kilobytes.
+    /// Returns the current resident memory in kilobytes.
     pub(crate) fn memory_kb(&self) -> usize {
         self.status_kb("VmRSS:")
     }
@@ -119,7 +122,7 @@
         value.trim().trim_end_matches(" kB").parse().unwrap()
     }
 
-    /// Processor time used, in hundredths of a second; none once the process has ended.
+    /// Returns the processor time used, in hundredths of a second; `None` after the process has ended.
     pub(crate) fn cpu_ticks(&self) -> Option<u64> {
         cpu_ticks_of(self.child.id())
     }
@@ -127,13 +130,13 @@
 
 impl Drop for HostProcess {
     fn drop(&mut self) {
-        // Whatever a test has found, its process and file must not outlive it.
+        // The process and the file are removed even if the test fails.
         self.kill();
         _ = std::fs::remove_file(&self.file);
     }
 }
 
-/// Processor time that a process has used, in hundredths of a second; none once it has ended.
+/// Returns the processor time used by a process, in hundredths of a second; `None` after the process has ended.
 pub(crate) fn cpu_ticks_of(process: u32) -> Option<u64> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
     let mut fields = stat.rsplit_once(") ")?.1.split(' ').skip(11);
@@ -142,13 +145,13 @@
     Some(user + system)
 }
 
-fn next_number() -> u64 {
+fn next_file_number() -> u64 {
     static NUMBER: AtomicU64 = AtomicU64::new(0);
     NUMBER.fetch_add(1, Ordering::SeqCst)
 }
 
-/// An address that no other host of this or another run has: a port that was free a moment ago on the common loopback
-/// address may be taken by the next listener there.
+/// Returns an address that no other host of this run or of a concurrent run uses. A port chosen because it is free on
+/// the common loopback address could be taken by another listener before the host binds it.
 pub(crate) fn unique_host_address() -> SocketAddr {
     static HOSTS: AtomicU64 = AtomicU64::new(0);
     let host = HOSTS.fetch_add(1, Ordering::SeqCst);
@@ -157,7 +160,7 @@
     SocketAddr::from(([127, run, high, low], 9000))
 }
 
-/// The library that makes system calls fail, built once for each run of the tests.
+/// Returns the path of the library that makes system calls fail, built once per test process.
 fn syscall_fault_library() -> &'static PathBuf {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -166,7 +169,7 @@
         let library = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         let mut build = Command::new("cc");
         build.args(["-shared", "-fPIC", "-O1", "-o"]).arg(&library).arg(source).arg("-ldl");
-        assert!(build.status().unwrap().success(), "the library does not build");
+        assert!(build.status().unwrap().success(), "building the syscall fault library failed");
         library
     })
 }
--- a/crates/cli/tests/support/host_settings.rs
+++ b/crates/cli/tests/support/host_settings.rs
@@ -1,13 +1,13 @@
-//! Limits and settings of a host under test.
+//! Resource limits and settings of a host under test.
 
 use serde_json::{json, Value};
 
-/// The limits under which a host runs.
+/// Resource limits of a host.
 #[derive(Clone, Copy)]
 pub(crate) struct Limits {
     pub sockets: usize,
     pub memory_mb: usize,
-    /// The descriptors that the system allows, whatever the settings say.
+    /// Number of descriptors that the system allows, independently of the settings.
     pub descriptors: usize,
 }
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// The settings of a host, with a class of each idempotency.
+/// Returns settings with one request class for each kind of idempotency.
 pub(crate) fn default_settings() -> Value {
     json!({
         "balancers": 1, "zones": ["a"], "registry_mode": "ask", "round_ns": 2_000_000,
--- a/crates/cli/tests/support/http_client.rs
+++ b/crates/cli/tests/support/http_client.rs
@@ -1,4 +1,4 @@
-//! A client's connection to a host.
+//! Client connection to a host.
 
 use super::http_message::HttpMessage;
 use super::WAIT_TIMEOUT;
@@ -6,7 +6,7 @@
 use std::io::{self, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection whose reads wait for [`WAIT_TIMEOUT`] at most.
+/// Connection with a read timeout of [`WAIT_TIMEOUT`].
 pub(crate) struct HttpClient {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -15,46 +15,47 @@
 impl HttpClient {
     /// Connects to a host.
     pub(crate) fn connect(host: SocketAddr) -> io::Result<HttpClient> {
-        HttpClient::over(TcpStream::connect(host)?)
+        HttpClient::from_stream(TcpStream::connect(host)?)
     }
 
-    /// Connects with a small receive buffer: left to itself the kernel holds up to the bound of `tcp_rmem`, which differs
-    /// by a factor of six from one machine to the next.
+    /// Connects with a small receive buffer. By default, the kernel buffers up to the limit in `tcp_rmem`, which
+    /// differs between machines by a factor of six.
     pub(crate) fn with_receive_buffer(bytes: usize, host: SocketAddr) -> HttpClient {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(bytes).unwrap();
         socket.connect(&host.into()).unwrap();
-        HttpClient::over(socket.into()).unwrap()
+        HttpClient::from_stream(socket.into()).unwrap()
     }
 
-    fn over(stream: TcpStream) -> io::Result<HttpClient> {
+    fn from_stream(stream: TcpStream) -> io::Result<HttpClient> {
         stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
         Ok(HttpClient { reader: BufReader::new(stream.try_clone()?), stream })
     }
 
-    /// Writes bytes. The host may close before it has read all of them: its response is what counts.
+    /// Writes bytes. Errors are ignored, since the host may close before it has read all bytes; tests check the
+    /// response.
     pub(crate) fn send(&mut self, bytes: &[u8]) {
         _ = self.stream.write_all(bytes);
     }
 
-    /// The next response; none where the connection ended.
+    /// Reads the next response; returns `None` if the connection has ended.
     pub(crate) fn receive(&mut self) -> Option<HttpMessage> {
         HttpMessage::read(&mut self.reader)
     }
 
-    /// Sends a request and waits for its response.
+    /// Sends a request and reads its response.
     pub(crate) fn request(&mut self, bytes: &[u8]) -> Option<HttpMessage> {
         self.send(bytes);
         self.receive()
     }
 
-    /// Whether the connection stays open without a byte to read for the length of the read timeout.
+    /// Returns whether the connection stays open without a byte to read for the duration of the read timeout.
     pub(crate) fn is_idle(&mut self) -> bool {
         let mut byte = [0];
         self.stream.peek(&mut byte).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether the host has closed the connection by now, and nothing is left to read.
+    /// Returns whether the host has closed the connection and no byte is left to read.
     pub(crate) fn is_closed(&mut self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let closed = matches!(self.stream.peek(&mut [0]), Ok(0));
@@ -62,12 +63,12 @@
         closed
     }
 
-    /// Whether the connection ends without another byte, and not with a reset.
+    /// Returns whether the connection ends without a further byte and without a reset.
     pub(crate) fn closes_cleanly(&mut self) -> bool {
         matches!(self.reader.read(&mut [0]), Ok(0))
     }
 
-    /// Whether the connection ends without another byte.
+    /// Returns whether the connection ends without a further byte, either by a close or by a reset.
     pub(crate) fn closes_without_response(&mut self) -> bool {
         let mut byte = [0];
         !matches!(self.reader.read(&mut byte), Ok(n) if n > 0)
--- a/crates/cli/tests/support/http_message.rs
+++ b/crates/cli/tests/support/http_message.rs
@@ -1,8 +1,8 @@
-//! HTTP messages, read and written by hand.
+//! Minimal reader and writer of HTTP messages, independent of the HTTP code of the program.
 
 use std::io::BufRead;
 
-/// One HTTP message as it came: its start line, its fields and its body.
+/// HTTP message as received: start line, fields and body.
 #[derive(Clone, Debug)]
 pub(crate) struct HttpMessage {
     pub start_line: String,
@@ -11,18 +11,18 @@
 }
 
 impl HttpMessage {
-    /// Reads the next message; none where the peer ended before it was whole.
+    /// Reads the next message; returns `None` if the connection ends before the message is complete.
     pub(crate) fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
         let mut line = String::new();
-        let mut next = |from: &mut dyn BufRead| {
+        let mut next_line = |from: &mut dyn BufRead| {
             line.clear();
             from.read_line(&mut line).ok().filter(|n| *n > 0)?;
             line.strip_suffix("\r\n").map(str::to_string)
         };
-        let start_line = next(from)?;
+        let start_line = next_line(from)?;
         let mut fields = Vec::new();
         loop {
-            let field = next(from)?;
+            let field = next_line(from)?;
             match field.split_once(": ") {
                 Some((name, value)) => fields.push((name.to_ascii_lowercase(), value.to_string())),
                 None => break,
@@ -35,18 +35,19 @@
         Some(message)
     }
 
-    /// The value of a field, named in lower case.
+    /// Returns the value of a field; `name` must be in lower case.
     pub(crate) fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|f| f.0 == name).map(|f| f.1.as_str())
     }
 
-    /// The status code of a response.
+    /// Returns the status code of a response.
     pub(crate) fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
 }
 
-/// A request's bytes: its id, class, shard and client timeout in milliseconds. Reads have no body.
+/// Returns the bytes of a request with the given id, class, shard and client timeout in milliseconds. Reads have no
+/// body.
 pub(crate) fn request_bytes(id: &str, class: &str, shard: i32, timeout_ms: u32) -> Vec<u8> {
     let object = id.bytes().fold(17u64, |sum, b| sum.wrapping_mul(31).wrapping_add(u64::from(b)));
     let (method, body) = if class == "read" { ("GET", "") } else { ("PUT", "some bytes") };
@@ -59,14 +60,14 @@
     .into_bytes()
 }
 
-/// The body with which a node answers a request: its id, padded.
+/// Returns the body of the response of a node: the id of the request, padded.
 pub(crate) fn expected_body(id: &str) -> String {
     format!("{id:-<24}")
 }
 
-/// Checks that a request was served with the response that belongs to it.
+/// Asserts that a request was served with its own response.
 pub(crate) fn assert_served(response: Option<HttpMessage>, id: &str) {
-    let response = response.unwrap_or_else(|| panic!("{id} has no answer"));
+    let response = response.unwrap_or_else(|| panic!("no response to {id}"));
     let body = String::from_utf8_lossy(&response.body);
     assert_eq!((response.status(), body.as_ref()), (200, &*expected_body(id)));
 }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,7 +1,8 @@
-//! Shared by the end-to-end tests and the benchmark: a host of the platform as a process of its own, with emulated nodes
-//! and discovery on loopback. They read and write HTTP by hand, so that no code of the program checks itself.
+//! Support code shared by the end-to-end tests and the benchmark: a platform host in a separate process, with emulated
+//! nodes and discovery on loopback. The support code has its own HTTP reader and writer, so that the HTTP code of the
+//! program is not used to test itself.
 
-// Each test program uses a part of this module.
+// Each test program uses only some items of this module.
 #![allow(dead_code)]
 
 pub(crate) mod discovery;
@@ -19,7 +20,7 @@
 
 use std::time::Duration;
 
-/// The bound of all waits: longer than anything here takes.
+/// Timeout of all waits in the tests, longer than any operation under test takes.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
-/// The interval at which a condition is polled.
+/// Interval between two checks of an awaited condition.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
--- a/crates/cli/tests/support/node.rs
+++ b/crates/cli/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! An emulated node of the platform: its behaviour follows a script, and its requests are recorded.
+//! Emulated node of the platform that follows a script and records the requests received.
 
 use super::http_message::{expected_body, HttpMessage};
 use super::loopback::{accept, listen, reset_on_drop};
@@ -14,10 +14,10 @@
 pub(crate) const OVERLOADED_RESPONSE: &str = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 pub(crate) const FAILED_RESPONSE: &str = "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
 
-/// What a node does with a request.
+/// Reaction of a node to a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Behaviour {
-    /// Writes these bytes; `{body}` stands for the body that belongs to the request.
+    /// Writes these bytes; `{body}` is replaced by the expected body for the request.
     Write(&'static str),
     /// Writes these bytes and closes the connection.
     WriteThenClose(&'static str),
@@ -25,43 +25,43 @@
     WriteThenReset(&'static str),
     /// Closes the connection without a response.
     Close,
-    /// Does not respond and keeps the connection.
+    /// Does not respond and keeps the connection open.
     NoResponse,
-    /// Responds with a body of so many bytes.
+    /// Responds with a body of this number of bytes.
     WriteBody(usize),
-    /// Responds after a while.
+    /// Responds after this delay.
     RespondAfter(Duration),
-    /// Writes all but the end of a response of so many bytes, and the rest byte by byte.
+    /// Responds with a body of this number of bytes, of which the last ones are written one at a time with pauses.
     Trickle(usize),
-    /// Responds behind unsolicited bytes of an earlier exchange on the connection.
+    /// Writes unsolicited bytes on a connection with an earlier exchange, then responds.
     RespondBehind(Unsolicited),
-    /// Responds, and repeats the response after a while unless another request waits on the connection.
+    /// Responds, and repeats the response after this delay unless another request is pending on the connection.
     DuplicateAfter(Duration),
 }
 
-/// Bytes that belong to no open exchange.
+/// Bytes that do not belong to an open exchange.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Unsolicited {
-    /// The last response on this connection once more.
+    /// Copy of the last response on this connection.
     Duplicate,
-    /// The response before the last.
+    /// Copy of the second to last response on this connection.
     EarlierDuplicate,
-    /// The last response without so many of its last bytes.
+    /// Copy of the last response without this number of bytes at the end.
     TruncatedDuplicate(usize),
     Garbage,
-    /// An interim response, which is harmless.
+    /// Interim response, which HTTP permits before a final response.
     InterimResponse,
 }
 
 impl Unsolicited {
     fn bytes(self, responses: &[Vec<u8>]) -> Vec<u8> {
-        let from_last = |back: usize| responses.iter().rev().nth(back).cloned().unwrap_or_default();
+        let nth_last = |n: usize| responses.iter().rev().nth(n).cloned().unwrap_or_default();
         match self {
-            Unsolicited::Duplicate => from_last(0),
-            Unsolicited::EarlierDuplicate => from_last(1),
-            Unsolicited::TruncatedDuplicate(missing) => {
-                let mut bytes = from_last(0);
-                bytes.truncate(bytes.len().saturating_sub(missing));
+            Unsolicited::Duplicate => nth_last(0),
+            Unsolicited::EarlierDuplicate => nth_last(1),
+            Unsolicited::TruncatedDuplicate(truncated_bytes) => {
+                let mut bytes = nth_last(0);
+                bytes.truncate(bytes.len().saturating_sub(truncated_bytes));
                 bytes
             }
             Unsolicited::Garbage => b"\x01\x02noise".to_vec(),
@@ -70,11 +70,11 @@
     }
 }
 
-/// An emulated node.
+/// Emulated node of the platform.
 #[derive(Default)]
 pub(crate) struct Node {
     script: Mutex<VecDeque<Behaviour>>,
-    /// What it does once the script is over; none responds.
+    /// Behaviour after the end of the script; `None` responds normally.
     default_behaviour: Mutex<Option<Behaviour>>,
     pub received: Mutex<Vec<HttpMessage>>,
     pub connections: AtomicU64,
@@ -82,7 +82,7 @@
 }
 
 impl Node {
-    /// A node that serves on loopback as long as the process runs.
+    /// Starts a node that serves on loopback until the process exits.
     pub(crate) fn start() -> (Arc<Node>, SocketAddr) {
         let (listener, address) = listen();
         let node = Arc::new(Node::default());
@@ -91,27 +91,27 @@
         (node, address)
     }
 
-    /// Adds to the script, one behaviour per request.
+    /// Appends behaviours to the script, one per request.
     pub(crate) fn enqueue(&self, script: &[Behaviour]) {
         self.script.lock().unwrap().extend(script.iter().cloned());
     }
 
-    /// What it does from now on once the script is over.
+    /// Sets the behaviour after the end of the script.
     pub(crate) fn set_default(&self, behaviour: Behaviour) {
         *self.default_behaviour.lock().unwrap() = Some(behaviour);
     }
 
-    /// How many requests it has received.
+    /// Returns the number of requests received.
     pub(crate) fn request_count(&self) -> usize {
         self.received.lock().unwrap().len()
     }
 
-    /// Waits until it has received so many requests in all.
+    /// Waits until `n` requests have been received in total.
     pub(crate) fn wait_for_requests(&self, n: usize) {
         let received = self.received.lock().unwrap();
         let waited = self.request_received.wait_timeout_while(received, WAIT_TIMEOUT, |all| all.len() < n);
         let (received, timeout) = waited.unwrap();
-        assert!(!timeout.timed_out(), "{} of {n} requests came", received.len());
+        assert!(!timeout.timed_out(), "{} of {n} requests arrived", received.len());
     }
 
     fn next_behaviour(&self) -> Behaviour {
@@ -120,7 +120,7 @@
         behaviour.unwrap_or(Behaviour::Write(OK_RESPONSE))
     }
 
-    /// Serves a connection; none once it has ended.
+    /// Serves a connection; returns `None` when the connection has ended.
     fn serve(&self, stream: TcpStream) -> Option<()> {
         self.connections.fetch_add(1, Ordering::SeqCst);
         let mut connection = NodeConnection {
@@ -138,42 +138,42 @@
     }
 }
 
-/// A host's connection to a node.
+/// Connection from a host to a node.
 struct NodeConnection {
     reader: BufReader<TcpStream>,
     stream: TcpStream,
-    /// The whole responses that belong to its requests so far.
+    /// Complete responses to the requests received so far on the connection.
     responses: Vec<Vec<u8>>,
 }
 
 impl NodeConnection {
     fn respond(&mut self, id: &str, behaviour: Behaviour) -> Option<()> {
-        let for_request = |text: &str| text.replace("{body}", &expected_body(id)).into_bytes();
-        let response = for_request(OK_RESPONSE);
+        let fill_body = |text: &str| text.replace("{body}", &expected_body(id)).into_bytes();
+        let response = fill_body(OK_RESPONSE);
         match behaviour {
             Behaviour::RespondBehind(unsolicited) => {
-                // On a fresh connection there is nothing that could have been left.
+                // On a new connection there is no earlier exchange to which unsolicited bytes could belong.
                 if !self.responses.is_empty() {
                     self.stream.write_all(&unsolicited.bytes(&self.responses)).ok()?;
                 }
-                // As two segments, as they would come from two writes.
+                // The pause lets the bytes arrive as two segments, as from two separate writes.
                 std::thread::sleep(Duration::from_millis(1));
                 self.stream.write_all(&response).ok()?;
             }
             Behaviour::DuplicateAfter(delay) => {
                 self.stream.write_all(&response).ok()?;
                 std::thread::sleep(delay);
-                if self.reader.buffer().is_empty() && no_request_waits(&self.stream) {
+                if self.reader.buffer().is_empty() && has_no_pending_request(&self.stream) {
                     self.stream.write_all(&response).ok()?;
                 }
             }
-            Behaviour::Write(text) => self.stream.write_all(&for_request(text)).ok()?,
+            Behaviour::Write(text) => self.stream.write_all(&fill_body(text)).ok()?,
             Behaviour::WriteThenClose(text) => {
-                self.stream.write_all(&for_request(text)).ok()?;
+                self.stream.write_all(&fill_body(text)).ok()?;
                 return self.close();
             }
             Behaviour::WriteThenReset(text) => {
-                self.stream.write_all(&for_request(text)).ok()?;
+                self.stream.write_all(&fill_body(text)).ok()?;
                 reset_on_drop(&self.stream);
                 return None;
             }
@@ -215,10 +215,10 @@
     }
 }
 
-/// Whether no byte of a further request has come.
-fn no_request_waits(stream: &TcpStream) -> bool {
+/// Returns whether no byte of a further request has arrived.
+fn has_no_pending_request(stream: &TcpStream) -> bool {
     _ = stream.set_nonblocking(true);
-    let waits = matches!(stream.peek(&mut [0]), Ok(n) if n > 0);
+    let has_bytes = matches!(stream.peek(&mut [0]), Ok(n) if n > 0);
     _ = stream.set_nonblocking(false);
-    !waits
+    !has_bytes
 }
--- a/crates/cli/tests/support/proxy.rs
+++ b/crates/cli/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on loopback that injects faults into connections.
+//! TCP proxy on loopback that injects faults into connections.
 
 use super::loopback::{listen, reset_on_drop};
 use std::io::{Read, Write};
@@ -6,22 +6,22 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What is wrong with a connection through the proxy.
+/// Fault injected into a connection through the proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ConnectionFault {
     None,
-    /// The connection is reset as soon as it is established.
+    /// Resets the connection as soon as it is established.
     Reset,
-    /// Each part of a response is forwarded so long after it came.
+    /// Delays each part of a response by this duration.
     Delay(Duration),
-    /// What the client sends is read, and nothing is ever answered.
+    /// Reads the bytes of the client but never forwards or answers them.
     Unresponsive,
 }
 
-/// The fault of each connection, by its number.
+/// Function that returns the fault for a connection number.
 type FaultPlan = Box<dyn Fn(usize) -> ConnectionFault + Send>;
 
-/// A proxy in front of one server. Connections are counted from 0 in the order in which they came.
+/// Proxy for a single server. Connections are numbered from 0 in the order in which they were accepted.
 pub(crate) struct Proxy {
     pub address: SocketAddr,
     plan: Arc<Mutex<FaultPlan>>,
@@ -38,7 +38,7 @@
         let plan: Arc<Mutex<FaultPlan>> = Arc::new(Mutex::new(Box::new(plan)));
         let connection_times = Arc::new(Mutex::new(Vec::new()));
         let clients = Arc::new(Mutex::new(Vec::new()));
-        let (current_plan, times, open) = (plan.clone(), connection_times.clone(), clients.clone());
+        let (current_plan, times, open_clients) = (plan.clone(), connection_times.clone(), clients.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let number = {
@@ -48,15 +48,15 @@
                 };
                 let fault = current_plan.lock().unwrap()(number);
                 if fault != ConnectionFault::Reset {
-                    open.lock().unwrap().push(stream.try_clone().unwrap());
+                    open_clients.lock().unwrap().push(stream.try_clone().unwrap());
                 }
-                std::thread::spawn(move || carry(stream, server, fault));
+                std::thread::spawn(move || forward(stream, server, fault));
             }
         });
         Proxy { address, plan, connection_times, clients }
     }
 
-    /// Connections from now on follow another plan.
+    /// Sets the fault plan for all further connections.
     pub(crate) fn set_plan(&self, plan: impl Fn(usize) -> ConnectionFault + Send + 'static) {
         *self.plan.lock().unwrap() = Box::new(plan);
     }
@@ -68,33 +68,33 @@
         }
     }
 
-    /// When each connection came.
+    /// Returns the time at which each connection was accepted.
     pub(crate) fn connection_times(&self) -> Vec<Instant> {
         self.connection_times.lock().unwrap().clone()
     }
 }
 
-fn carry(client: TcpStream, server: SocketAddr, fault: ConnectionFault) {
+fn forward(client: TcpStream, server: SocketAddr, fault: ConnectionFault) {
     let delay = match fault {
         ConnectionFault::Reset => {
             reset_on_drop(&client);
             return;
         }
         ConnectionFault::Unresponsive => {
-            pump(&client, None, Duration::ZERO);
+            copy_bytes(&client, None, Duration::ZERO);
             return;
         }
         ConnectionFault::None => Duration::ZERO,
         ConnectionFault::Delay(delay) => delay,
     };
     let Ok(upstream) = TcpStream::connect(server) else { return };
-    let (back_from, back_to) = (upstream.try_clone().unwrap(), client.try_clone().unwrap());
-    std::thread::spawn(move || pump(&back_from, Some(&back_to), delay));
-    pump(&client, Some(&upstream), Duration::ZERO);
+    let (response_from, response_to) = (upstream.try_clone().unwrap(), client.try_clone().unwrap());
+    std::thread::spawn(move || copy_bytes(&response_from, Some(&response_to), delay));
+    copy_bytes(&client, Some(&upstream), Duration::ZERO);
 }
 
-/// Copies bytes one way until either side ends.
-fn pump(mut from: &TcpStream, to: Option<&TcpStream>, delay: Duration) {
+/// Copies bytes in one direction until either side closes.
+fn copy_bytes(mut from: &TcpStream, to: Option<&TcpStream>, delay: Duration) {
     let mut buffer = [0; 16 << 10];
     loop {
         let length = match from.read(&mut buffer) {
--- a/crates/cli/tests/support/syscall_faults.c
+++ b/crates/cli/tests/support/syscall_faults.c
@@ -1,8 +1,9 @@
-/* Makes socket calls of a process fail at intervals, loaded by LD_PRELOAD.
+/* Library that makes socket calls of a process fail at regular intervals, loaded with LD_PRELOAD.
  *
- * SYSCALL_FAULTS names what fails: "accept4=103/4,connect=101/3" has every fourth accept4 fail with errno 103 and every
- * third connect with errno 101. Calls are counted from 1 for each function. A call that fails does nothing else, but
- * for accept4, which takes the connection and ends it where the errno is ECONNABORTED.
+ * SYSCALL_FAULTS lists the failing calls: with "accept4=103/4,connect=101/3", every fourth accept4 fails with errno 103
+ * and every third connect with errno 101. Calls are counted from 1, separately for each function. A failing call has no
+ * other effect, with two exceptions: accept4 accepts the connection and closes it, and connect with EINTR starts the
+ * connection attempt.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -14,7 +15,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* The errno with which this call of a function is to fail, or 0. */
+/* Returns the errno with which this call of a function must fail, or 0. */
 static int fault(const char *function, atomic_uint *calls) {
     const char *faults = getenv("SYSCALL_FAULTS");
     const char *named = faults ? strstr(faults, function) : NULL;
@@ -60,7 +61,7 @@
         real = dlsym(RTLD_NEXT, "connect");
     int number = fault("connect", &calls);
     if (number == EINTR) {
-        /* The connection goes on, as after a signal. */
+        /* The connection attempt continues, as after an interruption by a signal. */
         real(descriptor, address, length);
         errno = EINTR;
         return -1;
--- a/crates/cli/tests/support/test_cluster.rs
+++ b/crates/cli/tests/support/test_cluster.rs
@@ -1,4 +1,4 @@
-//! A host with its nodes and discovery.
+//! Test setup of a host with its nodes and discovery.
 
 use super::discovery::{instance, Discovery};
 use super::host_process::{unique_host_address, HostProcess};
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// One host, a node for each shard, and a discovery that lists them.
+/// Host with one node for each shard and a discovery that lists the nodes.
 pub(crate) struct TestCluster {
     pub nodes: Vec<Arc<Node>>,
     pub node_addresses: Vec<SocketAddr>,
@@ -23,22 +23,23 @@
 }
 
 impl TestCluster {
-    /// A ready host with so many nodes.
+    /// Starts a host with this number of nodes and waits until the host is ready.
     pub(crate) fn start(nodes: usize) -> TestCluster {
         TestCluster::with_limits(nodes, Limits::default())
     }
 
-    /// A ready host under other limits.
+    /// Starts a host with the given limits and waits until the host is ready.
     pub(crate) fn with_limits(nodes: usize, limits: Limits) -> TestCluster {
         TestCluster::build(nodes, limits, |_| {}, None)
     }
 
-    /// A ready host some of whose system calls fail, in the form of `syscall_faults.c`.
+    /// Starts a host in which some system calls fail, in the format described in `syscall_faults.c`, and waits until
+    /// the host is ready.
     pub(crate) fn with_syscall_faults(nodes: usize, faults: &str) -> TestCluster {
         TestCluster::build(nodes, Limits::default(), |_| {}, Some(faults))
     }
 
-    /// A ready host with changed settings.
+    /// Starts a host with changed settings and waits until the host is ready.
     pub(crate) fn with_settings(nodes: usize, change: impl Fn(&mut Value)) -> TestCluster {
         TestCluster::build(nodes, Limits::default(), change, None)
     }
@@ -50,10 +51,10 @@
         syscall_faults: Option<&str>,
     ) -> TestCluster {
         let (nodes, node_addresses): (Vec<_>, Vec<_>) = (0..nodes).map(|_| Node::start()).unzip();
-        let list = |(shard, address): (usize, &SocketAddr)| {
+        let instance_of = |(shard, address): (usize, &SocketAddr)| {
             instance(&format!("s-{shard}"), *address, shard, "SERVING")
         };
-        let instances = node_addresses.iter().enumerate().map(list).collect();
+        let instances = node_addresses.iter().enumerate().map(instance_of).collect();
         let (discovery, discovery_address) = Discovery::start(instances);
         let host_address = unique_host_address();
         let mut settings = default_settings();
@@ -70,13 +71,13 @@
         cluster
     }
 
-    /// Kills the host, starts it again with the current list as its cached one, and waits until it is ready.
+    /// Kills the host, restarts it with the current list as the cached list, and waits until the host is ready.
     pub(crate) fn restart_host(&mut self) {
         self.restart_host_without_wait();
         self.wait_until_ready();
     }
 
-    /// Kills the host and starts it again with the current list as its cached one.
+    /// Kills the host and restarts it with the current list as the cached list.
     pub(crate) fn restart_host_without_wait(&mut self) {
         self.host.kill();
         self.host.restart_with_list(self.discovery.snapshot());
@@ -86,27 +87,31 @@
         self.wait_until("the host is ready", |cluster| cluster.readiness() == Some(200));
     }
 
-    /// The status of the host's readiness check; none where it does not respond.
+    /// Returns the status of the readiness check; `None` if the host does not respond.
     pub(crate) fn readiness(&self) -> Option<u16> {
         let check = b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n";
         Some(HttpClient::connect(self.host_address).ok()?.request(check)?.status())
     }
 
-    /// A client's connection to the host.
+    /// Opens a client connection to the host.
     pub(crate) fn client(&self) -> HttpClient {
         HttpClient::connect(self.host_address).unwrap()
     }
 
-    /// How many connections of clients the host has, by the kernel's table.
+    /// Returns the number of client connections of the host according to the kernel's connection table.
     pub(crate) fn client_connections(&self) -> usize {
         count_connections(|c| c.local == self.host_address && c.state == ESTABLISHED)
     }
 
     /// Waits until a condition is met.
-    pub(crate) fn wait_until(&self, what: &str, met: impl Fn(&TestCluster) -> bool) {
-        let until = Instant::now() + WAIT_TIMEOUT;
-        while !met(self) {
-            assert!(Instant::now() < until, "{what}: not by now, {} clients", self.client_connections());
+    pub(crate) fn wait_until(&self, condition: &str, is_met: impl Fn(&TestCluster) -> bool) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while !is_met(self) {
+            assert!(
+                Instant::now() < deadline,
+                "timed out waiting until {condition}; {} clients",
+                self.client_connections()
+            );
             std::thread::sleep(POLL_INTERVAL);
         }
     }
--- a/crates/cli/tests/support/unreachable_node.rs
+++ b/crates/cli/tests/support/unreachable_node.rs
@@ -1,4 +1,4 @@
-//! A node whose connections do not come up.
+//! Node to which connections cannot be established.
 
 use super::kernel_connections::{count_connections, SYN_SENT};
 use super::WAIT_TIMEOUT;
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A node that nobody can connect to while its accept backlog is full.
+/// Node to which no connection can be established while its accept backlog is full.
 pub(crate) struct UnreachableNode {
     listener: Socket,
     pub address: SocketAddr,
@@ -14,7 +14,7 @@
 }
 
 impl UnreachableNode {
-    /// A node with a full backlog.
+    /// Returns a node with a full backlog.
     pub(crate) fn new() -> UnreachableNode {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -25,7 +25,7 @@
         node
     }
 
-    /// Fills the backlog: whoever connects now gets no answer.
+    /// Fills the backlog, so that further connection attempts get no answer.
     pub(crate) fn fill_backlog(&mut self) {
         loop {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -36,21 +36,21 @@
         }
     }
 
-    /// Empties the backlog: whoever connects from now on, or tries again, comes through.
+    /// Empties the backlog, so that new connection attempts and repeated ones succeed.
     pub(crate) fn empty_backlog(&mut self) {
         for _ in self.backlog.drain(..) {
             _ = self.listener.accept().unwrap();
         }
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     pub(crate) fn accept(&self) -> TcpStream {
         let stream: TcpStream = self.listener.accept().unwrap().0.into();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
     }
 
-    /// How many connections to it are being established.
+    /// Returns the number of connections to the node that are being established.
     pub(crate) fn connecting_count(&self) -> usize {
         count_connections(|c| c.remote == self.address && c.state == SYN_SENT)
     }
