--- a/crates/cli/src/commands/bench.rs
+++ b/crates/cli/src/commands/bench.rs
@@ -2,7 +2,7 @@
 //! to a node.
 
 use crate::error::{Error, ExitStatus};
-use magpiewick_scenario::{bench, bench_reads, Measured};
+use magpiewick_scenario::{bench, bench_reads, BenchmarkResult};
 use std::path::Path;
 
 #[derive(clap::Args)]
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-fn print_requests(results: &[Measured]) {
+fn print_requests(results: &[BenchmarkResult]) {
     println!(
         "{:9} {:>5} {:>24} {:>9} {:>22} {:>22} {:>22} {:>18} {:>24}",
         "way",
--- a/crates/cli/src/emulated_services.rs
+++ b/crates/cli/src/emulated_services.rs
@@ -27,8 +27,8 @@
     services.execute(|emulator| emulator.disable_recording());
     let addresses = services.query(|emulator| emulator.node_addresses()).unwrap_or_default();
     let address = match announced {
-        AnnouncedService::EndpointList => services.list,
-        AnnouncedService::FirstNode => addresses.first().map_or(services.list, |a| a.1),
+        AnnouncedService::EndpointList => services.list_address,
+        AnnouncedService::FirstNode => addresses.first().map_or(services.list_address, |a| a.1),
     };
     println!("ready {address}");
     io::stdout().flush()?;
--- a/crates/scenario/src/audit/retry_budget.rs
+++ b/crates/scenario/src/audit/retry_budget.rs
@@ -13,7 +13,7 @@
 }
 
 pub(super) fn check(run: &Run<'_>, verdict: &mut Verdict) {
-    let Some(budget) = &run.evidence.host.start.budget else { return };
+    let Some(budget) = &run.evidence.host.scheduler.budget else { return };
     let tolerance = run.evidence.scenario.clock_tolerance;
     for HostLoad { request_times, retries } in load_by_host(run).values() {
         verdict.add_checked(Rule::RetryBudget, retries.len());
@@ -24,8 +24,8 @@
             let taken = request_times.iter().filter(|time| in_window(**time, tolerance)).count();
             let allowed = budget.free + budget.share * taken as f64;
             if used as f64 > allowed {
-                let what = format!("{used} retries in a window with a budget of {allowed:.1}");
-                verdict.add_attempt(Rule::RetryBudget, retry.at, retry, what);
+                let description = format!("{used} retries in a window with a budget of {allowed:.1}");
+                verdict.add_attempt(Rule::RetryBudget, retry.at, retry, description);
             }
         }
     }
