--- a/crates/coalescing/benches/planning.rs
+++ b/crates/coalescing/benches/planning.rs
@@ -1,5 +1,5 @@
-//! The cost of coalescing, by the number of pending writes: a write is dispatched with the writes that join its batch,
-//! and all of them are added again.
+//! Cost of coalescing as a function of the number of pending writes. Each iteration dispatches a write with the writes
+//! that join its batch, and inserts all of them again.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use magpiewick_coalescing::{BatchLimits, Coalescer, OverlapLock, PendingWrite, WriteRange};
@@ -7,7 +7,7 @@
 const BLOCKS: u64 = 1 << 20;
 
 fn pending_write(request_id: u64) -> PendingWrite {
-    // Steps that neither repeat soon nor follow each other.
+    // The starts neither repeat soon nor are consecutive.
     let start = request_id.wrapping_mul(2_654_435_761) % BLOCKS;
     let (volume, shard, class) = (1 + request_id % 4, (request_id % 16) as u32, 0);
     PendingWrite { volume, shard, class, start, end: start + 1, bytes: 64, units: 1.0 }
@@ -28,8 +28,8 @@
             b.iter(|| {
                 next = (next + 7) % pending;
                 let mut parts = vec![next];
-                while let Some(other) = coalescer.next_candidate(parts.iter().copied()) {
-                    parts.push(other);
+                while let Some(candidate) = coalescer.next_candidate(parts.iter().copied()) {
+                    parts.push(candidate);
                 }
                 coalescer.on_dispatched(parts.iter().copied());
                 parts.iter().for_each(|request_id| coalescer.insert(*request_id, pending_write(*request_id)));
@@ -45,10 +45,10 @@
         let mut next = pending;
         group.bench_function(BenchmarkId::new("lock", pending), |b| {
             b.iter(|| {
-                let free = lock.acquire(next, write(next));
+                let is_acquired = lock.acquire(next, write(next));
                 lock.release(next - pending);
                 next += 1;
-                free
+                is_acquired
             });
         });
     }
--- a/crates/coalescing/src/coalescer.rs
+++ b/crates/coalescing/src/coalescer.rs
@@ -1,49 +1,49 @@
-//! Which pending writes may join a write that is dispatched now, as one batch.
+//! Selection of the pending writes that join a dispatched write in one batch.
 //!
-//! No write waits for others to join it: a write is known here while it is pending anyway, and found when a
-//! neighbour is dispatched. The scheduler accepts or rejects each candidate, as it knows the rate limits, keys,
-//! retry budgets and tags.
+//! Coalescing does not delay writes: a write is registered only while it is pending for other reasons, and is found
+//! when a neighbouring write is dispatched. The scheduler accepts or rejects each candidate, because rate limits, keys,
+//! retry budgets and tags are kept there.
 
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Bound;
 
-/// A pending write: where its data lies, and its size. The range is in blocks of the volume.
+/// Location and size of a pending write. The range is in blocks of the volume.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingWrite {
-    /// The volume that it writes.
+    /// Volume to write.
     pub volume: u64,
-    /// The shard that serves the range.
+    /// Shard that serves the range.
     pub shard: u32,
-    /// The number of its request class.
+    /// Number of the request class.
     pub class: u16,
-    /// The first block.
+    /// First block of the range.
     pub start: u64,
-    /// The block after the last one.
+    /// End of the range, exclusive.
     pub end: u64,
-    /// Bytes of its payload.
+    /// Payload size in bytes.
     pub bytes: usize,
-    /// Units of work.
+    /// Work units.
     pub units: f64,
 }
 
-/// The limits of a batch.
+/// Limits on the size of a batch.
 #[derive(Clone, Debug)]
 pub struct BatchLimits {
-    /// Writes in a batch.
+    /// Maximum number of writes in a batch.
     pub max_parts: usize,
-    /// Units of work of all its writes.
+    /// Maximum total work units of the writes in a batch.
     pub max_units: f64,
-    /// Bytes of payload of all its writes.
+    /// Maximum total payload of the writes in a batch, in bytes.
     pub max_bytes: usize,
-    /// Blocks between a range and the next one.
+    /// Maximum number of blocks between adjacent ranges.
     pub max_gap: u64,
 }
 
-/// How many neighbours are examined for each part that a batch may hold, so that the search stays bounded where
-/// most of them do not fit or are rejected.
+/// Number of neighbours examined per permitted part of a batch. Bounds the search if most neighbours do not fit or are
+/// rejected.
 const CANDIDATES_PER_PART: usize = 4;
 
-/// Writes that may share a batch: those of one class for one volume on one shard.
+/// Group of writes that may share a batch: writes of one class to one volume on one shard.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct BatchGroup {
     shard: u32,
@@ -51,7 +51,7 @@
     class: u16,
 }
 
-/// Orders pending writes by group and first block.
+/// Sort key that orders pending writes by group and first block.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     group: BatchGroup,
@@ -74,20 +74,22 @@
     }
 }
 
-/// A batch to which candidates are being offered.
+/// Batch for which candidates are being offered.
 struct Batch {
     group: BatchGroup,
     ranges: Vec<(u64, u64)>,
     units: f64,
     bytes: usize,
-    /// The lowest first block and the highest end of its ranges.
+    /// Lowest first block of the ranges.
     start: u64,
+    /// Highest end of the ranges.
     end: u64,
-    /// The neighbours examined last in either direction.
+    /// Most recently examined neighbour below the batch.
     examined_below: Position,
+    /// Most recently examined neighbour above the batch.
     examined_above: Position,
     examined_count: usize,
-    /// The candidate offered last.
+    /// Most recently offered candidate.
     offered: Option<u64>,
 }
 
@@ -130,7 +132,7 @@
     }
 }
 
-/// The pending writes of a host, by position.
+/// Pending writes of a host, ordered by position.
 pub struct Coalescer {
     limits: BatchLimits,
     pending: HashMap<u64, PendingWrite>,
@@ -139,12 +141,12 @@
 }
 
 impl Coalescer {
-    /// A coalescer without pending writes.
+    /// Creates a coalescer without pending writes.
     pub fn new(limits: BatchLimits) -> Coalescer {
         Coalescer { limits, pending: HashMap::new(), positions: BTreeSet::new(), batch: None }
     }
 
-    /// Adds a pending write; one that fills a batch by itself is not kept.
+    /// Adds a pending write. A write that fills a batch alone is not stored.
     pub fn insert(&mut self, request_id: u64, write: PendingWrite) {
         self.remove(request_id);
         let limits = &self.limits;
@@ -161,8 +163,8 @@
         }
     }
 
-    /// The next write that may join `parts`, of which the first is dispatched now; the nearest come first. A
-    /// candidate counts as rejected unless it is the last of `parts` at the next call.
+    /// Returns the next write that may join `parts`, in order of distance from the batch. The first of `parts` is the
+    /// write being dispatched. A candidate is treated as rejected unless it is the last of `parts` in the next call.
     pub fn next_candidate(&mut self, parts: impl DoubleEndedIterator<Item = u64> + Clone) -> Option<u64> {
         let leader = parts.clone().next()?;
         let mut batch = match self.batch.take() {
@@ -191,7 +193,7 @@
         None
     }
 
-    /// Steps to the nearest neighbour that was not examined yet, below or above the batch.
+    /// Returns the nearest neighbour below or above the batch that has not been examined yet, and marks it as examined.
     fn nearest_neighbour(&self, batch: &mut Batch) -> Option<u64> {
         let neighbour = match (self.neighbour_below(batch), self.neighbour_above(batch)) {
             (None, None) => return None,
@@ -211,8 +213,8 @@
         Some(neighbour.request_id)
     }
 
-    /// The next neighbour below, with its gap. Several are searched: a long range that starts far below may reach
-    /// up to the batch past short ones that start nearer.
+    /// Returns the next neighbour below the batch with its gap. Several positions are searched, since a long range that
+    /// starts far below may end closer to the batch than short ranges that start nearer.
     fn neighbour_below(&self, batch: &Batch) -> Option<(u64, Position)> {
         let gap = |position: &Position| batch.start.saturating_sub(self.pending[&position.request_id].end);
         let below = self.positions.range(Position::first_of(batch.group)..batch.examined_below).rev();
@@ -220,7 +222,7 @@
         searched.map(|position| (gap(position), *position)).find(|(gap, _)| *gap <= self.limits.max_gap)
     }
 
-    /// The next neighbour above, with its gap.
+    /// Returns the next neighbour above the batch with its gap.
     fn neighbour_above(&self, batch: &Batch) -> Option<(u64, Position)> {
         let above = (Bound::Excluded(batch.examined_above), Bound::Included(Position::last_of(batch.group)));
         let nearest = *self.positions.range(above).next()?;
@@ -228,7 +230,7 @@
         (gap <= self.limits.max_gap).then_some((gap, nearest))
     }
 
-    /// The parts were dispatched: the next call of [`Coalescer::next_candidate`] begins a new batch.
+    /// Removes the dispatched parts; the next call of [`Coalescer::next_candidate`] starts a new batch.
     pub fn on_dispatched(&mut self, parts: impl Iterator<Item = u64>) {
         self.batch = None;
         parts.for_each(|request_id| self.remove(request_id));
--- a/crates/coalescing/src/lib.rs
+++ b/crates/coalescing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Coalescing of small writes and splitting of large reads: which pending writes join a batch that is dispatched
-//! ([`Coalescer`]), in what order overlapping writes run ([`OverlapLock`]), and how a large read is split along
-//! the extent map and reassembled ([`split_range`], [`SplitRead`]). Free of I/O; when a request is dispatched and
-//! where to is the scheduler's decision.
+//! Coalescing of small writes and splitting of large reads. [`Coalescer`] selects the pending writes that join a batch,
+//! [`OverlapLock`] determines the order of overlapping writes, and [`split_range`] and [`SplitRead`] split a large read
+//! along the extent map and reassemble the result. The crate performs no I/O; the scheduler decides when a request is
+//! dispatched and to which endpoint.
 
 mod coalescer;
 mod overlap_lock;
--- a/crates/coalescing/src/overlap_lock.rs
+++ b/crates/coalescing/src/overlap_lock.rs
@@ -1,48 +1,48 @@
-//! The order of overlapping writes: of two that overlap the later one is blocked until the earlier one is over.
+//! Ordering of overlapping writes: of two overlapping writes, the later one is blocked until the earlier one has ended.
 //!
-//! The scheduler orders requests of one key; this orders writes whose ranges overlap and whose keys differ, or
-//! whose class is not ordered. It prevents two writes of one block from being in flight at once. Clients that
-//! write the same blocks without need of an order share one slot for it.
+//! The scheduler orders requests with the same key. The overlap lock orders writes with overlapping ranges that have
+//! different keys or an unordered class, so that two writes to one block are never in flight at the same time. Writes
+//! of several clients to the same blocks are therefore sent one at a time, even if the clients do not require an order.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// The range of a write in blocks of its volume.
+/// Range of a write in blocks of its volume.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WriteRange {
-    /// The volume that it writes.
+    /// Volume to write.
     pub volume: u64,
-    /// The first block.
+    /// First block of the range.
     pub start: u64,
-    /// The block after the last one.
+    /// End of the range, exclusive.
     pub end: u64,
-    /// The key by which the scheduler orders it, where its class is ordered.
+    /// Key by which the scheduler orders the write; `None` if the class is not ordered.
     pub ordering_key: Option<u64>,
 }
 
 struct TrackedWrite {
     range: WriteRange,
-    /// How many earlier writes block it.
+    /// Number of earlier writes that block this write.
     blockers: usize,
-    /// Later writes that it blocks.
+    /// Later writes blocked by this write.
     blocked: Vec<u64>,
 }
 
-/// A write's volume, first block and request.
+/// Volume, first block and request id of a write.
 type RangeKey = (u64, u64, u64);
 
-/// The writes of a host that are not over.
+/// Lock on the ranges of all writes of a host that have not ended.
 #[derive(Default)]
 pub struct OverlapLock {
     writes: HashMap<u64, TrackedWrite>,
-    /// The block after the last one of each write.
+    /// Exclusive end of the range of each write.
     range_ends: BTreeMap<RangeKey, u64>,
-    /// Blocks of the longest write so far, which bounds the search for overlaps.
-    longest: u64,
+    /// Length in blocks of the longest write so far, which bounds the search for overlaps.
+    max_length: u64,
     blocked_count: usize,
 }
 
 impl OverlapLock {
-    /// Takes a write in; true where no earlier write blocks it.
+    /// Registers a write; returns true if no earlier write blocks it.
     pub fn acquire(&mut self, request_id: u64, range: WriteRange) -> bool {
         let mut blockers = 0;
         for earlier in self.overlapping(&range) {
@@ -54,7 +54,7 @@
                 blockers += 1;
             }
         }
-        self.longest = self.longest.max(range.end - range.start);
+        self.max_length = self.max_length.max(range.end - range.start);
         self.range_ends.insert((range.volume, range.start, request_id), range.end);
         self.writes.insert(request_id, TrackedWrite { range, blockers, blocked: Vec::new() });
         self.blocked_count += usize::from(blockers > 0);
@@ -62,22 +62,22 @@
     }
 
     fn overlapping(&self, range: &WriteRange) -> Vec<u64> {
-        let first = (range.volume, range.start.saturating_sub(self.longest), 0);
+        let first = (range.volume, range.start.saturating_sub(self.max_length), 0);
         let starting_before_end = self.range_ends.range(first..(range.volume, range.end, 0));
         starting_before_end.filter(|(_, end)| **end > range.start).map(|(key, _)| key.2).collect()
     }
 
-    /// Whether an earlier write blocks this one.
+    /// Returns whether an earlier write blocks this write.
     pub fn is_blocked(&self, request_id: u64) -> bool {
         self.writes.get(&request_id).is_some_and(|write| write.blockers > 0)
     }
 
-    /// How many writes are blocked.
+    /// Returns the number of blocked writes.
     pub fn blocked_count(&self) -> usize {
         self.blocked_count
     }
 
-    /// Unblocks a write though an earlier one is not over; for a write that ends without being sent.
+    /// Unblocks a write although an earlier write has not ended. Used for a write that ends without being sent.
     pub fn unblock(&mut self, request_id: u64) {
         if let Some(write) = self.writes.get_mut(&request_id).filter(|write| write.blockers > 0) {
             write.blockers = 0;
@@ -85,7 +85,8 @@
         }
     }
 
-    /// A write is over and cannot take effect any more; returns the writes that it unblocks, in the order taken.
+    /// Removes a write that has ended and can no longer take effect. Returns the writes that become unblocked, in the
+    /// order in which they were registered.
     pub fn release(&mut self, request_id: u64) -> Vec<u64> {
         let Some(released) = self.writes.remove(&request_id) else { return Vec::new() };
         self.range_ends.remove(&(released.range.volume, released.range.start, request_id));
--- a/crates/coalescing/src/split_read.rs
+++ b/crates/coalescing/src/split_read.rs
@@ -1,7 +1,7 @@
-//! Splits a large read along the extent map and reassembles it.
+//! Splitting of a large read along the extent map, and reassembly of the pieces.
 
-/// Splits the blocks from `start` to `end` at the starts of extents, and into pieces of at most `max_blocks`.
-/// `extent_starts` rise; those outside the range are ignored.
+/// Splits the blocks from `start` to `end` at the starts of extents, and further into pieces of at most `max_blocks`.
+/// `extent_starts` must be in ascending order; starts outside the range are ignored.
 pub fn split_range(
     start: u64,
     end: u64,
@@ -11,7 +11,7 @@
     let mut pieces = Vec::new();
     let mut piece_start = start;
     for edge in extent_starts.filter(|edge| *edge > start && *edge < end).chain([end]) {
-        // Pieces of equal length, so that no short one costs a request of its own.
+        // Pieces of equal length avoid a separate request for a short remainder.
         let count = (edge - piece_start).div_ceil(max_blocks.max(1)).max(1);
         let length = (edge - piece_start).div_ceil(count);
         while piece_start < edge {
@@ -29,18 +29,18 @@
     Received(Vec<u8>),
 }
 
-/// What a piece that arrived made of the read.
+/// State of a read after a piece has been received.
 #[derive(Debug, PartialEq)]
 pub enum SplitReadProgress {
-    /// Other pieces are outstanding, or the read is over already.
+    /// Other pieces are outstanding, or the read has already ended.
     Pending,
-    /// The read is complete: its payload.
+    /// The read is complete; contains the payload.
     Complete(Vec<u8>),
-    /// More bytes than one read may buffer.
+    /// The pieces exceed the number of bytes that one read may buffer.
     TooLarge,
 }
 
-/// A read in pieces. Once it is over, further pieces are ignored.
+/// Read that is performed in pieces. After the read has ended, further pieces are ignored.
 pub struct SplitRead {
     pieces: Vec<PieceState>,
     max_in_flight: usize,
@@ -49,11 +49,12 @@
     outstanding: usize,
     bytes: usize,
     max_bytes: usize,
-    over: bool,
+    is_ended: bool,
 }
 
 impl SplitRead {
-    /// A read of so many pieces, of which `max_in_flight` are requested at a time and `max_bytes` buffered.
+    /// Creates a read with the given number of pieces, of which at most `max_in_flight` are requested concurrently. At
+    /// most `max_bytes` are buffered.
     pub fn new(pieces: usize, max_in_flight: usize, max_bytes: usize) -> SplitRead {
         SplitRead {
             pieces: (0..pieces).map(|_| PieceState::Pending).collect(),
@@ -63,13 +64,13 @@
             outstanding: pieces,
             bytes: 0,
             max_bytes,
-            over: false,
+            is_ended: false,
         }
     }
 
-    /// The next piece to request, where one more may be in flight.
+    /// Returns the next piece to request, if the limit allows another piece in flight.
     pub fn start_next(&mut self) -> Option<usize> {
-        if self.over || self.in_flight >= self.max_in_flight || self.next_piece >= self.pieces.len() {
+        if self.is_ended || self.in_flight >= self.max_in_flight || self.next_piece >= self.pieces.len() {
             return None;
         }
         let piece = self.next_piece;
@@ -79,9 +80,9 @@
         Some(piece)
     }
 
-    /// The payload of a piece arrived.
+    /// Adds the payload of a received piece.
     pub fn on_received(&mut self, piece: usize, payload: Vec<u8>) -> SplitReadProgress {
-        if self.over || !matches!(self.pieces[piece], PieceState::InFlight) {
+        if self.is_ended || !matches!(self.pieces[piece], PieceState::InFlight) {
             return SplitReadProgress::Pending;
         }
         self.bytes += payload.len();
@@ -94,7 +95,7 @@
         if self.outstanding > 0 {
             return SplitReadProgress::Pending;
         }
-        self.over = true;
+        self.is_ended = true;
         SplitReadProgress::Complete(self.reassemble())
     }
 
@@ -108,9 +109,9 @@
         payload
     }
 
-    /// Ends the read after the failure of a piece; returns the pieces in flight, which need not be waited for.
+    /// Ends the read after the failure of a piece. Returns the pieces in flight, whose results are no longer needed.
     pub fn cancel(&mut self) -> Vec<usize> {
-        if std::mem::replace(&mut self.over, true) {
+        if std::mem::replace(&mut self.is_ended, true) {
             return Vec::new();
         }
         let states = std::mem::take(&mut self.pieces);
