--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -36,7 +36,7 @@
     Scenario(ScenarioArguments),
     /// Generate the load that a file defines against a running host
     Load(LoadArguments),
-    /// Measure the overhead of a host compared with a plain relay and with clients connected directly to a node
+    /// Measure throughput, latency and resource use of a host, a plain relay and direct connections to a node
     Bench(BenchArguments),
     /// Show, migrate or watch extents of a map service, or cancel a migration
     Extents(ExtentsArguments),
--- a/crates/cli/src/commands/bench.rs
+++ b/crates/cli/src/commands/bench.rs
@@ -1,5 +1,5 @@
-//! `magpiewick bench`: measures the overhead of a host compared with a plain relay and with clients connected directly
-//! to a node.
+//! `magpiewick bench`: measures throughput, latency and resource use of a host, compared with a plain relay and with
+//! clients connected directly to a node.
 
 use crate::error::{Error, ExitStatus};
 use magpiewick_scenario::{bench, bench_reads, BenchmarkResult};
