--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn request_records_use_the_documented_answer_names() {
+fn request_records_keep_the_original_answer_names() {
     let path = std::env::temp_dir().join(format!("magpiewick-{}-records.jsonl", std::process::id()));
     let (code, report) = run_scenario("plants.hcl", &["--seed", "6", "--records", path.to_str().unwrap()]);
     assert_eq!(code, Some(0), "{report:#}");
