--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,31 +1,34 @@
-//! Which requests are accepted or rejected, until when each may be served, and which ones the reserve of
-//! their volume covers.
+//! Admission of requests: acceptance and rejection, the time until which each request may be served, and
+//! the coverage of requests by the reserve of their volume.
 
 use super::fair_queueing::Tag;
 use super::pending_request::{PendingRequest, RequestState};
-use super::retry_policy::is_repeatable_anywhere;
+use super::retry_policy::is_safe_to_repeat;
 use super::Scheduler;
 use crate::structures::TokenBucket;
 use crate::types::{FinalStatus, Ms, Request, SchedulerConfig};
 use std::collections::BTreeMap;
 
-/// From this part of requests on that have the longest client timeout, a shorter one means that time was
-/// spent.
-const COMMON_TIMEOUT_PART: f64 = 0.1;
-/// How much of what was counted before stays with each request.
+/// Least fraction of requests with the longest client timeout from which a shorter timeout indicates that
+/// part of the time was spent before arrival.
+const COMMON_TIMEOUT_FRACTION: f64 = 0.1;
+/// Factor by which earlier counts decay with each request.
 const TIMEOUT_COUNT_DECAY: f64 = 0.995;
-/// Up to this part of requests that end unserved, few of those that come are retries of them.
-const CALM_UNSERVED_PART: f64 = 0.05;
-/// Requests that must have come while few ended unserved before these speak for all.
-const MIN_CALM_REQUESTS: f64 = 50.0;
-/// By how much timeouts may differ that count as the same.
+/// Highest fraction of requests ending unserved at which few arriving requests are retries of unserved
+/// ones.
+const LOW_UNSERVED_FRACTION: f64 = 0.05;
+/// Number of requests that must have arrived while few ended unserved before their statistics are
+/// representative.
+const MIN_REPRESENTATIVE_REQUESTS: f64 = 50.0;
+/// Largest difference between timeouts that count as equal.
 const TIMEOUT_TOLERANCE: Ms = 1.0;
-/// The part of the longest retry-after over which rejected clients are spread.
+/// Fraction of the longest retry-after over which rejected clients are spread.
 const RETRY_AFTER_SPREAD: f64 = 0.25;
-/// Rounds of the caller before the client's deadline by which attempts must be over.
-const DEADLINE_ROUNDS: f64 = 2.0;
+/// Number of action intervals of the caller before the client's deadline by which attempts must be
+/// finished.
+const DEADLINE_INTERVALS: f64 = 2.0;
 
-/// How many of some requests have a property; earlier ones count less and less.
+/// Exponentially decaying count of requests that have a property.
 #[derive(Clone, Copy, Default)]
 struct DecayingCount {
     matching: f64,
@@ -38,55 +41,57 @@
         self.matching = self.matching * TIMEOUT_COUNT_DECAY + f64::from(matches);
     }
 
-    /// Counts one that has the property after all, though it was added without it.
+    /// Counts a request as matching that was added before as not matching.
     fn add_matching(&mut self) {
         self.matching += 1.0;
     }
 
-    fn is_at_least(&self, part: f64) -> bool {
-        self.matching >= part * self.all
+    fn is_at_least(&self, fraction: f64) -> bool {
+        self.matching >= fraction * self.all
     }
 
-    fn exceeds(&self, part: f64) -> bool {
-        self.matching > part * self.all
+    fn exceeds(&self, fraction: f64) -> bool {
+        self.matching > fraction * self.all
     }
 }
 
-/// The client timeouts of the requests of one class and QoS policy.
+/// Statistics of the client timeouts of one class and QoS policy.
 #[derive(Clone, Default)]
 struct TimeoutStatistics {
     longest: Ms,
-    /// Requests with the longest timeout.
+    /// Count of requests with the longest timeout.
     with_longest: DecayingCount,
-    /// The same among those that came while few ended unserved.
-    with_longest_when_calm: DecayingCount,
-    /// Requests that ended unserved.
+    /// Count of requests with the longest timeout among requests that arrived while few ended unserved.
+    with_longest_while_few_unserved: DecayingCount,
+    /// Count of requests that ended unserved.
     unserved: DecayingCount,
 }
 
 impl TimeoutStatistics {
-    /// How much of its timeout a request has spent before it came: it is a client's retry, or waited for a
-    /// stalled host. Where few requests have the longest timeout, timeouts are of many lengths, and a
-    /// shorter one is no sign. Where many end unserved, retries outnumber first requests: then the lengths
-    /// count that were seen before. Guards against work on requests past their latency objective in a retry
-    /// storm; it may hurt clients that change to shorter timeouts within one.
+    /// Returns how much of the client timeout was spent before the request arrived: the request is a
+    /// retry of the client, or waited for a stalled host. Where few requests have the longest timeout,
+    /// timeouts are of many lengths, and a shorter one is no indication. Where many requests end
+    /// unserved, retries outnumber first requests, so the statistics from before that count. Guards
+    /// against work on requests past their latency objective in a retry storm; may penalize clients that
+    /// change to shorter timeouts during one.
     fn time_spent(&mut self, client_timeout: Ms) -> Ms {
         if client_timeout > self.longest + TIMEOUT_TOLERANCE {
             let unserved = self.unserved;
             *self = TimeoutStatistics { longest: client_timeout, unserved, ..TimeoutStatistics::default() };
         }
         let has_longest = client_timeout > self.longest - TIMEOUT_TOLERANCE;
-        let is_calm = !self.unserved.exceeds(CALM_UNSERVED_PART);
+        let few_unserved = !self.unserved.exceeds(LOW_UNSERVED_FRACTION);
         self.unserved.add(false);
         self.with_longest.add(has_longest);
-        if is_calm {
-            self.with_longest_when_calm.add(has_longest);
+        if few_unserved {
+            self.with_longest_while_few_unserved.add(has_longest);
         }
-        let counts = match is_calm || self.with_longest_when_calm.all < MIN_CALM_REQUESTS {
-            true => self.with_longest,
-            false => self.with_longest_when_calm,
-        };
-        if counts.is_at_least(COMMON_TIMEOUT_PART) {
+        let counts =
+            match few_unserved || self.with_longest_while_few_unserved.all < MIN_REPRESENTATIVE_REQUESTS {
+                true => self.with_longest,
+                false => self.with_longest_while_few_unserved,
+            };
+        if counts.is_at_least(COMMON_TIMEOUT_FRACTION) {
             self.longest - client_timeout
         } else {
             0.0
@@ -94,14 +99,14 @@
     }
 }
 
-/// Client timeouts by class and QoS policy.
+/// Statistics of client timeouts by class and QoS policy.
 pub(super) struct ClientTimeouts {
     policies: usize,
     statistics: Vec<TimeoutStatistics>,
 }
 
 impl ClientTimeouts {
-    /// No request came yet.
+    /// Creates statistics without any request.
     pub(super) fn new(config: &SchedulerConfig) -> ClientTimeouts {
         let policies = config.policies.len().max(1);
         let statistics = vec![TimeoutStatistics::default(); config.classes.len() * policies];
@@ -112,7 +117,7 @@
         self.statistics_of(request).time_spent(request.client_timeout)
     }
 
-    /// A request ended unserved: its client may retry it.
+    /// Records that a request ended unserved, so that its client may retry it.
     fn on_unserved(&mut self, request: &Request) {
         self.statistics_of(request).unserved.add_matching();
     }
@@ -122,17 +127,18 @@
     }
 }
 
-/// How much of each volume's reserve is left: a bucket that fills at the reserved rate, drained by what is
-/// queued here and by what nodes say they served through other hosts.
+/// Unused reserve of each volume: a bucket that fills at the reserved rate and is drained by requests
+/// queued here and by units that nodes report as served through other hosts.
 #[derive(Default)]
 pub(super) struct ReserveCoverage {
     buckets: BTreeMap<usize, TokenBucket>,
 }
 
 impl ReserveCoverage {
-    /// Whether the reserve covers a request, as far as this host knows; takes its units if so. Where nodes
-    /// do not say what they served through other hosts, this host counts on the reserve over the root of
-    /// the volume's hosts.
+    /// Returns whether the reserve covers a request, as far as this host can tell, and takes the
+    /// request's units if it does. Where nodes do not report the units served through other hosts, this
+    /// host's part of the reserve is the reserve divided by the square root of the number of the volume's
+    /// hosts.
     pub(super) fn take(&mut self, now: Ms, request: &Request, config: &SchedulerConfig) -> bool {
         let reserve = config.policies[request.policy].reserve;
         let hosts = if config.counts_remote_service { 1.0 } else { request.hosts.sqrt() };
@@ -146,14 +152,14 @@
         covers
     }
 
-    /// A request that the reserve covered leaves its queue unsent.
+    /// Returns the units of a covered request that leaves its queue unsent.
     pub(super) fn put_back(&mut self, request: &Request) {
         if let Some(bucket) = self.buckets.get_mut(&request.volume) {
             bucket.put_back(request.units);
         }
     }
 
-    /// Units were served through other hosts.
+    /// Drains units that were served through other hosts.
     pub(super) fn drain(&mut self, volume: usize, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(&volume) {
             bucket.drain(units);
@@ -162,13 +168,13 @@
 }
 
 impl Scheduler {
-    /// Accepts a request that is new.
+    /// Accepts a new request.
     pub(super) fn accept(&mut self, now: Ms, id: usize, request: &Request) {
         self.retries.add_request(now, request.budget_weight);
         self.sequence += 1;
         let time_spent = self.client_timeouts.time_spent(request);
         let class = &self.config.classes[request.class];
-        let deadline = now + request.client_timeout - DEADLINE_ROUNDS * self.config.action_interval;
+        let deadline = now + request.client_timeout - DEADLINE_INTERVALS * self.config.action_interval;
         let expires_at = deadline.min(now - time_spent + class.latency_objective);
         if let Some(key) = self.ordering_key(request) {
             self.key_locks.enqueue(now, key, id);
@@ -190,26 +196,26 @@
         self.set_waiting(id, true);
     }
 
-    /// Ends a request that has no attempt in flight: it is rejected where a retry of the client is
-    /// harmless, and has failed otherwise.
+    /// Finishes a request that has no attempt in flight: rejects it if a retry of the client cannot cause
+    /// a second effect, and fails it otherwise.
     pub(super) fn reject_or_fail(&mut self, now: Ms, id: usize) -> FinalStatus {
         self.dequeue(id);
         let Some(pending) = self.requests.get(id) else { return FinalStatus::Failed };
         self.client_timeouts.on_unserved(&pending.request);
         let class = &self.config.classes[pending.request.class];
-        let may_be_repeated = is_repeatable_anywhere(class) || pending.uncertain_attempt.is_none();
+        let is_safe_to_retry = is_safe_to_repeat(class) || pending.uncertain_attempt.is_none();
         let time_left = (pending.deadline - now).max(0.0);
-        // Spread, so that clients that are rejected together do not come back together.
-        let part = 1.0 - RETRY_AFTER_SPREAD * self.rng.fraction();
-        let retry_after = (self.config.max_retry_after * part).min(time_left);
+        // Spread at random, so that clients that are rejected together do not retry together.
+        let spread_factor = 1.0 - RETRY_AFTER_SPREAD * self.rng.fraction();
+        let retry_after = (self.config.max_retry_after * spread_factor).min(time_left);
         self.forget(now, id);
-        match may_be_repeated {
+        match is_safe_to_retry {
             true => FinalStatus::Rejected { retry_after },
             false => FinalStatus::Failed,
         }
     }
 
-    /// Drops all that is known of a request that is over.
+    /// Removes all state of a finished request.
     pub(super) fn forget(&mut self, now: Ms, id: usize) {
         self.unblock(id);
         self.set_waiting(id, false);
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,60 +1,60 @@
-//! When a queued request leaves to its node, alone or in a batch.
+//! Dispatch of queued requests to their nodes, alone or in a batch.
 
 use super::in_flight::InFlightAttempt;
-use super::node::{FruitlessScan, Node};
+use super::node::{Node, ScanConditions};
 use super::pending_request::{PendingRequest, RequestState, UncertainAttempt};
 use super::unloaded_latency::relative_duration;
 use super::Scheduler;
 use crate::types::{Ms, RouteDecision};
 
-/// Requests of a class are spared spacing if it has at least the best priority weight over this: guards
-/// against long requests that may wait long and earn little for the slots that they take.
-const SPARED_WEIGHT_DIVISOR: f64 = 2.0;
+/// Divisor of the best priority weight that gives the least priority weight of a class exempt from
+/// spacing. Guards against long requests that may wait long and earn little for the slots that they take.
+const EXEMPT_WEIGHT_DIVISOR: f64 = 2.0;
 
-/// What the node and the retry budget allow at a moment.
+/// Permissions of a node and of the retry budget at one moment.
 struct DispatchConditions {
     accepts: bool,
-    /// Whether the node accepts requests that are spared spacing.
-    accepts_spared: bool,
+    /// True if the node accepts requests that are exempt from spacing.
+    accepts_exempt: bool,
     allows_retry: bool,
     best_priority_weight: f64,
 }
 
 impl Node {
-    /// Whether a request may leave to it now, as far as the window, its spacing and the node's health say.
-    pub(super) fn accepts_attempt(&self, now: Ms, spared: bool) -> bool {
+    /// Returns whether the window, its spacing and the node's health permit sending a request now.
+    pub(super) fn accepts_attempt(&self, now: Ms, exempt: bool) -> bool {
         !self.health.is_backing_off(now)
-            && self.window.spacing_has_passed(now, &self.in_flight, spared)
-            && self.has_capacity(spared)
+            && self.window.spacing_has_passed(now, &self.in_flight, exempt)
+            && self.has_capacity(exempt)
             && !self.is_unresponsive(now)
     }
 }
 
 impl Scheduler {
-    /// The request that leaves next to a node: the first in the queue that nothing forbids.
+    /// Returns the next request to send to a node: the first one in the queue that may be sent.
     pub(super) fn next_to_dispatch(&mut self, now: Ms, index: usize) -> Option<usize> {
         if self.endpoint_list_expired {
             return None;
         }
         let node = self.nodes.get(index).filter(|node| !node.queue.is_empty())?;
-        let (accepts, accepts_spared) = (node.accepts_attempt(now, false), node.accepts_attempt(now, true));
-        if !accepts_spared || !self.slow_start_allows(now, index) {
+        let (accepts, accepts_exempt) = (node.accepts_attempt(now, false), node.accepts_attempt(now, true));
+        if !accepts_exempt || !self.slow_start_allows(now, index) {
             return None;
         }
         let priority_weights = self.config.classes.iter().map(|class| class.priority_weight);
         let conditions = DispatchConditions {
             accepts,
-            accepts_spared,
+            accepts_exempt,
             best_priority_weight: priority_weights.fold(0.0, f64::max),
             allows_retry: self.retry_budget_allows(now),
         };
-        let scan = FruitlessScan { now, accepts, allows_retry: conditions.allows_retry };
-        let node = self.nodes.get(index).filter(|node| node.fruitless_scan != Some(scan))?;
+        let scan = ScanConditions { now, accepts, allows_retry: conditions.allows_retry };
+        let node = self.nodes.get(index).filter(|node| node.unsuccessful_scan != Some(scan))?;
         let first = node.queue.requests().find(|id| {
             self.requests.get(*id).is_some_and(|pending| self.may_leave(now, pending, index, &conditions))
         });
         if let (None, Some(node)) = (first, self.nodes.get_mut(index)) {
-            node.fruitless_scan = Some(scan);
+            node.unsuccessful_scan = Some(scan);
         }
         first
     }
@@ -67,24 +67,25 @@
         conditions: &DispatchConditions,
     ) -> bool {
         let priority_weight = self.config.classes[pending.request.class].priority_weight;
-        let spared = pending.tag.reserved
-            && SPARED_WEIGHT_DIVISOR * priority_weight >= conditions.best_priority_weight;
-        let has_slot = if spared { conditions.accepts_spared } else { conditions.accepts };
+        let exempt = pending.tag.reserved
+            && EXEMPT_WEIGHT_DIVISOR * priority_weight >= conditions.best_priority_weight;
+        let has_slot = if exempt { conditions.accepts_exempt } else { conditions.accepts };
         has_slot
             && (conditions.allows_retry || pending.attempts == 0)
             && now < pending.expires_at
             && self.idempotency_allows(now, pending, node)
     }
 
-    /// Sends a queued request that was found to be the next one.
+    /// Sends a queued request that [`Scheduler::next_to_dispatch`] returned.
     pub(super) fn dispatch(&mut self, now: Ms, id: usize, node: usize) -> RouteDecision {
         self.batches += 1;
         self.start_attempt(now, id, node)
     }
 
-    /// Sends a queued request along with one that was just sent, where only the order of tags forbids it to
-    /// be next and its tag starts less than a frame after that one's. Guards the bounds of fair queueing,
-    /// whatever is coalesced; it may hurt other volumes, which wait for what the batch adds.
+    /// Sends a queued request in the batch of a request that was just sent, if only the order of tags
+    /// prevents it from being next and its tag starts less than a frame after that of the first request.
+    /// Guards the bounds of fair queueing for any batch; may delay other volumes by the requests that the
+    /// batch adds.
     pub(super) fn dispatch_coalesced(&mut self, now: Ms, id: usize, first: usize) -> RouteDecision {
         let Some(index) = self.coalescing_node(now, id, first) else { return RouteDecision::Queue };
         if !self.slow_start_allows(now, index) {
@@ -97,7 +98,8 @@
         decision
     }
 
-    /// The node to which a request may leave along with another, but for the node's slow start.
+    /// Returns the node to which a request may be sent in the batch of another, regardless of the node's
+    /// slow start.
     fn coalescing_node(&mut self, now: Ms, id: usize, first: usize) -> Option<usize> {
         let (pending, leader) = (self.requests.get(id)?, self.requests.get(first)?);
         let RequestState::InFlight(index) = leader.state else { return None };
--- a/src/scheduler/endpoint_health.rs
+++ b/src/scheduler/endpoint_health.rs
@@ -1,4 +1,5 @@
-//! Which nodes are unresponsive or refuse work, which attempts are overdue or lost, and what is cancelled.
+//! Health of nodes: unresponsive and overloaded nodes, overdue and lost attempts, and the cancellation of
+//! attempts.
 
 use super::concurrency_window::DelayBounds;
 use super::in_flight::InFlightAttempt;
@@ -7,26 +8,28 @@
 use super::{Scheduler, TIMER_TOLERANCE};
 use crate::types::{Action, Answer, Ms, Outcome};
 
-/// A node that answers nothing for the response timeout of an attempt, and for this multiple of its
-/// latency, is unresponsive.
+/// Multiple of a node's latency after which a node that answers nothing is unresponsive, if the response
+/// timeout of an attempt has passed as well.
 const RESPONSE_TIMEOUT_LATENCIES: f64 = 4.0;
-/// How many later answers make an attempt doubtful: as a rule, and where attempts prove to be lost.
+/// Numbers of later answers that make an attempt doubtful: normally, and where attempts are lost.
 pub(super) const DOUBTFUL_AFTER: u32 = 8;
 const DOUBTFUL_AFTER_WITH_LOSSES: u32 = 4;
-/// The part of attempts lost from which the latter holds; it is the smoothing of that part too.
+/// Fraction of lost attempts above which the second number applies, and smoothing factor of that
+/// fraction.
 const LOSS_RATE: f64 = 0.05;
-/// A doubtful attempt that takes this multiple of its expected latency is lost.
+/// Multiple of its expected latency after which a doubtful attempt is lost.
 const LOST_LATENCIES: f64 = 3.0;
-/// Backoff at an unresponsive or refusing node: the first, doubled up to the longest.
+/// Backoff at an unresponsive or overloaded node: the first delay, which doubles up to the longest.
 pub(super) const FIRST_BACKOFF: Ms = 50.0;
 const LONGEST_BACKOFF: Ms = 1600.0;
-/// The part of the window that is left after a refusal, and after attempts without an answer.
-const WINDOW_AFTER_REFUSAL: f64 = 0.5;
-const WINDOW_AFTER_SILENCE: f64 = 0.0;
-/// Attempts without an answer in a row that close a node where other hosts report its answers.
+/// Factors of the window after an overload or a failed connection, and after attempts without an answer.
+const WINDOW_FACTOR_AFTER_REJECTION: f64 = 0.5;
+const WINDOW_FACTOR_AFTER_NO_ANSWER: f64 = 0.0;
+/// Number of consecutive attempts without an answer after which a node is backed off where other hosts
+/// report its answers.
 const UNANSWERED_WITH_GOSSIP: u32 = 2;
 
-/// What attempts at one node have shown.
+/// Health of one node as observed from attempts.
 pub(super) struct EndpointHealth {
     last_answer_at: Ms,
     unanswered: u32,
@@ -35,37 +38,37 @@
 }
 
 impl EndpointHealth {
-    /// A node of which nothing is known.
+    /// Creates the state of a node without any attempt.
     pub(super) fn new() -> EndpointHealth {
         EndpointHealth { last_answer_at: 0.0, unanswered: 0, backoff: FIRST_BACKOFF, backoff_until: 0.0 }
     }
 
-    /// The node's process is a new one.
+    /// Ends the backoff after the node's process has restarted.
     pub(super) fn restart(&mut self, now: Ms) {
         self.backoff_until = now;
     }
 
-    /// Whether its last attempts failed.
+    /// Returns whether the last attempts at the node failed.
     pub(super) fn is_failing(&self) -> bool {
         self.backoff > FIRST_BACKOFF
     }
 
-    /// Whether nothing is to be sent for now.
+    /// Returns whether the backoff forbids sending to the node now.
     pub(super) fn is_backing_off(&self, now: Ms) -> bool {
         now < self.backoff_until
     }
 
-    /// How long ago the last answer came.
+    /// Returns the time since the last answer.
     pub(super) fn answer_age(&self, now: Ms) -> Ms {
         now - self.last_answer_at
     }
 
-    /// An answer came, here or at another host.
+    /// Records an answer received by this or another host.
     pub(super) fn note_answer(&mut self, now: Ms) {
         self.last_answer_at = now;
     }
 
-    /// The node itself responded to an attempt of this host.
+    /// Records a response of the node to an attempt of this host.
     fn note_response(&mut self, now: Ms) {
         (self.last_answer_at, self.unanswered) = (now, 0);
     }
@@ -82,19 +85,19 @@
     }
 }
 
-/// The part of attempts whose answers were lost.
+/// Estimate of the fraction of attempts whose answers were lost.
 pub(super) struct LossEstimate {
     rate: f64,
     doubtful_after: u32,
 }
 
 impl LossEstimate {
-    /// No attempt was lost yet.
+    /// Creates an estimate without losses.
     pub(super) fn new() -> LossEstimate {
         LossEstimate { rate: 0.0, doubtful_after: DOUBTFUL_AFTER }
     }
 
-    /// How many later answers make an attempt doubtful.
+    /// Returns the number of later answers that make an attempt doubtful.
     pub(super) fn doubtful_after(&self) -> u32 {
         self.doubtful_after
     }
@@ -105,29 +108,29 @@
     }
 }
 
-/// Whether the node has responded, whatever it said.
-fn shows_life(outcome: Outcome) -> bool {
+/// Returns whether an outcome proves that the node has responded.
+fn proves_responsive(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::DeadlineExceeded)
 }
 
-/// An attempt that was answered.
-struct EndedAttempt {
+/// Successful attempt after its removal from the attempts in flight.
+struct SuccessfulAttempt {
     attempt: InFlightAttempt,
-    /// Where it stood among those in flight, counted from the oldest.
+    /// Position among the attempts in flight, counted from the oldest.
     position: usize,
-    /// Whether the window was nearly full until then.
+    /// True if the window was nearly full before the answer.
     nearly_full: bool,
     latency: Ms,
 }
 
 impl Node {
-    /// Learns from an answer, to this host or another: by how much it was over the unloaded latency.
+    /// Updates the window by an answer to this or another host, given its queueing delay.
     pub(super) fn on_answer(&mut self, now: Ms, queueing_delay: Ms, nearly_full: bool, bounds: &DelayBounds) {
         let answer_age = self.health.answer_age(now);
         self.window.on_answer(answer_age, queueing_delay, nearly_full, bounds);
     }
 
-    /// Whether it answered nothing for longer than its oldest attempt may take.
+    /// Returns whether the node has answered nothing for longer than its oldest attempt may take.
     pub(super) fn is_unresponsive(&self, now: Ms) -> bool {
         let oldest = self.in_flight.oldest();
         oldest.is_some_and(|attempt| {
@@ -136,30 +139,30 @@
     }
 
     fn is_overdue(&self, now: Ms, attempt: &InFlightAttempt, since: Ms) -> bool {
-        let usual = RESPONSE_TIMEOUT_LATENCIES * self.window.loaded_latency();
-        now - since > attempt.response_timeout.max(usual)
+        let usual_timeout = RESPONSE_TIMEOUT_LATENCIES * self.window.loaded_latency();
+        now - since > attempt.response_timeout.max(usual_timeout)
     }
 
-    /// A time after which most attempts like this are answered.
+    /// Returns the latency within which most attempts like this one are answered.
     fn longest_usual_latency(&self, attempt: &InFlightAttempt) -> Ms {
         LOST_LATENCIES * (self.window.queueing_delay() + attempt.unloaded_latency)
     }
 
-    /// Whether the attempt's answer is not to be expected any more.
+    /// Returns whether the attempt's answer is no longer expected.
     fn is_lost(&self, now: Ms, attempt: &InFlightAttempt, unresponsive: bool) -> bool {
         let overdue = unresponsive && self.is_overdue(now, attempt, attempt.sent_at);
         let too_late = || now - attempt.sent_at > self.longest_usual_latency(attempt);
         overdue || self.in_flight.is_doubtful(attempt) && too_late()
     }
 
-    /// When an attempt may be lost first.
+    /// Returns the earliest time at which an attempt may be lost.
     pub(super) fn next_overdue_at(&self) -> Option<Ms> {
-        let open = self.in_flight.iter().filter(|attempt| !attempt.cancelled);
-        let times = open.map(|attempt| attempt.sent_at + self.longest_usual_latency(attempt));
+        let uncancelled = self.in_flight.iter().filter(|attempt| !attempt.cancelled);
+        let times = uncancelled.map(|attempt| attempt.sent_at + self.longest_usual_latency(attempt));
         times.min_by(f64::total_cmp)
     }
 
-    /// The position of the oldest attempt that is lost and not cancelled yet.
+    /// Returns the position of the oldest attempt that is lost and not yet cancelled.
     fn first_lost(&self, now: Ms) -> Option<usize> {
         let unresponsive = self.is_unresponsive(now);
         self.in_flight
@@ -167,26 +170,27 @@
             .position(|attempt| !attempt.cancelled && self.is_lost(now, attempt, unresponsive))
     }
 
-    fn back_off(&mut self, now: Ms, window_part: f64, floor: f64) {
-        self.window.narrow(window_part, floor);
+    fn back_off(&mut self, now: Ms, window_factor: f64, floor: f64) {
+        self.window.narrow(window_factor, floor);
         self.health.back_off(now);
     }
 
-    /// An attempt ended without an answer at a node that answered nothing else either: it is tried again
-    /// with one request at a time. Where other hosts report its answers, one such attempt is no sign: it
-    /// may be this host's only one in seconds.
+    /// Records an attempt that ended without an answer at a node that answered nothing else, and backs
+    /// off the node, which is then retried with one request at a time. Where other hosts report answers
+    /// of the node, a single unanswered attempt is not sufficient: this host may send only one attempt in
+    /// several seconds.
     fn on_unanswered(&mut self, now: Ms, floor: f64) {
         self.health.unanswered += 1;
         if self.health.unanswered >= UNANSWERED_WITH_GOSSIP || !self.window.has_gossip() {
-            self.back_off(now, WINDOW_AFTER_SILENCE, floor);
+            self.back_off(now, WINDOW_FACTOR_AFTER_NO_ANSWER, floor);
         }
     }
 }
 
 impl Scheduler {
-    /// The next attempt to cancel: nobody waits for it, or its answer is lost. The latter guards the slots
-    /// of a window against answers that are lost and nodes that accept work and answer nothing; it may hurt
-    /// where single requests take many times the usual work.
+    /// Returns the next attempt to cancel: its client has disconnected, or its answer is lost. Cancelling
+    /// lost attempts guards the slots of a window against lost answers and against nodes that accept work
+    /// without answering; may cancel valid attempts where single requests take many times the usual work.
     pub(super) fn next_cancellation(&mut self, now: Ms) -> Option<Action> {
         if !self.config.can_cancel {
             return None;
@@ -202,7 +206,7 @@
         None
     }
 
-    /// Takes an attempt that ended off its node, and learns from how it ended.
+    /// Removes an ended attempt from its node, and updates the node's health by the outcome.
     pub(super) fn record_outcome(&mut self, now: Ms, id: usize, index: usize, answer: &Answer) {
         let Some(node) = self.nodes.get_mut(index) else { return };
         let (nearly_full, unresponsive) = (node.is_nearly_full(), node.is_unresponsive(now));
@@ -214,12 +218,13 @@
         self.losses.record(node.in_flight.is_doubtful(&attempt) && unanswered);
         match answer.outcome {
             Outcome::Succeeded => {
-                let ended = EndedAttempt { attempt, position, nearly_full, latency: answer.latency };
-                self.record_success(now, index, &ended);
+                let success = SuccessfulAttempt { attempt, position, nearly_full, latency: answer.latency };
+                self.record_success(now, index, &success);
             }
-            // A connection that broke is no sign of its node: one whose process died refuses the next.
+            // A broken connection does not count against the node: a node whose process exited rejects
+            // the next connection.
             Outcome::Overloaded | Outcome::ConnectFailed => {
-                node.back_off(now, WINDOW_AFTER_REFUSAL, self.congested_floor);
+                node.back_off(now, WINDOW_FACTOR_AFTER_REJECTION, self.congested_floor);
             }
             Outcome::TimedOut | Outcome::Cancelled if unresponsive => {
                 node.on_unanswered(now, self.congested_floor);
@@ -230,15 +235,15 @@
         self.after_attempt(now, index, answer.outcome, was_failing);
     }
 
-    /// Learns from an attempt that succeeded.
-    fn record_success(&mut self, now: Ms, index: usize, ended: &EndedAttempt) {
-        let (id, batch_units) = (ended.attempt.request, ended.attempt.batch_units);
+    /// Updates latencies, window and health by a successful attempt.
+    fn record_success(&mut self, now: Ms, index: usize, success: &SuccessfulAttempt) {
+        let (id, batch_units) = (success.attempt.request, success.attempt.batch_units);
         let Some(request) = self.requests.get(id).map(|pending| &pending.request) else { return };
         let Some(node) = self.nodes.get_mut(index) else { return };
         node.served_units.add(now, request.units);
         let sample = LatencySample {
             class: request.class,
-            latency: ended.latency,
+            latency: success.latency,
             relative_duration: relative_duration(batch_units, self.config.mean_units),
             coalesced: batch_units > request.units,
         };
@@ -247,16 +252,16 @@
             self.gossip.record_answer(index, queueing_delay);
         }
         let bounds = self.latencies.delay_bounds(self.congested_floor);
-        node.on_answer(now, queueing_delay, ended.nearly_full, &bounds);
+        node.on_answer(now, queueing_delay, success.nearly_full, &bounds);
         node.in_flight.set_doubtful_after(self.losses.doubtful_after());
         node.health.reset_backoff();
-        node.in_flight.overtake_older_than(ended.position);
+        node.in_flight.overtake_older_than(success.position);
     }
 
-    /// Brings what depends on a node's attempts up to date after one of them ended.
+    /// Updates all state that depends on a node's attempts after one of them ended.
     fn after_attempt(&mut self, now: Ms, index: usize, outcome: Outcome, was_failing: bool) {
         let Some(node) = self.nodes.get_mut(index) else { return };
-        if shows_life(outcome) {
+        if proves_responsive(outcome) {
             node.health.note_response(now);
         }
         node.reset_queue_if_idle();
--- a/src/scheduler/endpoint_selection.rs
+++ b/src/scheduler/endpoint_selection.rs
@@ -1,12 +1,12 @@
-//! To which node a request goes.
+//! Selection of the node for a request.
 
 use super::node::Node;
 use super::Scheduler;
 use crate::types::Ms;
 
 impl Scheduler {
-    /// The node to which requests of a shard go: of those that are ready one that is not failing, and of
-    /// these the one that was started first, as its successor is still warming up.
+    /// Returns the node for requests of a shard: among the ready nodes one that is not failing, and among
+    /// those the one that was started first, as its successor is still warming up.
     pub(super) fn select_node(&self, shard: usize) -> Option<&Node> {
         let ready = self.nodes.of_shard(shard).filter(|node| node.is_ready());
         ready.min_by_key(|node| {
@@ -15,8 +15,8 @@
         })
     }
 
-    /// Lets a node with a free slot take the oldest request that names no shard into its queue, one at a
-    /// time. Whether any did.
+    /// Moves the oldest eligible request without a shard into the queue of a node with a free slot.
+    /// Returns whether a request was moved.
     pub(super) fn place_request_without_shard(&mut self, now: Ms) -> bool {
         if !self.blocked.has_any_without_shard() {
             return false;
@@ -31,11 +31,11 @@
         true
     }
 
-    /// Of two nodes with a free slot, drawn at random, the one that is to answer sooner. Guards against
-    /// hosts that all choose the same one.
+    /// Returns the node with the earlier expected completion of two that are drawn at random from those
+    /// with a free slot. Guards against all hosts choosing the same node.
     fn select_node_without_shard(&mut self, now: Ms) -> Option<usize> {
         let candidates =
-            self.nodes.with_capacity().filter(|node| self.takes_request_without_shard(now, node));
+            self.nodes.with_capacity().filter(|node| self.accepts_request_without_shard(now, node));
         let candidates: Vec<usize> = candidates.map(|node| node.endpoint.node).collect();
         if candidates.is_empty() {
             return None;
@@ -46,7 +46,7 @@
         Some(if is_faster { second } else { first })
     }
 
-    fn takes_request_without_shard(&self, now: Ms, node: &Node) -> bool {
+    fn accepts_request_without_shard(&self, now: Ms, node: &Node) -> bool {
         let names_no_shard =
             |id: usize| self.requests.get(id).is_some_and(|pending| pending.request.shard.is_none());
         node.accepts_attempt(now, false) && !node.queue.requests().any(names_no_shard)
--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: when it is polled, and what a change of it does to nodes and queued requests.
+//! Endpoint list: the times of its polls, and the effect of its changes on nodes and queued requests.
 
 use super::node::Node;
 use super::Scheduler;
@@ -7,15 +7,15 @@
 use crate::types::{Endpoint, EndpointState, EndpointUpdate, Ms};
 use std::collections::BTreeSet;
 
-/// The first backoff after a poll that failed, and the longest as a part of the longest poll interval.
+/// First backoff after a failed poll, and the longest backoff as a fraction of the longest poll interval.
 const FIRST_POLL_BACKOFF: Ms = 50.0;
 const LONGEST_POLL_BACKOFF: f64 = 0.1;
-/// When the list is polled again, as parts of the longest poll interval: where a poll has no answer, and
-/// after one, as a watch may break unnoticed.
+/// Delays of the next poll as fractions of the longest poll interval: after a poll without an answer, and
+/// after an answer, as a watch may break unnoticed.
 const POLL_TIMEOUT: f64 = 0.4;
 const POLL_INTERVAL: f64 = 0.8;
 
-/// When the endpoint list is polled next, where it must be polled.
+/// Times of polls of the endpoint list, where it must be polled.
 pub(super) struct EndpointPolling {
     max_interval: Option<Ms>,
     next_at: Option<Ms>,
@@ -23,7 +23,7 @@
 }
 
 impl EndpointPolling {
-    /// The first poll is due now.
+    /// Schedules the first poll for now.
     pub(super) fn new(now: Ms, max_interval: Option<Ms>) -> EndpointPolling {
         let longest_backoff = LONGEST_POLL_BACKOFF * max_interval.unwrap_or(0.0);
         EndpointPolling {
@@ -33,12 +33,12 @@
         }
     }
 
-    /// When the next poll is due.
+    /// Returns the time of the next poll.
     pub(super) fn next_at(&self) -> Option<Ms> {
         self.next_at
     }
 
-    /// Whether a poll is due now, which it is no more then.
+    /// Returns whether a poll is due now, and schedules the next one if so.
     pub(super) fn take_due(&mut self, now: Ms) -> bool {
         let is_due = self.next_at.is_some_and(|at| now >= at);
         if is_due {
@@ -59,7 +59,7 @@
 }
 
 impl Scheduler {
-    /// Takes in the endpoint list, or what changed in it.
+    /// Applies the endpoint list, or the changes in it.
     pub(super) fn apply_endpoint_update(&mut self, now: Ms, update: EndpointUpdate, endpoints: &[Endpoint]) {
         match update {
             EndpointUpdate::PollFailed => return self.polling.on_failure(now, &mut self.rng),
@@ -67,7 +67,7 @@
             EndpointUpdate::Delta | EndpointUpdate::Snapshot => self.polling.on_answer(now),
         }
         if update != EndpointUpdate::Delta {
-            self.remove_unnamed(endpoints);
+            self.remove_unlisted(endpoints);
         }
         self.shard_throughput.measure(now, &mut self.nodes, self.config.slow_start_duration);
         for endpoint in endpoints {
@@ -83,9 +83,9 @@
         }
     }
 
-    fn remove_unnamed(&mut self, endpoints: &[Endpoint]) {
-        let named: BTreeSet<usize> = endpoints.iter().map(|endpoint| endpoint.node).collect();
-        for node in self.nodes.iter_mut().filter(|node| !named.contains(&node.endpoint.node)) {
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<usize> = endpoints.iter().map(|endpoint| endpoint.node).collect();
+        for node in self.nodes.iter_mut().filter(|node| !listed.contains(&node.endpoint.node)) {
             node.endpoint.state = EndpointState::Removed;
         }
     }
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Requests in the queue of a node that drains or went wait for the node that takes its shard.
+    /// Removes requests from the queues of draining and removed nodes: they wait for the node that takes
+    /// over their shard.
     fn requeue_from_unusable_nodes(&mut self) {
         let unusable = self.nodes.iter().filter(|node| !node.is_ready());
         let requests: Vec<usize> = unusable.flat_map(|node| node.queue.requests()).collect();
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -1,5 +1,5 @@
-//! When a request cannot be answered within its latency objective any more, so that it gets its final
-//! answer now.
+//! Expiry of requests: a request that can no longer be answered within its latency objective gets its
+//! final answer.
 
 use super::pending_request::{PendingRequest, RequestState};
 use super::unloaded_latency::relative_duration;
@@ -8,13 +8,14 @@
 use crate::types::Ms;
 
 impl Scheduler {
-    /// Whether the expected latency does not fit before the request's latency objective any more.
+    /// Returns whether the expected latency exceeds the time left until the request's latency objective.
     pub(super) fn is_objective_unreachable(&self, now: Ms, id: usize) -> bool {
         let pending = self.requests.get(id);
         pending.is_some_and(|pending| now + self.expected_latency(pending) >= pending.expires_at)
     }
 
-    /// The latency to expect at the node that the request would go to; 0 where that is not known.
+    /// Returns the expected latency at the node that would be selected for the request, or 0 if there is
+    /// none.
     fn expected_latency(&self, pending: &PendingRequest) -> Ms {
         let request = &pending.request;
         let node = request.shard.and_then(|shard| self.select_node(shard));
@@ -24,7 +25,7 @@
         })
     }
 
-    /// Adds a request to those that wait and may expire, or removes it.
+    /// Adds a request to the waiting requests that may expire, or removes it.
     pub(super) fn set_waiting(&mut self, id: usize, waiting: bool) {
         let Some(pending) = self.requests.get(id) else { return };
         let shard = pending.request.shard;
@@ -35,14 +36,15 @@
         }
     }
 
-    /// Sets when the first waiting request of a shard is to be checked, which depends on the shard's node.
+    /// Sets the time at which the first waiting request of a shard is checked, which depends on the
+    /// shard's node.
     pub(super) fn schedule_expiry_check(&mut self, shard: Option<usize>) {
         let first = self.expiry.first_waiting(shard).and_then(|id| self.requests.get(id));
         let check_at = first.map(|pending| pending.expires_at - self.expected_latency(pending));
         self.expiry.set_check(shard, check_at);
     }
 
-    /// Records that a request, which waits no longer, is expiring, with its present position.
+    /// Marks a request that is no longer waiting as expiring, with its current position.
     pub(super) fn mark_expiring(&mut self, id: usize) {
         let Some(pending) = self.requests.get(id) else { return };
         let position = match pending.state {
@@ -52,7 +54,7 @@
         self.expiry.mark_expiring(id, position);
     }
 
-    /// The next request whose latency objective is unreachable.
+    /// Returns the next request whose latency objective is unreachable.
     pub(super) fn next_expired(&mut self, now: Ms) -> Option<usize> {
         for shard in self.expiry.due_checks(now + TIMER_TOLERANCE) {
             while let Some(id) = self.first_expired(now, shard) {
@@ -64,7 +66,7 @@
             if self.is_objective_unreachable(now, id) {
                 return Some(id);
             }
-            // Its node has become faster since.
+            // The expected latency of the node has decreased since the request was marked.
             self.set_waiting(id, true);
         }
         None
--- a/src/scheduler/fair_queueing.rs
+++ b/src/scheduler/fair_queueing.rs
@@ -6,31 +6,32 @@
 use crate::types::{Ms, SchedulerConfig};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How much more than its priority weight a volume's reserve counts.
+/// Factor by which the weight of reserved service exceeds its priority weight.
 const RESERVE_FACTOR: f64 = 4.0;
-/// How long after its last request a flow counts into the weights at a node.
+/// Time after the last request of a flow during which the flow counts in the sum of the weights at a
+/// node.
 const FLOW_EXPIRY: Ms = 2000.0;
-/// Keeps every weight above zero, as tags are divided by it.
+/// Least weight; tags are divided by weights, so none may be zero.
 const MIN_WEIGHT: f64 = 1e-6;
 
-/// The virtual start and finish tag of a request.
+/// Virtual start and finish tag of a request.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Tag {
     pub start: f64,
     pub finish: f64,
-    /// The reserve of its volume covers it.
+    /// True if the reserve of the volume covers the request.
     pub reserved: bool,
 }
 
 impl Tag {
-    /// The frame in which it starts, if it finishes in a later one.
+    /// Returns the frame in which the request starts, if the request finishes in a later frame.
     fn crossed_frame(&self) -> Option<i64> {
         let frame = self.start.floor() as i64;
         (frame < self.finish.floor() as i64).then_some(frame)
     }
 }
 
-/// A request that enters a queue.
+/// Request that enters a queue.
 pub(super) struct QueueEntry {
     pub request: usize,
     pub arrival: u64,
@@ -40,47 +41,48 @@
     pub weight: f64,
 }
 
-/// What decides on the length of a frame.
+/// Parameters that determine the length of a frame.
 pub(super) struct FrameBounds {
-    /// The most units that leave together.
+    /// Largest number of units that are sent as one batch.
     pub max_batch_units: f64,
     /// The least weight that any flow can have.
     pub least_weight: f64,
 }
 
-/// The requests of a volume at a node that its reserve covers, or the others.
+/// Requests of one volume at a node: either the requests that the reserve covers, or the others.
 struct Flow {
     last_finish: f64,
     weight: f64,
-    last_seen: Ms,
+    last_request_at: Ms,
     queued: u32,
 }
 
-/// The queue of one node.
+/// Queue of one node.
 #[derive(Default)]
 pub(super) struct FairQueue {
-    /// By finish tag and arrival.
+    /// Queued requests by finish tag and arrival.
     entries: BTreeSet<(i64, u64, usize)>,
     flows: BTreeMap<(usize, bool), Flow>,
     potential: f64,
     frame: i64,
-    /// By frame, the queued requests that start in it and finish in a later one.
+    /// Number of queued requests that finish in a later frame than they start in, by the frame of the
+    /// start.
     frame_counters: BTreeMap<i64, u32>,
     frame_units: f64,
 }
 
 impl FairQueue {
-    /// Whether no request is queued.
+    /// Returns whether no request is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The queued requests in the order in which they leave.
+    /// Returns the queued requests in the order of dispatch.
     pub(super) fn requests(&self) -> impl Iterator<Item = usize> + '_ {
         self.entries.iter().map(|(_, _, request)| *request)
     }
 
-    /// Starts again from zero, without service that any flow had.
+    /// Resets the potential, the frames and the past service of all flows.
     pub(super) fn reset(&mut self) {
         for flow in self.flows.values_mut() {
             flow.last_finish = 0.0;
@@ -89,14 +91,14 @@
         (self.potential, self.frame, self.frame_units) = (0.0, 0, 0.0);
     }
 
-    /// Adds a request; the tag that it gets.
+    /// Adds a request and returns its tag.
     pub(super) fn enqueue(&mut self, now: Ms, entry: &QueueEntry, bounds: &FrameBounds) -> Tag {
         let key = (entry.volume, entry.reserved);
-        let new_flow = Flow { last_finish: 0.0, weight: entry.weight, last_seen: now, queued: 0 };
+        let new_flow = Flow { last_finish: 0.0, weight: entry.weight, last_request_at: now, queued: 0 };
         let flow = self.flows.entry(key).or_insert(new_flow);
-        flow.last_seen = now;
+        flow.last_request_at = now;
         flow.queued += 1;
-        self.drop_idle_flows(now);
+        self.remove_idle_flows(now);
         let weights: f64 = self.flows.values().map(|flow| flow.weight).sum();
         self.frame_units = bounds.max_batch_units * weights / bounds.least_weight;
         let length = entry.units * weights / (self.frame_units * entry.weight);
@@ -111,32 +113,34 @@
         tag
     }
 
-    /// A flow counts while it has requests, was seen lately, or has had more service than the potential says.
-    fn drop_idle_flows(&mut self, now: Ms) {
+    /// Drops flows that have no queued request, no recent request, and no service ahead of the system
+    /// potential.
+    fn remove_idle_flows(&mut self, now: Ms) {
         let potential = self.potential;
         self.flows.retain(|_, flow| {
-            flow.queued > 0 || now - flow.last_seen < FLOW_EXPIRY || flow.last_finish > potential
+            flow.queued > 0 || now - flow.last_request_at < FLOW_EXPIRY || flow.last_finish > potential
         });
     }
 
-    /// Takes a request that leaves unsent out: its frame's counter falls, and its flow is not charged for it.
+    /// Removes a request that leaves unsent: decrements the counter of its frame and does not charge its
+    /// flow.
     pub(super) fn remove_unsent(&mut self, id: usize, pending: &PendingRequest) {
         if let Some(flow) = self.remove(id, pending) {
             flow.last_finish -= pending.tag.finish - pending.tag.start;
         }
     }
 
-    /// Takes a request that is sent out, and moves the potential and the frame on.
+    /// Removes a request that is sent, and advances the system potential and the frame.
     pub(super) fn depart(&mut self, now: Ms, id: usize, pending: &PendingRequest) {
         if let Some(flow) = self.remove(id, pending) {
-            flow.last_seen = now;
+            flow.last_request_at = now;
         }
         self.potential += pending.request.units / self.frame_units;
-        let reached = pending.tag.finish.floor() as i64;
-        if reached > self.frame && self.current_frame_is_served() {
-            self.frame = reached;
-            self.potential = self.potential.max(reached as f64);
-            self.frame_counters = self.frame_counters.split_off(&reached);
+        let finish_frame = pending.tag.finish.floor() as i64;
+        if finish_frame > self.frame && self.current_frame_is_served() {
+            self.frame = finish_frame;
+            self.potential = self.potential.max(finish_frame as f64);
+            self.frame_counters = self.frame_counters.split_off(&finish_frame);
         }
     }
 
@@ -157,8 +161,8 @@
     }
 }
 
-/// The weight of a flow, which is what a unit of its service earns: the reserve counts in full, the share
-/// by weight at the part that it earns.
+/// Returns the weight of a flow, which is the value of a unit of its service: the reserve counts in full,
+/// the share by weight with the fraction that the share earns.
 pub(super) fn flow_weight(config: &SchedulerConfig, class: usize, policy: usize, reserved: bool) -> f64 {
     let rates: f64 = config.policies.iter().map(|policy| policy.rate).sum();
     let weights: f64 = config.policies.iter().map(|policy| policy.weight).sum();
--- a/src/scheduler/gossip.rs
+++ b/src/scheduler/gossip.rs
@@ -1,67 +1,68 @@
-//! What hosts report to each other of nodes: how often, to whom, and what a report changes.
+//! Gossip between hosts about nodes: intervals, recipients, and the effect of received reports.
 //!
-//! A report moves what is known of a node as own answers do. Nothing depends on its arrival: it may be
-//! late, lost or duplicated.
+//! A report updates the state of a node as answers to this host do. No decision depends on the arrival of
+//! reports: a report may be late, lost or duplicated.
 
 use super::Scheduler;
 use crate::structures::GossipState;
 use crate::types::{Action, GossipReport, Ms};
 use std::collections::BTreeMap;
 
-/// How often a host reports while requests are queued, and how much more rarely it does otherwise.
+/// Interval between reports while requests are queued, and its multiple otherwise.
 const GOSSIP_INTERVAL: Ms = 100.0;
-const CALM_INTERVALS: f64 = 2.0;
-/// To how many hosts it reports at a time.
+const IDLE_INTERVALS: f64 = 2.0;
+/// Largest number of hosts that receive a report.
 const FANOUT: usize = 48;
-/// After how many intervals reports expire; more where not every host is reached at each.
+/// Number of intervals after which reports expire; the number grows where a report does not reach every
+/// host.
 const EXPIRY_INTERVALS: f64 = 2.5;
 
-/// Answers from one node that were not reported yet.
+/// Answers of one node that this host has not yet reported.
 #[derive(Default)]
 struct UnreportedAnswers {
     count: u32,
     total_queueing_delay: Ms,
 }
 
-/// The reports of other hosts, and when this one reports next.
+/// Reports of other hosts, and the time of this host's next report.
 pub(super) struct Gossip {
     received: GossipState,
-    /// Other hosts have reported lately.
+    /// True if other hosts have reported recently.
     is_active: bool,
     unreported: BTreeMap<usize, UnreportedAnswers>,
     next_at: Ms,
-    /// The last report named nodes, so that one more has to say when nothing is there any more.
-    owes_update: bool,
+    /// True if the last report named nodes, so that one more report must announce when no load remains.
+    needs_final_report: bool,
 }
 
 impl Gossip {
-    /// Nothing was reported yet.
+    /// Creates the state of a host without any report.
     pub(super) fn new(now: Ms) -> Gossip {
         Gossip {
             received: GossipState::default(),
             is_active: false,
             unreported: BTreeMap::new(),
             next_at: now,
-            owes_update: false,
+            needs_final_report: false,
         }
     }
 
-    /// Whether other hosts have reported lately.
+    /// Returns whether other hosts have reported recently.
     pub(super) fn is_active(&self) -> bool {
         self.is_active
     }
 
-    /// When the next report is due, if there is anything to report.
+    /// Returns the time of the next report, if there is anything to report.
     pub(super) fn next_at(&self) -> Ms {
         self.next_at
     }
 
-    /// Whether there are answers or ended attempts to report.
+    /// Returns whether there are answers or ended attempts to report.
     pub(super) fn has_unreported(&self) -> bool {
-        self.owes_update || !self.unreported.is_empty()
+        self.needs_final_report || !self.unreported.is_empty()
     }
 
-    /// Keeps an answer for the next report.
+    /// Records an answer for the next report.
     pub(super) fn record_answer(&mut self, node: usize, queueing_delay: Ms) {
         let unreported = self.unreported.entry(node).or_default();
         unreported.count += 1;
@@ -74,15 +75,15 @@
     }
 
     fn schedule_next(&mut self, now: Ms, reports: &[GossipReport]) {
-        self.owes_update = !reports.is_empty();
-        let calm = reports.iter().all(|report| !report.has_queued);
-        self.next_at = now + GOSSIP_INTERVAL * if calm { CALM_INTERVALS } else { 1.0 };
+        self.needs_final_report = !reports.is_empty();
+        let is_idle = reports.iter().all(|report| !report.has_queued);
+        self.next_at = now + GOSSIP_INTERVAL * if is_idle { IDLE_INTERVALS } else { 1.0 };
     }
 }
 
 impl Scheduler {
-    /// Reports to some other hosts, drawn at random, what this host has at each node and which answers came
-    /// since its last report.
+    /// Reports to other hosts, drawn at random, this host's load at each node and the answers received
+    /// since the last report.
     pub(super) fn send_gossip(&mut self, now: Ms, own_number: usize) -> Action {
         let expired = self.gossip.expire(now, self.config.hosts);
         self.apply_remote_load(&expired);
@@ -118,7 +119,7 @@
         targets
     }
 
-    /// Takes in what another host reports of nodes that the endpoint list has named.
+    /// Applies the reports of another host on nodes that the endpoint list names.
     pub(super) fn receive_gossip(&mut self, now: Ms, from: usize, reports: &[GossipReport]) {
         if from as f64 >= self.config.hosts {
             return;
@@ -145,7 +146,7 @@
         self.schedule_expiry_check(Some(shard));
     }
 
-    /// Brings what is known of other hosts' attempts at nodes up to date.
+    /// Updates the remote load of these nodes, and whether gossip is active.
     fn apply_remote_load(&mut self, nodes: &[usize]) {
         let is_active = !self.gossip.received.is_empty();
         if self.gossip.is_active != is_active {
--- a/src/scheduler/in_flight.rs
+++ b/src/scheduler/in_flight.rs
@@ -1,71 +1,72 @@
-//! The attempts in flight at one node.
+//! Attempts in flight at one node.
 
 use crate::types::Ms;
 
-/// An attempt in flight.
+/// Attempt in flight.
 pub(super) struct InFlightAttempt {
     pub request: usize,
-    /// Its number, counted from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
     pub sent_at: Ms,
-    /// How long the node may take at least before it counts as unresponsive.
+    /// Time without an answer that the node has at least before it counts as unresponsive.
     pub response_timeout: Ms,
-    /// The latency to expect of it at a node without load.
+    /// Expected latency of the attempt at a node without load.
     pub unloaded_latency: Ms,
-    /// The batch that it left with.
+    /// Batch that the attempt was sent in.
     pub batch: u64,
-    /// The units of all that left with it.
+    /// Units of all attempts of the batch.
     pub batch_units: f64,
-    /// How many later attempts were answered before it.
+    /// Number of later attempts that were answered before this one.
     pub overtaken_by: u32,
     pub cancelled: bool,
 }
 
-/// The attempts in flight at one node, the oldest first.
+/// Attempts in flight at one node, the oldest first.
 #[derive(Default)]
 pub(super) struct InFlightAttempts {
     attempts: Vec<InFlightAttempt>,
-    /// How many later answers make an attempt doubtful; a doubtful one takes no slot.
+    /// Number of later answers that make an attempt doubtful; a doubtful attempt occupies no slot.
     doubtful_after: u32,
 }
 
 impl InFlightAttempts {
-    /// None in flight.
+    /// Creates an empty list.
     pub(super) fn new(doubtful_after: u32) -> InFlightAttempts {
         InFlightAttempts { attempts: Vec::new(), doubtful_after }
     }
 
-    /// Changes after how many later answers an attempt is doubtful.
+    /// Sets the number of later answers that make an attempt doubtful.
     pub(super) fn set_doubtful_after(&mut self, answers: u32) {
         self.doubtful_after = answers;
     }
 
-    /// Whether so many later answers came that the attempt's own is in doubt.
+    /// Returns whether enough later answers were received to make the attempt doubtful.
     pub(super) fn is_doubtful(&self, attempt: &InFlightAttempt) -> bool {
         attempt.overtaken_by >= self.doubtful_after
     }
 
-    /// Whether no attempt is in flight.
+    /// Returns whether no attempt is in flight.
     pub(super) fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// The attempts, the oldest first.
+    /// Returns the attempts, the oldest first.
     pub(super) fn iter(&self) -> impl Iterator<Item = &InFlightAttempt> {
         self.attempts.iter()
     }
 
-    /// The attempt that was sent first.
+    /// Returns the attempt that was sent first.
     pub(super) fn oldest(&self) -> Option<&InFlightAttempt> {
         self.attempts.first()
     }
 
-    /// The attempt that was sent last.
+    /// Returns the attempt that was sent last.
     pub(super) fn newest(&self) -> Option<&InFlightAttempt> {
         self.attempts.last()
     }
 
-    /// The slots of the window that are taken: one by all that left together, until the last of them ends.
+    /// Returns the number of occupied slots of the window: a batch occupies one slot until its last
+    /// attempt ends.
     pub(super) fn occupied_slots(&self) -> f64 {
         let mut last_batch = 0;
         let certain = self.attempts.iter().filter(|attempt| !self.is_doubtful(attempt));
@@ -73,12 +74,13 @@
             as f64
     }
 
-    /// Adds an attempt that leaves now.
+    /// Adds an attempt that is sent now.
     pub(super) fn push(&mut self, attempt: InFlightAttempt) {
         self.attempts.push(attempt);
     }
 
-    /// Adds the units of the newest attempt to those of the batch that `first` leads and that it left with.
+    /// Adds the units of the newest attempt to those of the batch that it was sent in, whose first
+    /// request is `first`.
     pub(super) fn join_batch(&mut self, first: usize) {
         let Some((batch, units)) = self.newest().map(|newest| (newest.batch, newest.batch_units)) else {
             return;
@@ -90,31 +92,33 @@
         }
     }
 
-    /// Where the attempt of a request stands, counted from the oldest.
+    /// Returns the position of the attempt of a request, counted from the oldest.
     pub(super) fn position(&self, request: usize) -> Option<usize> {
         self.attempts.iter().position(|attempt| attempt.request == request)
     }
 
-    /// Takes an attempt out.
+    /// Removes an attempt.
     pub(super) fn remove(&mut self, position: usize) -> InFlightAttempt {
         self.attempts.remove(position)
     }
 
-    /// An attempt was answered: those sent before it were overtaken.
+    /// Records that an answered attempt has overtaken the attempts that were sent before it.
     pub(super) fn overtake_older_than(&mut self, position: usize) {
         for attempt in &mut self.attempts[..position] {
             attempt.overtaken_by += 1;
         }
     }
 
-    /// Answers came, here or to other hosts, to attempts sent at `sent_at`: older ones were overtaken.
+    /// Records that answers, to this or other hosts, have overtaken the attempts that were sent before
+    /// `sent_at`.
     pub(super) fn overtake_sent_before(&mut self, sent_at: Ms, answers: u32) {
         for attempt in self.attempts.iter_mut().filter(|attempt| attempt.sent_at < sent_at) {
             attempt.overtaken_by += answers;
         }
     }
 
-    /// Nobody waits for the answer of a request any more: its attempt is overdue and takes no slot.
+    /// Marks the attempt of a request whose client has disconnected as overdue, so that it occupies no
+    /// slot.
     pub(super) fn abandon(&mut self, request: usize, overtaken_by: u32) {
         for attempt in self.attempts.iter_mut().filter(|attempt| attempt.request == request) {
             (attempt.sent_at, attempt.overtaken_by) = (f64::NEG_INFINITY, overtaken_by);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,9 +1,10 @@
-//! The scheduler of a host: every decision on its requests. This file has its state and its interface, the
-//! other files one decision each.
+//! Scheduler of a host: all decisions on its requests. This file contains the state and the interface,
+//! each other file one kind of decision.
 //!
-//! A caller asks [`Scheduler::route`] where to send a request, [`Scheduler::on_outcome`] what to do after
-//! an outcome, and [`Scheduler::next_action`] what is due, repeated until that names a time. The other
-//! methods are notices. The mechanism and its departures from the paper are described in `docs/design.md`.
+//! A caller uses [`Scheduler::route`] to find out where to send a request, [`Scheduler::on_outcome`] for
+//! what to do after an outcome, and [`Scheduler::next_action`] for due actions, repeated until it returns
+//! a time. The other methods are notifications. The mechanism and its differences from the paper are
+//! described in `docs/design.md`.
 
 mod admission;
 mod concurrency_window;
@@ -38,27 +39,27 @@
 use slow_start::ShardThroughput;
 use unloaded_latency::UnloadedLatency;
 
-/// The longest waits until the next action: with no poll ahead, with attempts in flight, and with requests
-/// waiting.
+/// Longest waits until the next action: without a scheduled poll, with attempts in flight, and with
+/// requests waiting.
 const MAX_IDLE_WAIT: Ms = 1000.0;
 const MAX_WAIT_IN_FLIGHT: Ms = 20.0;
 const MAX_WAIT_PENDING: Ms = 5.0;
-/// By how much sooner than its time a timer may fire, so that rounding makes nothing late.
+/// Time by which a timer may fire early, so that rounding delays no action.
 const TIMER_TOLERANCE: Ms = 1e-6;
 
-/// All decisions of one host on its requests.
+/// Scheduler of one host's requests.
 pub struct Scheduler {
     config: SchedulerConfig,
     rng: RandomSource,
     started_at: Ms,
-    /// Numbers arrivals and entries into queues.
+    /// Last number given to an arrival or a queue entry.
     sequence: u64,
     batches: u64,
     requests: PendingRequests,
     blocked: BlockedRequests,
     expiry: ExpiryQueue,
     nodes: Nodes,
-    /// Attempts in flight at all nodes.
+    /// Number of attempts in flight at all nodes.
     in_flight: usize,
     key_locks: KeyLocks,
     rate_limits: RateLimits,
@@ -71,16 +72,16 @@
     polling: EndpointPolling,
     endpoint_list_expired: bool,
     gossip: Gossip,
-    /// The shortest of all classes.
+    /// Shortest latency objective of all classes.
     latency_objective: Ms,
-    /// The floor of the window at a congested node.
+    /// Floor of the window at a congested node.
     congested_floor: f64,
-    /// The least weight that any flow can have.
+    /// Least weight of any flow.
     least_weight: f64,
 }
 
 impl Scheduler {
-    /// The scheduler of a host that starts now.
+    /// Creates the scheduler of a host that starts now.
     pub fn new(config: SchedulerConfig, now: Ms) -> Scheduler {
         let objectives = config.classes.iter().map(|class| class.latency_objective);
         let latency_objective = objectives.fold(f64::INFINITY, f64::min);
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Where to send this request: asked when it arrives, and each time [`Scheduler::next_action`] names it.
+    /// Decides where to send a request. Called when the request arrives, and each time
+    /// [`Scheduler::next_action`] names it.
     pub fn route(&mut self, now: Ms, id: usize, request: &Request) -> RouteDecision {
         if let Some(first) = request.coalesce_with {
             return self.dispatch_coalesced(now, id, first);
@@ -135,20 +137,20 @@
         }
     }
 
-    /// What to do after this outcome of an attempt.
+    /// Records the outcome of an attempt and decides what to do next with its request.
     pub fn on_outcome(&mut self, now: Ms, id: usize, answer: &Answer) -> AfterOutcome {
         let Some(pending) = self.requests.get_mut(id) else { return AfterOutcome::Done };
         let (RequestState::InFlight(node) | RequestState::Finished(node)) = pending.state else {
             return AfterOutcome::Done;
         };
-        let is_over = answer.request_finished || matches!(pending.state, RequestState::Finished(_));
+        let is_finished = answer.request_finished || matches!(pending.state, RequestState::Finished(_));
         let never_ran = answer.outcome.never_ran();
         let attempts = pending.attempts;
         pending.uncertain_attempt.take_if(|uncertain| never_ran && uncertain.number == attempts);
         self.reserves.drain(pending.request.volume, answer.remote_units);
         self.record_outcome(now, id, node, answer);
-        self.keep_key_quiet(now, id, answer.outcome);
-        if is_over {
+        self.start_quiet_period(now, id, answer.outcome);
+        if is_finished {
             self.forget(now, id);
             return AfterOutcome::Done;
         }
@@ -160,7 +162,7 @@
         self.retry_or_finish(now, id, node)
     }
 
-    /// What is due, or until when nothing is.
+    /// Returns the next due action, or the time until which none is due.
     pub fn next_action(&mut self, now: Ms) -> Action {
         if let Some(cancellation) = self.next_cancellation(now) {
             return cancellation;
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Enqueues all requests that may be queued by now; the next one that may leave.
+    /// Enqueues all requests that may be queued now, and returns the next request to send.
     fn next_dispatchable(&mut self, now: Ms) -> Option<usize> {
         self.enqueue_allowed(now);
         while self.place_request_without_shard(now) {}
@@ -205,25 +207,25 @@
         until
     }
 
-    /// What another host reports of nodes.
+    /// Applies the reports of another host on nodes.
     pub fn on_gossip(&mut self, now: Ms, from: usize, reports: &[GossipReport]) {
         self.receive_gossip(now, from, reports);
     }
 
-    /// Whether the endpoint list may not be relied on any more. While it may not, a node that takes a
-    /// request may be one that drains or has gone, so nothing new is sent anywhere: requests wait for a
-    /// list, and end when their time does. Guards against attempts that others know to be wrong; it costs
-    /// all service of a host that cannot reach a discovery service which is up.
+    /// Sets whether the endpoint list has expired. While the list is expired, a listed node may be
+    /// draining or removed, so no new attempt is sent: requests wait for a new list until they expire.
+    /// Guards against attempts to nodes that other components already treat as draining or removed; the
+    /// cost is that a host that cannot reach a running discovery service serves nothing.
     pub fn set_endpoint_list_expired(&mut self, expired: bool) {
         self.endpoint_list_expired = expired;
     }
 
-    /// The endpoint list, or what changed in it.
+    /// Applies the endpoint list, or the changes in it.
     pub fn on_endpoint_update(&mut self, now: Ms, update: EndpointUpdate, endpoints: &[Endpoint]) {
         self.apply_endpoint_update(now, update, endpoints);
     }
 
-    /// The client has disconnected: it gets no answer any more.
+    /// Records that the client has disconnected, so that its request needs no answer.
     pub fn on_client_disconnect(&mut self, now: Ms, id: usize) {
         let Some(pending) = self.requests.get_mut(id) else { return };
         match pending.state {
@@ -239,10 +241,10 @@
         }
     }
 
-    /// The data of a request lies on another shard now: a request that is not in flight follows it before
-    /// it is sent, its tag given back; an attempt in flight ends where it is. Guards against attempts spent
-    /// on nodes that do not hold the data, whoever moved it; it may hurt where notices of moves are wrong:
-    /// an attempt each.
+    /// Records that the data of a request has moved to another shard. A request that is not in flight
+    /// moves to the new shard before it is sent, and its tag is released; an attempt in flight completes
+    /// where it is. Guards against attempts at nodes that no longer hold the data, whichever component
+    /// moved it; a wrong notification costs one attempt.
     pub fn on_shard_moved(&mut self, now: Ms, id: usize, shard: usize) {
         let Some(pending) = self.requests.get(id) else { return };
         let is_in_flight = pending.is_in_flight();
@@ -256,7 +258,7 @@
         self.set_waiting(id, !is_in_flight);
     }
 
-    /// The final answer of a request that has no attempt in flight.
+    /// Returns the final answer of a request that has no attempt in flight, and removes the request.
     pub fn finish(&mut self, now: Ms, id: usize) -> FinalStatus {
         self.reject_or_fail(now, id)
     }
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -1,4 +1,4 @@
-//! What the scheduler knows of one storage node, and all of them by shard and by what they can take.
+//! State of one storage node, and all nodes by shard and by free capacity.
 
 use super::concurrency_window::ConcurrencyWindow;
 use super::endpoint_health::{EndpointHealth, DOUBTFUL_AFTER};
@@ -9,36 +9,37 @@
 use crate::types::{Endpoint, EndpointState, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The conditions under which no queued request could leave. More requests expire as time passes, so the result holds
-/// until a request is added.
+/// Conditions under which no queued request could be sent. More requests expire as time passes, so the
+/// result remains valid until a request is added.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct FruitlessScan {
+pub(super) struct ScanConditions {
     pub now: Ms,
     pub accepts: bool,
     pub allows_retry: bool,
 }
 
-/// A storage node: its queue, what is in flight there, and what is known of its load and health.
+/// Storage node: its queue, its attempts in flight, its load and its health.
 pub(super) struct Node {
     pub endpoint: Endpoint,
     pub queue: FairQueue,
-    /// The last scan of the queue, if it found no request that may leave and none was added since.
-    pub fruitless_scan: Option<FruitlessScan>,
+    /// Conditions of the last scan of the queue, if the scan found no request to send and none was added
+    /// since.
+    pub unsuccessful_scan: Option<ScanConditions>,
     pub in_flight: InFlightAttempts,
     pub window: ConcurrencyWindow,
     pub health: EndpointHealth,
     pub slow_start: SlowStartAllowance,
-    /// Units of this host's requests that succeeded lately.
+    /// Units of this host's requests that succeeded recently.
     pub served_units: RollingWindow,
 }
 
 impl Node {
-    /// A node that the endpoint list names for the first time.
+    /// Creates a node that the endpoint list names for the first time.
     pub(super) fn new(latency_objective: Ms, has_gossip: bool) -> Node {
         Node {
             endpoint: Endpoint::default(),
             queue: FairQueue::default(),
-            fruitless_scan: None,
+            unsuccessful_scan: None,
             in_flight: InFlightAttempts::new(DOUBTFUL_AFTER),
             window: ConcurrencyWindow::new(latency_objective, has_gossip),
             health: EndpointHealth::new(),
@@ -47,58 +48,59 @@
         }
     }
 
-    /// Whether the endpoint list has it as ready.
+    /// Returns whether the endpoint list names the node as ready.
     pub(super) fn is_ready(&self) -> bool {
         self.endpoint.state == EndpointState::Ready
     }
 
-    /// Starts fair queueing again from zero where nothing is queued or in flight.
+    /// Resets fair queueing if no request is queued or in flight.
     pub(super) fn reset_queue_if_idle(&mut self) {
         if self.queue.is_empty() && self.in_flight.is_empty() {
             self.queue.reset();
         }
     }
 
-    /// Whether the window has a free slot, for a request that is spared spacing or for another.
-    pub(super) fn has_capacity(&self, spared: bool) -> bool {
-        self.is_ready() && self.window.has_capacity(&self.in_flight, spared)
+    /// Returns whether the window has a free slot for a request, which may be exempt from spacing.
+    pub(super) fn has_capacity(&self, exempt: bool) -> bool {
+        self.is_ready() && self.window.has_capacity(&self.in_flight, exempt)
     }
 
-    /// Whether all slots of the window but one are taken.
+    /// Returns whether at most one slot of the window is free.
     pub(super) fn is_nearly_full(&self) -> bool {
         self.window.is_nearly_full(&self.in_flight)
     }
 
-    /// The queueing delay to expect of an attempt that is sent now.
+    /// Returns the expected queueing delay of an attempt that is sent now.
     pub(super) fn expected_queueing_delay(&self) -> Ms {
         self.window.expected_queueing_delay(&self.in_flight)
     }
 }
 
-/// All known nodes, by the index that the caller gave them.
+/// All nodes, by the index that the caller assigned.
 #[derive(Default)]
 pub(super) struct Nodes {
     slots: Vec<Option<Node>>,
     by_shard: BTreeMap<usize, Vec<usize>>,
     with_capacity: BTreeSet<usize>,
-    /// Those with capacity that have requests queued.
+    /// Nodes with a free slot that have requests queued.
     dispatchable: BTreeSet<usize>,
-    /// When the first attempt at each may be overdue.
+    /// Time at which the first attempt at each node may be overdue.
     overdue_checks: TimerQueue<usize>,
 }
 
 impl Nodes {
-    /// The node of an index.
+    /// Returns the node of an index.
     pub(super) fn get(&self, node: usize) -> Option<&Node> {
         self.slots.get(node)?.as_ref()
     }
 
-    /// The node of an index, to change it; [`Nodes::refresh`] follows where queue, slots or attempts changed.
+    /// Returns the node of an index for modification; the caller must call [`Nodes::refresh`] if queue,
+    /// slots or attempts change.
     pub(super) fn get_mut(&mut self, node: usize) -> Option<&mut Node> {
         self.slots.get_mut(node)?.as_mut()
     }
 
-    /// The node of an index, which is made where there is none.
+    /// Returns the node of an index, and creates it where there is none.
     pub(super) fn get_or_insert_with(&mut self, node: usize, new: impl FnOnce() -> Node) -> &mut Node {
         if self.slots.len() <= node {
             self.slots.resize_with(node + 1, || None);
@@ -106,40 +108,40 @@
         self.slots[node].get_or_insert_with(new)
     }
 
-    /// All nodes, by index.
+    /// Returns all nodes, by index.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Node> {
         self.slots.iter().flatten()
     }
 
-    /// All nodes, by index, to change them.
+    /// Returns all nodes, by index, for modification.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Node> {
         self.slots.iter_mut().flatten()
     }
 
-    /// The nodes of a shard.
+    /// Returns the nodes of a shard.
     pub(super) fn of_shard(&self, shard: usize) -> impl Iterator<Item = &Node> {
         let nodes = self.by_shard.get(&shard).into_iter().flatten();
         nodes.filter_map(|node| self.get(*node))
     }
 
-    /// The nodes that have a free slot.
+    /// Returns the nodes that have a free slot.
     pub(super) fn with_capacity(&self) -> impl Iterator<Item = &Node> {
         self.with_capacity.iter().filter_map(|node| self.get(*node))
     }
 
-    /// The nodes that have a free slot and requests queued.
+    /// Returns the nodes that have a free slot and requests queued.
     pub(super) fn dispatchable(&self) -> Vec<usize> {
         self.dispatchable.iter().copied().collect()
     }
 
-    /// The nodes where an attempt may be overdue, by index.
+    /// Returns the nodes where an attempt may be overdue, by index.
     pub(super) fn due_overdue_checks(&self, now: Ms) -> Vec<usize> {
         let mut due: Vec<usize> = self.overdue_checks.due(now).collect();
         due.sort_unstable();
         due
     }
 
-    /// Brings what is known of a node's capacity and of its overdue attempts up to date.
+    /// Updates a node's entries by capacity and the time of its next check for overdue attempts.
     pub(super) fn refresh(&mut self, index: usize) {
         let node = self.slots[index].as_ref();
         let has_capacity = node.is_some_and(|node| node.has_capacity(true));
@@ -153,16 +155,16 @@
         self.overdue_checks.set(index, overdue_at);
     }
 
-    /// Drops removed nodes where nothing is in flight, and lists the others by shard anew.
+    /// Drops removed nodes that have no attempt in flight, and rebuilds the lists of nodes by shard.
     pub(super) fn rebuild(&mut self) {
-        let is_over =
+        let is_unused =
             |node: &mut Node| node.endpoint.state == EndpointState::Removed && node.in_flight.is_empty();
         for slot in &mut self.slots {
-            slot.take_if(is_over);
+            slot.take_if(is_unused);
         }
         self.by_shard.clear();
         for node in self.slots.iter_mut().flatten() {
-            node.fruitless_scan = None;
+            node.unsuccessful_scan = None;
             self.by_shard.entry(node.endpoint.shard).or_default().push(node.endpoint.node);
         }
         for index in 0..self.slots.len() {
--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -1,22 +1,23 @@
-//! Requests of one key of an ordered class run one after the other, in the order of arrival.
+//! Ordering: requests with the same key of an ordered class run one after the other, in the order of
+//! arrival.
 
 use super::Scheduler;
 use crate::types::{Ms, Outcome, Request};
 
-/// Whether the attempt may still run after this outcome.
+/// Returns whether the attempt may still run after this outcome.
 fn may_still_run(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
 }
 
 impl Scheduler {
-    /// The key by which a request is ordered.
+    /// Returns the key by which a request is ordered.
     pub(super) fn ordering_key(&self, request: &Request) -> Option<usize> {
         request.key.filter(|_| self.config.classes[request.class].ordered)
     }
 
-    /// Keeps the key of a request quiet after an attempt that may still run. A round is added, as the
-    /// attempt may have been sent that much later than the scheduler said.
-    pub(super) fn keep_key_quiet(&mut self, now: Ms, id: usize, outcome: Outcome) {
+    /// Starts the quiet period of a request's key after an attempt that may still run. An action interval
+    /// is added, as the attempt may have been sent that much later than the scheduler decided.
+    pub(super) fn start_quiet_period(&mut self, now: Ms, id: usize, outcome: Outcome) {
         let request = self.requests.get(id).map(|pending| &pending.request);
         let key = request.and_then(|request| self.ordering_key(request));
         if let Some(key) = key.filter(|_| may_still_run(outcome)) {
@@ -25,7 +26,7 @@
         }
     }
 
-    /// A request is over: the next one of its key may go on.
+    /// Releases the key of a finished request, so that the next request of the key may proceed.
     pub(super) fn release_key(&mut self, now: Ms, id: usize, request: &Request) {
         let Some(key) = self.ordering_key(request) else { return };
         if let Some(next) = self.key_locks.remove(now, key, id) {
--- a/src/scheduler/queueing.rs
+++ b/src/scheduler/queueing.rs
@@ -1,4 +1,5 @@
-//! When a blocked request enters the queue of its node, and what it gives back when it leaves it unsent.
+//! Entry of blocked requests into the queues of nodes, and the resources that unsent requests return when
+//! they leave a queue.
 
 use super::fair_queueing::{flow_weight, FrameBounds, QueueEntry};
 use super::pending_request::RequestState;
@@ -6,26 +7,26 @@
 use crate::types::Ms;
 
 impl Scheduler {
-    /// Has a blocked request checked again.
+    /// Schedules another check of a blocked request.
     pub(super) fn wake(&mut self, id: usize) {
         let Some(pending) = self.requests.blocked(id) else { return };
         self.blocked.wake(pending.token_waiter(id), pending.request.shard.is_some());
     }
 
-    /// Has all blocked requests of a shard checked again.
+    /// Schedules another check of all blocked requests of a shard.
     pub(super) fn wake_shard(&mut self, shard: usize) {
         for id in self.expiry.waiting_for(shard) {
             self.wake(id);
         }
     }
 
-    /// Takes a request off the list of blocked ones.
+    /// Removes a request from the list of blocked requests.
     pub(super) fn unblock(&mut self, id: usize) {
         let Some(pending) = self.requests.get(id) else { return };
         self.blocked.remove(pending.token_waiter(id));
     }
 
-    /// Enqueues all blocked requests that may be queued by now.
+    /// Enqueues all blocked requests that may be queued now.
     pub(super) fn enqueue_allowed(&mut self, now: Ms) {
         self.blocked.wake_due(now + TIMER_TOLERANCE);
         self.wake_token_waiters(now);
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Puts a blocked request into the queue of its node, or to sleep until its key and its rate limit may
-    /// allow that.
+    /// Puts a blocked request into the queue of its node, or suspends it until its key and its rate limit
+    /// may permit this.
     pub(super) fn enqueue_if_allowed(&mut self, now: Ms, id: usize) {
         let Some(pending) = self.requests.blocked(id) else { return };
         let Some(shard) = pending.request.shard else { return };
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Until when time alone keeps a request out of a node's queue; none where its key or idempotency do.
+    /// Returns the time until which a request must stay out of a node's queue, or none where its key or
+    /// idempotency excludes it regardless of time.
     pub(super) fn blocked_until(&self, now: Ms, id: usize, node: usize) -> Option<Ms> {
         let pending = self.requests.get(id)?;
         let lock = self.ordering_key(&pending.request).and_then(|key| self.key_locks.holder(key));
@@ -87,10 +89,10 @@
         let Some(node) = self.nodes.get_mut(index) else { return };
         node.reset_queue_if_idle();
         if node.queue.is_empty() && node.window.has_competitors() {
-            node.window.await_turn(now, self.rng.fraction());
+            node.window.restart_spacing(now, self.rng.fraction());
         }
         let tag = node.queue.enqueue(now, &entry, &bounds);
-        node.fruitless_scan = None;
+        node.unsuccessful_scan = None;
         self.unblock(id);
         if let Some(pending) = self.requests.get_mut(id) {
             self.sequence += 1;
@@ -103,7 +105,7 @@
         self.nodes.refresh(index);
     }
 
-    /// Takes an unsent request out of its queue, and gives back what it reserved.
+    /// Removes an unsent request from its queue and returns the tokens and the reserve that it had taken.
     pub(super) fn dequeue(&mut self, id: usize) {
         let Some(pending) = self.requests.get_mut(id) else { return };
         let RequestState::Queued(index) = pending.state else { return };
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -5,9 +5,9 @@
 use crate::types::{Ms, QosPolicy, Request};
 use std::collections::BTreeMap;
 
-/// The token buckets of limited volumes. A bucket starts empty: a host that has just started may have spent
-/// it before. Queued requests keep their tokens reserved in it, as the true bucket does not refill while it
-/// is full.
+/// Token buckets of rate-limited volumes. A bucket starts empty, as a host that has just restarted may
+/// have spent its tokens before. Queued requests keep their tokens reserved in the bucket, as the actual
+/// bucket does not refill while it is full.
 #[derive(Default)]
 pub(super) struct RateLimits {
     buckets: BTreeMap<usize, TokenBucket>,
@@ -15,12 +15,12 @@
 }
 
 impl RateLimits {
-    /// No volume has spent anything since the host started.
+    /// Creates the state of a host whose volumes have spent no token since it started.
     pub(super) fn new(started_at: Ms) -> RateLimits {
         RateLimits { buckets: BTreeMap::new(), started_at }
     }
 
-    /// The bucket of a request's volume, refilled.
+    /// Refills the bucket of a request's volume and returns it.
     fn refilled(&mut self, now: Ms, request: &Request, policy: &QosPolicy) -> &mut TokenBucket {
         let started_at = self.started_at;
         let bucket = self.buckets.entry(request.volume).or_insert_with(|| TokenBucket::new(started_at, 0.0));
@@ -28,12 +28,12 @@
         bucket
     }
 
-    /// Tokens that a request may reserve now.
+    /// Returns the tokens that a request may reserve now.
     fn available(&mut self, now: Ms, request: &Request, policy: &QosPolicy) -> f64 {
         self.refilled(now, request, policy).available()
     }
 
-    /// Reserves the tokens of a request, or says when the bucket holds them.
+    /// Reserves the tokens of a request, or returns the time at which the bucket holds them as the error.
     fn reserve(&mut self, now: Ms, request: &Request, policy: &QosPolicy) -> Result<(), Ms> {
         let bucket = self.refilled(now, request, policy);
         if bucket.available() >= request.units {
@@ -41,10 +41,11 @@
             return Ok(());
         }
         let missing = request.units - bucket.available();
-        Err(now + covered_after(missing, request, policy))
+        Err(now + time_to_cover(missing, request, policy))
     }
 
-    /// Gives the tokens of a request back that leaves its queue unsent. Whether its volume is limited.
+    /// Releases the tokens of a request that leaves its queue unsent. Returns whether its volume has a
+    /// rate limit.
     pub(super) fn release(&mut self, request: &Request) -> bool {
         let Some(bucket) = self.buckets.get_mut(&request.volume) else { return false };
         bucket.release(request.units);
@@ -59,14 +60,15 @@
     }
 }
 
-/// How long it takes until a bucket holds the tokens that are missing for a request.
-fn covered_after(missing: f64, request: &Request, policy: &QosPolicy) -> Ms {
+/// Returns the time until a bucket has gained the tokens that a request lacks.
+fn time_to_cover(missing: f64, request: &Request, policy: &QosPolicy) -> Ms {
     let rate = policy.limit_rate / request.hosts;
     (missing / rate * 1000.0).max(TIMER_TOLERANCE)
 }
 
 impl Scheduler {
-    /// Reserves the tokens of a request. From when on the rate limit allows it: now if they are reserved.
+    /// Reserves the tokens of a request. Returns the time at which the rate limit permits the request:
+    /// now if the tokens are reserved.
     pub(super) fn reserve_tokens(&mut self, now: Ms, id: usize) -> Option<Ms> {
         let pending = self.requests.get_mut(id)?;
         let request = &pending.request;
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Has the requests checked again that free tokens of their volumes cover. The volumes whose tokens cover no more
-    /// are checked once they cover the smallest.
+    /// Schedules another check of the requests that the free tokens of their volumes cover. A volume
+    /// whose tokens cover no more requests is checked once they cover the smallest.
     pub(super) fn wake_token_waiters(&mut self, now: Ms) {
         for volume in self.blocked.due_token_checks(now + TIMER_TOLERANCE) {
             let Some(smallest) = self.blocked.smallest_token_waiter(volume) else { continue };
@@ -93,7 +95,7 @@
             let policy = &self.config.policies[request.policy];
             let available = self.rate_limits.available(now, request, policy);
             if !self.blocked.wake_covered(volume, available) {
-                let check_at = now + covered_after(smallest.units - available, request, policy);
+                let check_at = now + time_to_cover(smallest.units - available, request, policy);
                 self.blocked.check_tokens_at(volume, check_at);
             }
         }
--- a/src/scheduler/retry_policy.rs
+++ b/src/scheduler/retry_policy.rs
@@ -1,17 +1,17 @@
-//! Which requests may run again: idempotency, deduplication, and the retry budget.
+//! Rules for repeating requests: idempotency, deduplication, and the retry budget.
 
 use super::pending_request::PendingRequest;
 use super::Scheduler;
 use crate::structures::RollingWindow;
 use crate::types::{AfterOutcome, DeduplicationScope, Idempotency, Ms, RequestClass, RetryBudget};
 
-/// Buckets of the budget's window.
+/// Number of buckets of the budget's window.
 const BUCKETS: usize = 20;
-/// The window of requests where there is no budget.
+/// Window for counting requests where there is no budget.
 const DEFAULT_WINDOW: Ms = 1000.0;
 
-/// The requests and retries that the retry budget counts. Retries count over a bucket more than the window,
-/// requests over a bucket less, so that the budget is never exceeded.
+/// Requests and retries that the retry budget counts. Retries count over the window and one bucket more,
+/// requests over one bucket less, so that the budget is never exceeded.
 #[derive(Default)]
 pub(super) struct RetryCounts {
     requests: RollingWindow,
@@ -19,19 +19,19 @@
 }
 
 impl RetryCounts {
-    /// Counts over the budget's window.
+    /// Creates counters over the budget's window.
     pub(super) fn new(budget: Option<&RetryBudget>) -> RetryCounts {
         let bucket_length = budget.map_or(DEFAULT_WINDOW, |budget| budget.window) / BUCKETS as f64;
         let window = || RollingWindow::new(bucket_length, BUCKETS);
         RetryCounts { requests: window(), retries: window() }
     }
 
-    /// Counts a request that was accepted.
+    /// Counts an accepted request.
     pub(super) fn add_request(&mut self, now: Ms, weight: f64) {
         self.requests.add(now, weight);
     }
 
-    /// Counts a retry that was sent.
+    /// Counts a retry that is sent.
     pub(super) fn add_retry(&mut self, now: Ms) {
         self.retries.add(now, 1.0);
     }
@@ -41,8 +41,8 @@
     }
 }
 
-/// Whether a repeat is harmless wherever it runs.
-pub(super) fn is_repeatable_anywhere(class: &RequestClass) -> bool {
+/// Returns whether a request may be repeated at any node without a second effect.
+pub(super) fn is_safe_to_repeat(class: &RequestClass) -> bool {
     match (class.idempotency, class.deduplication_scope) {
         (Idempotency::Idempotent, _) => true,
         (Idempotency::IdempotentWithKey, DeduplicationScope::All) => true,
@@ -51,25 +51,26 @@
 }
 
 impl Scheduler {
-    /// Whether the retry budget has room for one more.
+    /// Returns whether the retry budget permits another retry.
     pub(super) fn retry_budget_allows(&mut self, now: Ms) -> bool {
         let Some(budget) = &self.config.budget else { return true };
         self.retries.allow_retry(now, budget)
     }
 
-    /// Whether a request may run at a node, in view of an earlier attempt that may have run.
+    /// Returns whether idempotency permits a request to run at a node, given an earlier attempt that may
+    /// have run.
     pub(super) fn idempotency_allows(&self, now: Ms, pending: &PendingRequest, node: usize) -> bool {
         let Some(earlier) = pending.uncertain_attempt else { return true };
         let class = &self.config.classes[pending.request.class];
         let (Some(to), Some(from)) = (self.nodes.get(node), self.nodes.get(earlier.node)) else {
             return false;
         };
-        let is_forgotten =
+        let is_window_over =
             || now + self.config.action_interval >= earlier.sent_at + class.deduplication_window;
         match (class.idempotency, class.deduplication_scope) {
             (Idempotency::Idempotent, _) => true,
             (Idempotency::NonIdempotent, _) => false,
-            (Idempotency::IdempotentWithKey, _) if is_forgotten() => false,
+            (Idempotency::IdempotentWithKey, _) if is_window_over() => false,
             (Idempotency::IdempotentWithKey, DeduplicationScope::All) => true,
             (Idempotency::IdempotentWithKey, DeduplicationScope::Zone) => {
                 to.endpoint.zone == from.endpoint.zone
@@ -80,7 +81,8 @@
         }
     }
 
-    /// By when an attempt must have left, as nodes may have forgotten an earlier one after that.
+    /// Returns the latest send time of an attempt; after it, nodes may no longer recognize an earlier
+    /// attempt.
     pub(super) fn latest_send_time(&self, pending: &PendingRequest) -> Ms {
         let class = &self.config.classes[pending.request.class];
         let deduplicated =
@@ -90,8 +92,8 @@
         })
     }
 
-    /// What follows a failed attempt at `node`: a retry where idempotency, attempts, the latency objective
-    /// and the budget allow it.
+    /// Decides between a retry and a final answer after a failed attempt at `node`: a retry requires that
+    /// idempotency, the number of attempts, the latency objective and the budget permit it.
     pub(super) fn retry_or_finish(&mut self, now: Ms, id: usize, node: usize) -> AfterOutcome {
         let may_retry = self.requests.get(id).is_some_and(|pending| {
             let earlier = pending.uncertain_attempt.map_or(node, |earlier| earlier.node);
--- a/src/structures/blocked_requests.rs
+++ b/src/structures/blocked_requests.rs
@@ -1,11 +1,11 @@
-//! Requests that may not enter a node's queue for now.
+//! Requests that may not enter a node's queue now.
 
 use super::{TimerQueue, TokenWaiter, TokenWaiters};
 use crate::types::Ms;
 use std::collections::BTreeMap;
 
-/// Blocked requests by arrival: those of a shard that are to be checked again, those that name no shard,
-/// sleeping ones, which wait for a time or to be woken, and those that wait for tokens.
+/// Blocked requests by arrival: requests of a shard that need another check, requests without a shard,
+/// sleeping requests, which wait for a time or for a wake-up, and requests that wait for tokens.
 #[derive(Default)]
 pub(crate) struct BlockedRequests {
     to_check: BTreeMap<u64, usize>,
@@ -15,7 +15,7 @@
 }
 
 impl BlockedRequests {
-    /// Has a request checked again.
+    /// Schedules another check of a request.
     pub(crate) fn wake(&mut self, waiter: TokenWaiter, has_shard: bool) {
         let TokenWaiter { volume, arrival, id, units } = waiter;
         self.sleeping.set((arrival, id), None);
@@ -24,13 +24,13 @@
         list.insert(arrival, id);
     }
 
-    /// Leaves a request alone until a time, or with `None` until it is woken.
+    /// Suspends a request until a time, or with `None` until a wake-up.
     pub(crate) fn sleep(&mut self, arrival: u64, id: usize, until: Option<Ms>) {
         self.to_check.remove(&arrival);
         self.sleeping.set((arrival, id), until);
     }
 
-    /// Wakes the requests whose time has come by `now`.
+    /// Wakes the requests whose time is `now` or earlier.
     pub(crate) fn wake_due(&mut self, now: Ms) {
         let due: Vec<(u64, usize)> = self.sleeping.due(now).collect();
         for (arrival, id) in due {
@@ -39,55 +39,57 @@
         }
     }
 
-    /// The earliest request that is to be checked, which is taken off the list.
+    /// Removes and returns the earliest request that needs a check.
     pub(crate) fn next_to_check(&mut self) -> Option<usize> {
         self.to_check.pop_first().map(|(_, id)| id)
     }
 
-    /// Whether any request is to be checked.
+    /// Returns whether any request needs a check.
     pub(crate) fn has_any_to_check(&self) -> bool {
         !self.to_check.is_empty()
     }
 
-    /// Requests that name no shard, in the order of arrival.
+    /// Returns the requests without a shard, in the order of arrival.
     pub(crate) fn without_shard(&self) -> impl Iterator<Item = usize> + '_ {
         self.without_shard.values().copied()
     }
 
-    /// Whether any request names no shard.
+    /// Returns whether any request has no shard.
     pub(crate) fn has_any_without_shard(&self) -> bool {
         !self.without_shard.is_empty()
     }
 
-    /// Leaves a request alone until its volume's bucket may cover it, at `covered_at` or once tokens are given back.
+    /// Suspends a request until its volume's bucket may cover it, at `covered_at` or when tokens are
+    /// returned.
     pub(crate) fn await_tokens(&mut self, waiter: TokenWaiter, covered_at: Ms) {
         self.sleep(waiter.arrival, waiter.id, None);
         self.token_waiters.add(waiter, covered_at);
     }
 
-    /// Has the requests checked that wait for tokens of a volume, at a time.
+    /// Schedules a check of the requests that wait for tokens of a volume.
     pub(crate) fn check_tokens_at(&mut self, volume: usize, at: Ms) {
         self.token_waiters.check_at(volume, at);
     }
 
-    /// The volumes whose waiting requests are to be checked by `now`.
+    /// Returns the volumes whose waiting requests are due for a check by `now`.
     pub(crate) fn due_token_checks(&self, now: Ms) -> Vec<usize> {
         self.token_waiters.due_checks(now)
     }
 
-    /// The request that waits for the fewest tokens of a volume.
+    /// Returns the request that waits for the fewest tokens of a volume.
     pub(crate) fn smallest_token_waiter(&self, volume: usize) -> Option<TokenWaiter> {
         self.token_waiters.smallest(volume)
     }
 
-    /// Has the waiting requests of a volume checked again that `available` tokens cover; whether there are any.
+    /// Schedules another check of the waiting requests of a volume that `available` tokens cover. Returns
+    /// whether there are any.
     pub(crate) fn wake_covered(&mut self, volume: usize, available: f64) -> bool {
         let covered = self.token_waiters.take_covered(volume, available);
         self.to_check.extend(covered.iter().map(|waiter| (waiter.arrival, waiter.id)));
         !covered.is_empty()
     }
 
-    /// Removes a request altogether.
+    /// Removes a request from all lists.
     pub(crate) fn remove(&mut self, waiter: TokenWaiter) {
         let TokenWaiter { volume, arrival, id, units } = waiter;
         self.sleep(arrival, id, None);
--- a/src/structures/expiry_queue.rs
+++ b/src/structures/expiry_queue.rs
@@ -1,20 +1,20 @@
-//! Requests that are not in flight, by the time at which they expire.
+//! Requests that are not in flight, by their time of expiry.
 
 use super::{total_order_key, TimerQueue};
 use crate::types::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where an expiring request stands; those that expire together end in this order.
+/// Position of an expiring request; requests that expire together end in this order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum QueuePosition {
-    /// In no queue, with its arrival number.
+    /// In no queue; contains the arrival number.
     Blocked(u64),
-    /// In a node's queue, with the number of its entry.
+    /// In the queue of a node; contains the node and the number of the queue entry.
     Queued(usize, u64),
 }
 
-/// Waiting requests by shard and time of expiry, one timer a shard for the first of them, and the requests
-/// that were found to be expiring.
+/// Waiting requests by shard and time of expiry, one timer per shard for the first request, and the
+/// requests that were marked as expiring.
 #[derive(Default)]
 pub(crate) struct ExpiryQueue {
     waiting: BTreeMap<Option<usize>, BTreeSet<(i64, usize)>>,
@@ -24,7 +24,7 @@
 }
 
 impl ExpiryQueue {
-    /// Adds a waiting request, or removes it. It is not expiring from then on.
+    /// Adds a waiting request, or removes it. In both cases the request is no longer expiring.
     pub(crate) fn set_waiting(&mut self, shard: Option<usize>, expires_at: Ms, id: usize, waiting: bool) {
         if let Some(position) = self.position_of.remove(&id) {
             self.expiring.remove(&(position, id));
@@ -37,37 +37,37 @@
         }
     }
 
-    /// The waiting request of a shard that expires first.
+    /// Returns the waiting request of a shard that expires first.
     pub(crate) fn first_waiting(&self, shard: Option<usize>) -> Option<usize> {
         Some(self.waiting.get(&shard)?.first()?.1)
     }
 
-    /// All waiting requests of a shard, the first to expire first.
+    /// Returns all waiting requests of a shard, the first to expire first.
     pub(crate) fn waiting_for(&self, shard: usize) -> Vec<usize> {
         self.waiting.get(&Some(shard)).into_iter().flatten().map(|(_, id)| *id).collect()
     }
 
-    /// The shards that requests wait for.
+    /// Returns the shards that requests wait for.
     pub(crate) fn shards(&self) -> Vec<Option<usize>> {
         self.waiting.keys().copied().collect()
     }
 
-    /// Sets when the first request of a shard is to be checked.
+    /// Sets the time at which the first request of a shard is checked.
     pub(crate) fn set_check(&mut self, shard: Option<usize>, at: Option<Ms>) {
         self.checks.set(shard, at);
     }
 
-    /// The shards whose first request is to be checked by `now`.
+    /// Returns the shards whose first request is due for a check by `now`.
     pub(crate) fn due_checks(&self, now: Ms) -> Vec<Option<usize>> {
         self.checks.due(now).collect()
     }
 
-    /// Whether any shard has a check ahead.
+    /// Returns whether any shard has a scheduled check.
     pub(crate) fn has_checks(&self) -> bool {
         !self.checks.is_empty()
     }
 
-    /// Records that a request, which waits no longer, is expiring, or that it has moved to another position.
+    /// Marks a request that is no longer waiting as expiring, or updates its position.
     pub(crate) fn mark_expiring(&mut self, id: usize, position: QueuePosition) {
         if let Some(former) = self.position_of.insert(id, position) {
             self.expiring.remove(&(former, id));
@@ -75,12 +75,12 @@
         self.expiring.insert((position, id));
     }
 
-    /// Whether a request was marked as expiring.
+    /// Returns whether a request is marked as expiring.
     pub(crate) fn is_expiring(&self, id: usize) -> bool {
         self.position_of.contains_key(&id)
     }
 
-    /// The expiring request with the first position.
+    /// Returns the expiring request with the first position.
     pub(crate) fn first_expiring(&self) -> Option<usize> {
         self.expiring.first().map(|(_, id)| *id)
     }
--- a/src/structures/mod.rs
+++ b/src/structures/mod.rs
@@ -1,4 +1,4 @@
-//! Data structures of the scheduler. None of them decides anything; each owns its state.
+//! Data structures of the scheduler. They contain state and no decisions.
 
 mod blocked_requests;
 mod expiry_queue;
--- a/src/structures/rolling_window.rs
+++ b/src/structures/rolling_window.rs
@@ -2,7 +2,7 @@
 
 use crate::types::Ms;
 
-/// The least number of values whose mean counts.
+/// Least number of values in a bucket for its mean to count.
 const MIN_VALUES_OF_MEAN: f64 = 3.0;
 
 #[derive(Clone, Copy, Default)]
@@ -11,8 +11,8 @@
     count: f64,
 }
 
-/// Sums of values over the latest buckets of time, kept in a ring. The ring has one bucket more than the
-/// window, as the newest one is not full yet.
+/// Sums of values over the latest buckets of time, stored in a ring. The ring has one bucket more than
+/// the window, as the newest bucket is incomplete.
 #[derive(Default)]
 pub(crate) struct RollingWindow {
     bucket_length: Ms,
@@ -21,12 +21,12 @@
 }
 
 impl RollingWindow {
-    /// A window of `buckets` buckets.
+    /// Creates a window of `buckets` buckets.
     pub(crate) fn new(bucket_length: Ms, buckets: usize) -> RollingWindow {
         RollingWindow { bucket_length, newest: i64::MIN / 2, buckets: vec![Bucket::default(); buckets + 1] }
     }
 
-    /// Clears the buckets that have left the window; the index of the newest one.
+    /// Clears the buckets that have left the window, and returns the index of the newest one.
     fn advance(&mut self, now: Ms) -> usize {
         let current = (now / self.bucket_length).floor() as i64;
         let length = self.buckets.len() as i64;
@@ -44,23 +44,23 @@
         self.buckets[newest].count += 1.0;
     }
 
-    /// The sum over all buckets: never less than that of the window.
+    /// Returns the sum over all buckets, which is never less than that of the window.
     pub(crate) fn upper_sum(&mut self, now: Ms) -> f64 {
         self.advance(now);
         self.buckets.iter().map(|bucket| bucket.sum).sum()
     }
 
-    /// The sum without the oldest bucket: never more than that of the window.
+    /// Returns the sum without the oldest bucket, which is never more than that of the window.
     pub(crate) fn lower_sum(&mut self, now: Ms) -> f64 {
         let oldest = (self.advance(now) + 1) % self.buckets.len();
         let within = self.buckets.iter().enumerate().filter(|(index, _)| *index != oldest);
         within.map(|(_, bucket)| bucket.sum).sum()
     }
 
-    /// The lowest mean of any bucket that has enough values.
+    /// Returns the lowest mean of any bucket that has enough values.
     pub(crate) fn lowest_mean(&mut self, now: Ms) -> Option<f64> {
         self.advance(now);
-        let counting = self.buckets.iter().filter(|bucket| bucket.count >= MIN_VALUES_OF_MEAN);
-        counting.map(|bucket| bucket.sum / bucket.count).min_by(f64::total_cmp)
+        let sufficient = self.buckets.iter().filter(|bucket| bucket.count >= MIN_VALUES_OF_MEAN);
+        sufficient.map(|bucket| bucket.sum / bucket.count).min_by(f64::total_cmp)
     }
 }
--- a/src/structures/tests.rs
+++ b/src/structures/tests.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 
 quickcheck! {
-    fn total_order_keys_have_the_order_of_their_numbers(a: f64, b: f64) -> bool {
+    fn total_order_keys_sort_like_their_numbers(a: f64, b: f64) -> bool {
         total_order_key(a).cmp(&total_order_key(b)) == a.total_cmp(&b)
     }
 
-    /// The model is a map from keys to times, sorted when asked.
-    fn a_timer_queue_agrees_with_a_map_sorted_by_time(steps: Vec<(u8, Option<i16>)>, now: i16) -> bool {
+    /// The model is a map from keys to times, sorted for each check.
+    fn timer_queue_matches_a_map_sorted_by_time(steps: Vec<(u8, Option<i16>)>, now: i16) -> bool {
         let (mut timers, mut model) = (TimerQueue::default(), BTreeMap::new());
         for (key, at) in steps {
             timers.set(key, at.map(f64::from));
@@ -25,8 +25,8 @@
         timers.due(f64::from(now)).collect::<Vec<_>>() == due && timers.is_empty() == model.is_empty()
     }
 
-    /// The model is the latest report of each host, added up when asked.
-    fn remote_load_is_the_sum_of_the_latest_report_of_each_host(steps: Vec<(u8, u8, u8, bool)>) -> bool {
+    /// The model is the latest report of each host, summed for each check.
+    fn remote_load_is_the_sum_of_the_latest_reports(steps: Vec<(u8, u8, u8, bool)>) -> bool {
         let (mut gossip, mut model) = (GossipState::default(), BTreeMap::new());
         steps.into_iter().zip(0..).all(|((host, node, in_flight, has_queued), now)| {
             let (host, node, in_flight) = (usize::from(host % 5), usize::from(node % 3), u32::from(in_flight));
@@ -45,8 +45,8 @@
         })
     }
 
-    /// The model is one list of requests in the order of arrival.
-    fn key_locks_go_to_requests_in_the_order_of_arrival(steps: Vec<(u8, u8)>) -> bool {
+    /// The model is a list of requests in the order of arrival.
+    fn key_locks_are_granted_in_the_order_of_arrival(steps: Vec<(u8, u8)>) -> bool {
         let (mut locks, mut model): (KeyLocks, Vec<(usize, usize)>) = (KeyLocks::default(), Vec::new());
         let first = |model: &[(usize, usize)], key| model.iter().find(|(k, _)| *k == key).map(|(_, id)| *id);
         for (now, (action, choice)) in (0..).zip(steps) {
@@ -68,8 +68,9 @@
         true
     }
 
-    /// The model is one list in the order of arrival, from which each request takes what the earlier ones leave.
-    fn tokens_go_to_the_earliest_waiting_requests_that_they_cover(
+    /// The model is a list in the order of arrival, from which each request takes tokens left by the
+    /// earlier ones.
+    fn tokens_are_granted_to_the_earliest_waiters_they_cover(
         waiting: Vec<(u8, u8)>,
         available: Vec<u8>
     ) -> bool {
@@ -85,15 +86,15 @@
         }
         model.sort_by_key(|waiter| waiter.arrival);
         available.into_iter().enumerate().all(|(volume, tokens)| {
-            let (volume, mut left) = (volume % 2, f64::from(tokens % 16));
+            let (volume, mut remaining) = (volume % 2, f64::from(tokens % 16));
             let mut covered = Vec::new();
             model.retain(|waiter| {
-                let takes = waiter.volume == volume && waiter.units <= left;
-                if takes {
-                    left -= waiter.units;
+                let is_covered = waiter.volume == volume && waiter.units <= remaining;
+                if is_covered {
+                    remaining -= waiter.units;
                     covered.push(*waiter);
                 }
-                !takes
+                !is_covered
             });
             let of_volume = || model.iter().filter(|waiter| waiter.volume == volume);
             let least = of_volume().map(|waiter| waiter.units).fold(f64::INFINITY, f64::min);
--- a/src/structures/token_waiters.rs
+++ b/src/structures/token_waiters.rs
@@ -4,29 +4,29 @@
 use crate::types::Ms;
 use std::collections::BTreeMap;
 
-/// A request that waits for tokens.
+/// Request that waits for tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct TokenWaiter {
-    /// The volume whose bucket it waits for.
+    /// Volume whose tokens the request waits for.
     pub volume: usize,
     /// Number in the order of arrival.
     pub arrival: u64,
-    /// Its index.
+    /// Index of the request.
     pub id: usize,
-    /// The tokens that it needs.
+    /// Number of tokens that the request needs.
     pub units: f64,
 }
 
-/// The waiting requests of one volume by the units that they need, then by arrival.
+/// Waiting requests of one volume by the units that they need, then by arrival.
 type ByUnits = BTreeMap<i64, BTreeMap<u64, TokenWaiter>>;
 
-/// Waiting requests by volume, and one timer a volume: when its bucket may cover the smallest of them. A token that
-/// becomes free wakes the requests that it covers, not all that wait.
+/// Waiting requests by volume, and one timer per volume for the time at which its bucket may cover the
+/// smallest request. Tokens that become free wake only the requests that they cover.
 #[derive(Default)]
 pub(crate) struct TokenWaiters {
     by_volume: BTreeMap<usize, ByUnits>,
     checks: TimerQueue<usize>,
-    /// When the timer of each volume with waiting requests is due.
+    /// Time of the timer of each volume that has waiting requests.
     check_at: BTreeMap<usize, Ms>,
 }
 
@@ -40,7 +40,7 @@
         self.check_at(waiter.volume, check_at);
     }
 
-    /// Removes a request; nothing where it does not wait.
+    /// Removes a request, if it is waiting.
     pub(crate) fn remove(&mut self, volume: usize, arrival: u64, units: f64) {
         let Some(of_volume) = self.by_volume.get_mut(&volume) else { return };
         let key = total_order_key(units);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Has a volume checked at a time; nothing where no request waits for its tokens.
+    /// Schedules a check of a volume, if any request waits for its tokens.
     pub(crate) fn check_at(&mut self, volume: usize, at: Ms) {
         if self.by_volume.contains_key(&volume) {
             self.check_at.insert(volume, at);
@@ -64,19 +64,19 @@
         }
     }
 
-    /// The volumes that are to be checked by `now`.
+    /// Returns the volumes that are due for a check by `now`.
     pub(crate) fn due_checks(&self, now: Ms) -> Vec<usize> {
         self.checks.due(now).collect()
     }
 
-    /// The waiting request of a volume that needs the fewest tokens.
+    /// Returns the waiting request of a volume that needs the fewest tokens.
     pub(crate) fn smallest(&self, volume: usize) -> Option<TokenWaiter> {
         let same_units = self.by_volume.get(&volume)?.first_key_value()?.1;
         same_units.first_key_value().map(|(_, waiter)| *waiter)
     }
 
-    /// Takes out the requests of a volume that `available` tokens cover: in the order of arrival, each with what the
-    /// earlier ones leave.
+    /// Removes and returns the requests of a volume that `available` tokens cover: in the order of
+    /// arrival, each covered by the tokens left by earlier ones.
     #[must_use]
     pub(crate) fn take_covered(&mut self, volume: usize, mut available: f64) -> Vec<TokenWaiter> {
         let mut covered = Vec::new();
@@ -88,7 +88,7 @@
         covered
     }
 
-    /// The first in the order of arrival that the tokens cover.
+    /// Returns the first request in the order of arrival that the tokens cover.
     fn first_covered(&self, volume: usize, available: f64) -> Option<TokenWaiter> {
         let of_volume = self.by_volume.get(&volume)?;
         let covered = of_volume.range(..=total_order_key(available));
