--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -1,124 +1,127 @@
-//! Until when a host may rely on the endpoint list that it has.
+//! Expiry of the endpoint list of a host.
 //!
-//! A change of the list binds every host some time after the discovery service had it, whether or not it
-//! reached the host. So a host relies on its list only as long as no change that it was not notified of can
-//! bind it, and no longer than that unless the service itself is down: a change that nobody can be notified
-//! of binds nobody.
+//! A change of the list binds every host some time after the discovery service has received the change,
+//! whether or not the host has. A host therefore relies on its list only as long as no change without
+//! notification can bind it, and longer only if the service itself is down: a change that reaches no host
+//! binds none.
 
 use crate::types::Ms;
 
-/// The rules of the deployment on when a change binds a host.
+/// Rules of the deployment on the time at which a change binds a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FreshnessRules {
-    /// How long after the service had it.
+    /// Time from the receipt of a change by the service until the change binds hosts.
     pub binding_delay: Ms,
-    /// How long after a reload, whatever the service had before it.
+    /// Time from a reload until changes bind the host, regardless of the changes that the service had
+    /// before.
     pub binding_delay_after_reload: Ms,
-    /// How long the process may stall between reading its clock and sending an attempt.
+    /// Longest stall of the process between reading its clock and sending an attempt.
     pub max_stall: Ms,
-    /// The service is the host's own agent, which does not respond when it has nothing behind it.
+    /// True if the service is the host's own agent, which does not respond when its own source is down.
     pub unresponsive_when_down: bool,
 }
 
-/// How a call to the discovery service failed.
+/// Failure of a call to the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
     /// The network or the service's machine reported that it cannot be reached.
     Unreachable,
     /// The connection was not established in time.
     ConnectTimedOut,
-    /// This host had no socket, port or memory to call with.
+    /// Lack of sockets, ports or memory on this host.
     LocalResources,
-    /// The connection ended before any of an answer came.
+    /// The connection ended before any part of an answer was received.
     ConnectionLost,
-    /// The service answered that it cannot serve the call.
+    /// The service answered with a rejection.
     Rejected,
-    /// It did so at once: it is up, and overloaded.
+    /// The service rejected the call immediately, which means that the service is running and overloaded.
     Overloaded,
-    /// The connection is established and no answer comes.
+    /// The connection was established, but no answer was received.
     NoAnswer,
-    /// The answer is malformed or does not follow what is known.
+    /// The answer is malformed or does not follow the known generation.
     InvalidAnswer,
 }
 
 impl CallFailure {
-    /// Whether only a service that is up can fail so.
-    fn shows_service_up(self) -> bool {
+    /// Returns whether this failure occurs only with a running service.
+    fn proves_service_up(self) -> bool {
         matches!(self, CallFailure::Overloaded | CallFailure::InvalidAnswer)
     }
 }
 
-/// Whether the list may be relied on.
+/// Validity of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Validity {
-    /// No change that the host was not notified of can bind it yet.
+    /// No change without notification can bind the host yet.
     Valid,
-    /// The list is old, and the service is down: nobody can be notified of a change.
+    /// The list is old, and the service is down and can notify no host of a change.
     ServiceDown,
-    /// A change may bind the host that it was not notified of: nothing new may be sent by this list.
+    /// A change without notification may bind the host: no new request may be sent by this list.
     Expired,
 }
 
-/// The age of the endpoint list, and what is known of its service since it was last confirmed.
+/// Age of the endpoint list, and the state of its service since the list was last confirmed.
 #[derive(Clone, Debug)]
 pub struct Freshness {
     rules: FreshnessRules,
-    /// The list was complete at this time.
+    /// Time at which the list was complete.
     confirmed_at: Ms,
-    /// When the configuration was replaced since then; the first is the one that binds.
+    /// Times at which the configuration was replaced since then; the first one determines expiry.
     reloads: Vec<Ms>,
     last_failure: Option<CallFailure>,
-    service_seen_up: bool,
+    was_service_up: bool,
 }
 
 impl Freshness {
-    /// `confirmed_at`: as of when what the host starts with counts as complete.
+    /// Creates the state of a host that starts with a list complete at `confirmed_at`.
     pub fn new(rules: FreshnessRules, confirmed_at: Ms) -> Freshness {
-        Freshness { rules, confirmed_at, reloads: Vec::new(), last_failure: None, service_seen_up: false }
+        Freshness { rules, confirmed_at, reloads: Vec::new(), last_failure: None, was_service_up: false }
     }
 
-    /// An answer of a former address was applied, complete as of that time. The service may have moved
-    /// elsewhere: what a reload binds stays bound.
+    /// Records that an answer of a former address was applied, complete as of `as_of`. The service may
+    /// have moved to another address, so the expiry due to a reload remains.
     pub fn confirmed_by_former(&mut self, as_of: Ms) {
         self.confirmed_at = self.confirmed_at.max(as_of);
     }
 
-    /// An answer was applied that has all changes that the service had at `as_of`.
+    /// Records that an answer was applied that contains all changes of the service as of `as_of`.
     pub fn confirmed(&mut self, as_of: Ms) {
         if as_of < self.confirmed_at {
             return;
         }
         self.confirmed_at = as_of;
-        self.reloads.retain(|at| *at > as_of);
-        (self.last_failure, self.service_seen_up) = (None, false);
+        self.reloads.retain(|reload| *reload > as_of);
+        (self.last_failure, self.was_service_up) = (None, false);
     }
 
-    /// The configuration was replaced: from then on the service may be another, or at another address.
+    /// Records that the configuration was replaced: the service or its address may have changed.
     pub fn reloaded(&mut self, now: Ms) {
         self.reloads.push(now);
         self.last_failure = None;
     }
 
-    /// A call failed.
+    /// Records a failed call.
     pub fn failed(&mut self, failure: CallFailure) {
         self.last_failure = Some(failure);
-        self.service_seen_up |= failure.shows_service_up();
+        self.was_service_up |= failure.proves_service_up();
     }
 
-    /// How old the list may be.
+    /// Returns the greatest possible age of the list.
     pub fn age(&self, now: Ms) -> Ms {
         now - self.confirmed_at
     }
 
-    /// From when on a change may bind the host that it was not notified of.
+    /// Returns the earliest time at which a change without notification may bind the host.
     pub fn expires_at(&self) -> Ms {
         let by_age = self.confirmed_at + self.rules.binding_delay;
-        let by_reload =
-            self.reloads.first().map_or(f64::INFINITY, |at| at + self.rules.binding_delay_after_reload);
+        let by_reload = self
+            .reloads
+            .first()
+            .map_or(f64::INFINITY, |reload| reload + self.rules.binding_delay_after_reload);
         by_age.min(by_reload) - self.rules.max_stall
     }
 
-    /// Whether the list may be relied on now.
+    /// Returns the validity of the list.
     pub fn validity(&self, now: Ms) -> Validity {
         if now < self.expires_at() {
             return Validity::Valid;
@@ -129,16 +132,18 @@
         }
     }
 
-    /// Whether all that was seen since the list was confirmed indicates that the service is down. Guards
-    /// against hosts that serve nobody through an outage of the service, in which no change can bind them.
-    /// It may hurt where a service that is up breaks every call for as long as a change takes to bind.
+    /// Returns whether all observations since the list was confirmed indicate that the service is down.
+    /// Guards against hosts that serve no requests during an outage of the service, when no change can
+    /// bind them; may use an outdated list where a running service breaks every call for as long as a
+    /// change takes to bind.
     fn service_down(&self) -> bool {
-        if self.service_seen_up {
+        if self.was_service_up {
             return false;
         }
         match self.last_failure {
             Some(CallFailure::Unreachable) => true,
-            // After a reload the service may as well be overloaded, and the operator says that it is there.
+            // After a reload the service may be overloaded instead, and the operator has stated its
+            // address.
             Some(CallFailure::ConnectTimedOut | CallFailure::ConnectionLost | CallFailure::Rejected) => {
                 self.reloads.is_empty() || self.rules.unresponsive_when_down
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! The scheduler of magpiewick, the types of its interface, and the client of the discovery service. It
-//! does no I/O: callers pass in the time and carry out what it decides.
+//! Scheduler of magpiewick, the types of its interface, and the client of the discovery service. The
+//! crate does no I/O: callers pass in the time and carry out its decisions.
 
 mod backoff;
 mod endpoint_client;
--- a/src/random_source.rs
+++ b/src/random_source.rs
@@ -2,7 +2,7 @@
 
 use nanorand::{Rng, WyRand};
 
-/// A random number generator; the same seed gives the same sequence.
+/// Random number generator; the same seed gives the same sequence.
 pub struct RandomSource(WyRand);
 
 impl Default for RandomSource {
@@ -12,17 +12,17 @@
 }
 
 impl RandomSource {
-    /// A generator whose sequence depends on the seed alone.
+    /// Creates a generator whose sequence depends only on the seed.
     pub fn new(seed: u64) -> RandomSource {
         RandomSource(WyRand::new_seed(seed))
     }
 
-    /// A number from 0 to 1.
+    /// Returns a number from 0 to 1.
     pub fn fraction(&mut self) -> f64 {
         self.0.generate::<u32>() as f64 / u32::MAX as f64
     }
 
-    /// A whole number from 0 to below `bound`, which must not be 0.
+    /// Returns a whole number from 0 to below `bound`, which must not be 0.
     pub fn below(&mut self, bound: usize) -> usize {
         self.0.generate_range(0..bound)
     }
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,24 +1,25 @@
-//! The types of the scheduler's interface. Nothing here decides.
+//! Types of the scheduler's interface, without decisions.
 //!
 //! Times are milliseconds with fractions on one monotonic clock. Requests, nodes, volumes, keys, classes,
-//! QoS policies, shards and zones are small indices that the caller assigns. A request's index is free
-//! again once the request is over and none of its attempts is in flight.
+//! QoS policies, shards and zones are small indices that the caller assigns. The index of a request may
+//! be reused when the request is finished and none of its attempts is in flight.
 
-/// A point in time or a duration, in milliseconds.
+/// Point in time or duration, in milliseconds.
 pub type Ms = f64;
 
-/// Whether the requests of a class may run more than once.
+/// Permission for the requests of a class to run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running again does no harm.
+    /// Repeated runs have no further effect.
     Idempotent,
-    /// Running again does no harm where nodes recognise the request by its key, see [`DeduplicationScope`].
+    /// Repeated runs have no further effect at nodes that recognize the request by its key, see
+    /// [`DeduplicationScope`].
     IdempotentWithKey,
-    /// It may run once only.
+    /// A request may run only once.
     NonIdempotent,
 }
 
-/// The nodes that recognise a repeated request with an idempotency key among themselves.
+/// Set of nodes that together recognize a repeated request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All nodes.
@@ -29,153 +30,156 @@
     Shard,
 }
 
-/// A class of requests.
+/// Class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// The latency within which an answer is of use.
+    /// Latency within which an answer is of use.
     pub latency_objective: Ms,
-    /// How long a client waits over all its retries.
+    /// Time that a client waits for an answer, including all its retries.
     pub client_timeout: Ms,
-    /// What an answer in time is worth in relation to other classes.
+    /// Value of an answer in time relative to other classes.
     pub priority_weight: f64,
-    /// Whether its requests may run more than once.
+    /// Permission for requests of the class to run more than once.
     pub idempotency: Idempotency,
-    /// Which nodes recognise a repeat.
+    /// Nodes that recognize a repeated request.
     pub deduplication_scope: DeduplicationScope,
-    /// How long they do, from the first attempt that may have run.
+    /// Time during which nodes recognize a repeated request, from the first attempt that may have run.
     pub deduplication_window: Ms,
-    /// Requests of one key run one after the other, in the order of arrival.
+    /// True if requests with the same key run one after the other, in the order of arrival.
     pub ordered: bool,
 }
 
-/// A QoS policy. Every figure holds for one volume, over all hosts and nodes.
+/// QoS policy. Every figure applies to one volume, over all hosts and nodes.
 #[derive(Clone, Debug)]
 pub struct QosPolicy {
-    /// What a unit earns, as a factor of the priority weight.
+    /// Value of a unit as a factor of the priority weight.
     pub price: f64,
-    /// The volume's weight in what is not reserved.
+    /// Weight of the volume in the distribution of unreserved capacity.
     pub weight: f64,
-    /// Units a second that such a volume is sized for.
+    /// Units per second that the volume is sized for.
     pub rate: f64,
-    /// Units a second that are reserved for it.
+    /// Units per second that are reserved for the volume.
     pub reserve: f64,
-    /// Units a second at which its token bucket refills; 0 is no rate limit.
+    /// Refill rate of the volume's token bucket in units per second; 0 means no rate limit.
     pub limit_rate: f64,
-    /// How many units its token bucket holds.
+    /// Capacity of the volume's token bucket in units.
     pub limit_burst: f64,
 }
 
-/// How many retries a host may send in any `window`: `free` plus `share` of the requests that it accepted.
+/// Limit on the retries that a host may send in any `window`: `free` plus `share` times the number of
+/// accepted requests.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Retries that need no requests.
+    /// Number of retries that are permitted without any request.
     pub free: f64,
-    /// Retries for each request.
+    /// Number of further retries per accepted request.
     pub share: f64,
-    /// The window in which both are counted.
+    /// Window in which retries and requests are counted.
     pub window: Ms,
 }
 
-/// The settings that a host starts with.
+/// Settings of a host's scheduler.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerConfig {
-    /// The seed of its random decisions.
+    /// Seed of the host's random decisions.
     pub seed: u64,
-    /// How many hosts there are.
+    /// Number of hosts.
     pub hosts: f64,
-    /// The classes, by index.
+    /// Request classes, by index.
     pub classes: Vec<RequestClass>,
-    /// The QoS policies, by index.
+    /// QoS policies, by index.
     pub policies: Vec<QosPolicy>,
-    /// How long a decision may take to be carried out: the interval at which the caller acts.
+    /// Longest time until a decision is carried out: the interval at which the caller acts.
     pub action_interval: Ms,
-    /// How many attempts a request has at most.
+    /// Largest number of attempts per request.
     pub max_attempts: u32,
-    /// Whether attempts can be cancelled.
+    /// True if attempts can be cancelled.
     pub can_cancel: bool,
-    /// The longest retry-after that a rejected client follows; 0 where it gets none.
+    /// Longest retry-after that a rejected client follows; 0 where rejections carry no retry-after.
     pub max_retry_after: Ms,
-    /// Set where the endpoint list must be polled: how long a host may go without a poll.
+    /// Longest time that a host may run without polling the endpoint list; none where no poll is
+    /// required.
     pub max_poll_interval: Option<Ms>,
-    /// The part of a warm node's work that one can do as it starts.
+    /// Capacity of a node at its start, as a fraction of that of a warm node.
     pub slow_start_share: f64,
-    /// How long it takes a node until it is warm.
+    /// Time from a node's start until the node is warm.
     pub slow_start_duration: Ms,
-    /// The units that a starting node can take from all hosts together within `overload_window`.
+    /// Units that a starting node can accept from all hosts together within `overload_window`.
     pub slow_start_units: f64,
-    /// The window over which the overload of a warming node is measured.
+    /// Window over which the overload of a warming node is measured.
     pub overload_window: Ms,
-    /// A warming node fails when it is sent more than this multiple of what it can do for `overload_window`.
+    /// Multiple of its capacity over `overload_window` above which a warming node fails.
     pub overload_multiple: f64,
-    /// How long a key stays quiet after an attempt that may still run.
+    /// Quiet period of a key after an attempt that may still run.
     pub ordering_quiet_period: Ms,
-    /// The retry budget, where there is one.
+    /// Retry budget; none where retries are not limited.
     pub budget: Option<RetryBudget>,
-    /// The units of the largest request.
+    /// Units of the largest request.
     pub max_units: f64,
-    /// The units of a mean request.
+    /// Units of a mean request.
     pub mean_units: f64,
-    /// The most units that leave as one batch; never less than `max_units`.
+    /// Largest number of units in one batch; never less than `max_units`.
     pub max_batch_units: f64,
-    /// The part of the priority weight that units beyond the reserve earn within the volume's share.
+    /// Fraction of the priority weight that units beyond the reserve earn within the volume's share.
     pub share_weight: f64,
-    /// Answers say what shards served for a volume through other hosts.
+    /// True if answers report the units that shards served for a volume through other hosts.
     pub counts_remote_service: bool,
-    /// Set where hosts may gossip: this host's number, counted from 0.
+    /// Number of this host, counted from 0; none where hosts may not gossip.
     pub host_number: Option<usize>,
 }
 
-/// A request as it arrived.
+/// Request as received from a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its class, an index.
+    /// Index of the request class.
     pub class: usize,
-    /// Its QoS policy, an index.
+    /// Index of the QoS policy.
     pub policy: usize,
-    /// Its volume.
+    /// Index of the volume.
     pub volume: usize,
-    /// The key by which it is ordered, if any.
+    /// Ordering and idempotency key, if any.
     pub key: Option<usize>,
-    /// Its size.
+    /// Size in units.
     pub units: f64,
-    /// The shard that holds its data; none for a new object, which may go anywhere.
+    /// Shard that holds the data of the request; none for a new object, which any shard may store.
     pub shard: Option<usize>,
-    /// How many hosts the volume's requests come through.
+    /// Number of hosts that receive requests of the volume.
     pub hosts: f64,
-    /// How long after its arrival the client gives up.
+    /// Time after its arrival at which the client stops waiting.
     pub client_timeout: Ms,
-    /// 1, or 0 for a further part of a request that was split: the retry budget counts the request once.
+    /// Weight in the retry budget: 1, or 0 for the further parts of a split request, which the budget
+    /// counts once.
     pub budget_weight: f64,
-    /// A request that was just sent and that this one may be coalesced with: it leaves in the same batch,
-    /// or stays.
+    /// Request that was just sent and whose batch this one may join: this request is then either sent in
+    /// that batch or remains queued.
     pub coalesce_with: Option<usize>,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The node answered with success.
     Succeeded,
-    /// The node answered that it failed.
+    /// The node answered with an error.
     Error,
-    /// The node had no room for it.
+    /// The node rejected the attempt because of overload.
     Overloaded,
-    /// No answer came in time.
+    /// No answer was received in time.
     TimedOut,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection was reset.
     Reset,
-    /// The host cancelled it.
+    /// The host cancelled the attempt.
     Cancelled,
-    /// Its deadline had passed when the node came to it.
+    /// The deadline of the attempt had passed when the node processed it.
     DeadlineExceeded,
-    /// The node does not hold the request's data any more.
+    /// The node no longer holds the request's data.
     ShardMoved,
 }
 
 impl Outcome {
-    /// Whether this outcome is proof that nothing ran.
+    /// Returns whether this outcome proves that the request did not run.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -184,140 +188,142 @@
     }
 }
 
-/// Where a request goes.
+/// Decision on where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouteDecision {
-    /// To a node, as an attempt.
+    /// Send the request to a node as an attempt.
     Send {
-        /// The node.
+        /// Index of the node.
         node: usize,
-        /// How long the attempt may take.
+        /// Longest duration of the attempt.
         timeout: Ms,
-        /// By when it must have left, as nodes may not recognise a repeat after that.
+        /// Latest send time; after it, nodes may not recognize a repeated request.
         send_by: Ms,
     },
-    /// Nowhere yet: it is queued or blocked.
+    /// Keep the request, which is queued or blocked.
     Queue,
-    /// Nowhere: it gets this final answer.
+    /// End the request with this final answer.
     Finish(FinalStatus),
 }
 
-/// A final answer that the host gives itself.
+/// Final answer that the host itself gives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalStatus {
-    /// A retry of the client is harmless.
+    /// Rejected; the client may retry without a second effect.
     Rejected {
-        /// After how long it is best made; 0 is no advice.
+        /// Recommended time until the retry; 0 is no recommendation.
         retry_after: Ms,
     },
-    /// It may have run.
+    /// Failed; the request may have run.
     Failed,
 }
 
-/// What came with the outcome of an attempt.
+/// Outcome of an attempt and the data received with it.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it took.
+    /// Duration of the attempt.
     pub latency: Ms,
-    /// The request is over, by this outcome or before it.
+    /// True if the request is finished, by this outcome or before.
     pub request_finished: bool,
-    /// What the volume was served everywhere in a past period, as a part of its QoS policy's rate.
+    /// Service that the volume received from all nodes in a past period, as a fraction of its QoS
+    /// policy's rate.
     pub volume_usage: Option<f64>,
-    /// Units that the node's shard served for the volume through other hosts since its last answer here.
+    /// Units that the node's shard has served for the volume through other hosts since its last answer to
+    /// this host.
     pub remote_units: f64,
 }
 
-/// What is to be done after an outcome.
+/// Decision on a request after the outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AfterOutcome {
-    /// The request is over, or was before.
+    /// Nothing to do: the request is finished, by this outcome or before.
     Done,
-    /// It is pending again, until [`Action::Route`] names it.
+    /// The request is pending again, until [`Action::Route`] names it.
     Retry,
-    /// It gets this final answer.
+    /// The request gets this final answer.
     Finish(FinalStatus),
 }
 
-/// What one host reports to others of a node.
+/// Report of one host to others on a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GossipReport {
-    /// The node.
+    /// Index of the node.
     pub node: usize,
-    /// The slots that its attempts in flight take there.
+    /// Slots that the host's attempts in flight occupy at the node.
     pub in_flight: u32,
-    /// Whether it has requests queued there.
+    /// True if the host has requests queued for the node.
     pub has_queued: bool,
-    /// The answers that it had from there since its last report.
+    /// Number of answers received from the node since the host's last report.
     pub answers: u32,
-    /// Their mean queueing delay: by how much they were over the latency without load.
+    /// Mean queueing delay of these answers: the excess of their latency over the unloaded latency.
     pub queueing_delay: Ms,
 }
 
-/// What is due now, or until when nothing is.
+/// Action that is due now, or the time until which none is due.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask where this request goes.
+    /// Call [`Scheduler::route`](crate::Scheduler::route) for this request.
     Route(usize),
     /// Cancel an attempt in flight.
     CancelAttempt {
-        /// Its request.
+        /// Request of the attempt.
         request: usize,
-        /// Its number, counted from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
     /// Check the health of a node.
     CheckHealth(usize),
-    /// Poll the endpoint list and its changes from now on.
+    /// Poll the endpoint list, and its changes from then on.
     PollEndpoints,
-    /// Report to other hosts.
+    /// Send reports to other hosts.
     SendGossip {
-        /// The hosts, by their numbers.
+        /// Numbers of the hosts.
         to: Vec<usize>,
-        /// The reports.
+        /// Reports to send.
         reports: Vec<GossipReport>,
     },
-    /// Nothing until this time or the next event.
+    /// Wait until this time or the next event.
     WaitUntil(Ms),
 }
 
-/// The state of a node's process by the endpoint list.
+/// State of a node's process according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     #[default]
-    /// It takes requests.
+    /// The node accepts requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The node completes its requests and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The node is removed.
     Removed,
 }
 
-/// A node by the endpoint list.
+/// Entry of the endpoint list for a node.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// The node.
+    /// Index of the node.
     pub node: usize,
-    /// The zone that it is in.
+    /// Zone of the node.
     pub zone: usize,
-    /// The shard that it holds.
+    /// Shard that the node holds.
     pub shard: usize,
-    /// The state of its process.
+    /// State of the node's process.
     pub state: EndpointState,
-    /// When its process started; none where that is long ago.
+    /// Start time of the node's process; none for a process that is long warm.
     pub started_at: Option<Ms>,
 }
 
-/// What is known of the endpoint list.
+/// Kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Its changes.
+    /// Changes of the list.
     Delta,
-    /// All of it.
+    /// Complete list.
     Snapshot,
-    /// All of it, as this host had it before it started.
+    /// Complete list that this host stored before it started.
     Restored,
-    /// That it could not be polled.
+    /// Failed poll, without any entry.
     PollFailed,
 }
