--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,5 +1,5 @@
-//! The cost of a decision by the number of nodes and of pending requests: all windows are full, one request
-//! succeeds, the next ones are sent, and a new one arrives in its place.
+//! Benchmark of the cost of a decision by the number of nodes and of pending requests: all windows are
+//! full, one request succeeds, the next ones are sent, and a new one arrives in its place.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use magpiewick::{
@@ -8,9 +8,9 @@
 };
 use std::collections::VecDeque;
 
-/// A time that is not reached within a measurement.
+/// Time that no measurement reaches.
 const UNREACHED: Ms = 1e9;
-/// By how much the clock advances for each request.
+/// Step of the clock for each request.
 const STEP: Ms = 0.001;
 const VOLUMES: usize = 40;
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// A host with its windows full and further requests pending.
+/// Host with full windows and further pending requests.
 struct Host {
     scheduler: Scheduler,
     now: Ms,
@@ -95,7 +95,7 @@
     fn submit(&mut self) {
         self.arrivals += 1;
         let n = self.arrivals;
-        // A tenth of the requests have a key whose order is kept.
+        // A tenth of the requests have an ordering key.
         let (class, key) = if n.is_multiple_of(10) { (1, Some(n / 10)) } else { (0, None) };
         let request = Request {
             class,
@@ -119,7 +119,7 @@
         self.run_actions();
     }
 
-    /// One request succeeds, the next ones are sent, and a new one arrives.
+    /// Ends one request with success, sends the next ones, and submits a new one.
     fn step(&mut self) {
         self.now += STEP;
         if let Some(id) = self.in_flight.pop_front() {
--- a/tests/endpoint_client.rs
+++ b/tests/endpoint_client.rs
@@ -1,4 +1,5 @@
-//! The client of the discovery service: what it requests, when, and which answers it applies.
+//! Tests of the client of the discovery service: the targets and times of its calls, and the answers that
+//! it applies.
 
 use magpiewick::*;
 
@@ -7,7 +8,7 @@
 const GRACE: Ms = 900.0;
 const FIRST_GRACE: Ms = 2000.0;
 
-fn pace() -> PollTiming {
+fn timing() -> PollTiming {
     PollTiming {
         hold: HOLD,
         first_hold: FIRST_HOLD,
@@ -28,15 +29,15 @@
 }
 
 fn client(restored: Option<u64>) -> EndpointClient {
-    EndpointClient::new(pace(), rules(), 7, 0.0, 0.0, restored)
+    EndpointClient::new(timing(), rules(), 7, 0.0, 0.0, restored)
 }
 
-/// The steps that are due now.
+/// Returns the steps that are due now.
 fn steps(client: &mut EndpointClient, now: Ms) -> Vec<PollStep> {
     std::iter::from_fn(|| client.next_step(now)).collect()
 }
 
-/// The one call that is due now, and what it requests.
+/// Returns the one call that is due now, and its target.
 fn call(client: &mut EndpointClient, now: Ms) -> (u64, PollTarget) {
     let steps = steps(client, now);
     let [PollStep::Call { call, target }] = steps[..] else { panic!("not one call: {steps:?}") };
@@ -44,13 +45,13 @@
     (call, target)
 }
 
-/// The next call, at its time.
+/// Returns the next call, started at its due time.
 fn next_call(client: &mut EndpointClient) -> (u64, PollTarget) {
     let at = client.next_call_at();
     call(client, at)
 }
 
-fn whole(generation: u64) -> AnswerHead {
+fn snapshot(generation: u64) -> AnswerHead {
     AnswerHead { generation, is_snapshot: true, endpoint_count: 8 }
 }
 
@@ -62,41 +63,41 @@
     AnswerHead { generation, is_snapshot: false, endpoint_count: 1 }
 }
 
-/// A client that has just got the list of generation 4, with a watch in flight.
-fn watching() -> (EndpointClient, u64) {
+/// Returns a client that has just received the list of generation 4, with its watch in flight.
+fn client_with_watch() -> (EndpointClient, u64) {
     let mut client = client(None);
     let (first, target) = call(&mut client, 0.0);
     assert_eq!(target, PollTarget::Snapshot);
-    assert_eq!(client.answered(10.0, first, whole(4)), Verdict::Apply(EndpointUpdate::Snapshot));
+    assert_eq!(client.answered(10.0, first, snapshot(4)), Verdict::Apply(EndpointUpdate::Snapshot));
     let (watch, target) = call(&mut client, 10.0);
     assert_eq!(target, PollTarget::Delta { after: 4, hold: HOLD });
     (client, watch)
 }
 
 #[test]
-fn a_watch_follows_generations_and_requests_the_whole_list_after_a_gap() {
-    let (mut client, watch) = watching();
+fn a_watch_follows_generations_and_requests_a_snapshot_after_a_gap() {
+    let (mut client, watch) = client_with_watch();
     assert_eq!(client.answered(20.0, watch, changes(6)), Verdict::Apply(EndpointUpdate::Delta));
     let (watch, _) = call(&mut client, 20.0);
     assert_eq!(client.answered(30.0, watch, changes(5)), Verdict::Gap, "changes to an older generation");
     assert_eq!(steps(&mut client, 30.0), [], "the next call follows after a backoff");
-    let (again, target) = next_call(&mut client);
+    let (retry, target) = next_call(&mut client);
     assert_eq!(target, PollTarget::Snapshot);
     assert_eq!(
-        client.answered(200.0, again, changes(7)),
+        client.answered(200.0, retry, changes(7)),
         Verdict::Gap,
-        "changes to a list that it does not have"
+        "changes to a list that the client does not have"
     );
-    let (again, _) = next_call(&mut client);
+    let (retry, _) = next_call(&mut client);
     assert_eq!(
-        client.answered(900.0, again, whole(2)),
+        client.answered(900.0, retry, snapshot(2)),
         Verdict::Apply(EndpointUpdate::Snapshot),
-        "a whole list may be of any generation where it was requested after the last answer"
+        "a snapshot may be of any generation if it was requested after the last answer"
     );
 }
 
 #[test]
-fn the_first_call_after_a_failure_has_a_short_hold_and_time_for_the_service_queue() {
+fn the_first_call_after_a_failure_has_a_short_hold_and_a_long_grace_period() {
     let mut client = client(Some(7));
     let (first, target) = call(&mut client, 0.0);
     assert_eq!(target, PollTarget::Delta { after: 7, hold: FIRST_HOLD }, "a new process");
@@ -116,19 +117,19 @@
     assert_eq!(
         client.next_call_at(),
         1000.0 + FIRST_HOLD + FIRST_GRACE,
-        "the service may have queued it as well"
+        "the service may have queued the call as well"
     );
 }
 
 #[test]
-fn backoff_doubles_up_to_a_part_of_the_poll_interval_and_is_reset_by_a_reload() {
-    let (mut client, mut in_flight) = watching();
+fn backoff_doubles_up_to_a_fraction_of_the_poll_interval_and_is_reset_by_a_reload() {
+    let (mut client, mut in_flight) = client_with_watch();
     let mut now = 100.0;
-    for most in [75.0, 150.0, 300.0, 600.0, 1200.0, 1500.0, 1500.0] {
+    for max_backoff in [75.0, 150.0, 300.0, 600.0, 1200.0, 1500.0, 1500.0] {
         now += 100.0;
         client.failed(now, in_flight, CallFailure::Rejected);
         let backoff = client.next_call_at() - now;
-        assert!(backoff <= most, "{backoff} of {most}");
+        assert!(backoff <= max_backoff, "{backoff} of {max_backoff}");
         now = client.next_call_at();
         in_flight = call(&mut client, now).0;
     }
@@ -139,8 +140,8 @@
 }
 
 #[test]
-fn an_answer_of_a_former_address_is_applied_and_leaves_the_next_call_as_it_is() {
-    let (mut client, watch) = watching();
+fn an_answer_of_a_former_address_is_applied_without_rescheduling_the_next_call() {
+    let (mut client, watch) = client_with_watch();
     client.reloaded(1000.0);
     let (first, _) = call(&mut client, 1000.0);
     client.failed(1000.0, first, CallFailure::ConnectionLost);
@@ -152,22 +153,22 @@
 }
 
 #[test]
-fn an_answer_of_a_former_address_is_outdated_once_the_present_one_has_answered() {
-    let (mut client, watch) = watching();
+fn an_answer_of_a_former_address_is_outdated_after_the_current_one_has_answered() {
+    let (mut client, watch) = client_with_watch();
     client.reloaded(1000.0);
     let (first, _) = call(&mut client, 1000.0);
     assert_eq!(
-        client.answered(1010.0, first, whole(2)),
+        client.answered(1010.0, first, snapshot(2)),
         Verdict::Apply(EndpointUpdate::Snapshot),
-        "it has generations of its own"
+        "the new address counts its own generations"
     );
     assert!(steps(&mut client, 1010.0).contains(&PollStep::Abort { call: watch }));
-    assert_eq!(client.answered(1020.0, watch, whole(9)), Verdict::Outdated);
+    assert_eq!(client.answered(1020.0, watch, snapshot(9)), Verdict::Outdated);
 }
 
 #[test]
-fn many_reloads_leave_a_bounded_number_of_calls_and_one_that_is_not_late() {
-    let (mut client, _) = watching();
+fn many_reloads_keep_calls_bounded_and_one_of_them_timely() {
+    let (mut client, _) = client_with_watch();
     let mut in_flight = 1_i32;
     for reload in 0..50 {
         client.reloaded(1000.0 + f64::from(reload));
@@ -180,30 +181,30 @@
 }
 
 #[test]
-fn a_late_call_continues_beside_a_new_one_and_may_still_be_answered() {
-    let (mut client, watch) = watching();
+fn a_late_call_continues_concurrently_with_a_new_one_and_may_still_be_answered() {
+    let (mut client, watch) = client_with_watch();
     let late_at = client.next_call_at();
     let (second, target) = call(&mut client, late_at);
     assert_eq!(target, PollTarget::Delta { after: 4, hold: FIRST_HOLD });
     assert_eq!(client.answered(late_at + 100.0, watch, changes(5)), Verdict::Apply(EndpointUpdate::Delta));
-    assert_eq!(steps(&mut client, late_at + 100.0), [], "the new one waits for what comes next");
+    assert_eq!(steps(&mut client, late_at + 100.0), [], "the new call waits for the next change");
     assert_eq!(client.answered(late_at + 400.0, second, changes(6)), Verdict::Apply(EndpointUpdate::Delta));
     assert_eq!(call(&mut client, late_at + 400.0).1, PollTarget::Delta { after: 6, hold: HOLD });
 }
 
 #[test]
 fn calls_older_than_the_answered_one_are_aborted() {
-    let (mut client, watch) = watching();
+    let (mut client, watch) = client_with_watch();
     let late_at = client.next_call_at();
     let (second, _) = call(&mut client, late_at);
     client.answered(late_at + 10.0, second, no_changes(4));
     assert!(steps(&mut client, late_at + 100.0).contains(&PollStep::Abort { call: watch }));
-    assert_eq!(client.answered(late_at + 200.0, watch, whole(9)), Verdict::Outdated);
+    assert_eq!(client.answered(late_at + 200.0, watch, snapshot(9)), Verdict::Outdated);
 }
 
 #[test]
 fn the_number_of_calls_is_bounded_and_the_oldest_is_aborted_first() {
-    let (mut client, watch) = watching();
+    let (mut client, watch) = client_with_watch();
     for _ in 0..2 {
         let at = client.next_call_at();
         call(&mut client, at);
@@ -216,9 +217,9 @@
 }
 
 #[test]
-fn with_a_limit_of_one_call_a_late_one_is_aborted() {
-    let pace = PollTiming { max_calls: 1, ..pace() };
-    let mut client = EndpointClient::new(pace, rules(), 7, 0.0, 0.0, Some(1));
+fn a_late_call_is_aborted_if_only_one_call_is_allowed() {
+    let timing = PollTiming { max_calls: 1, ..timing() };
+    let mut client = EndpointClient::new(timing, rules(), 7, 0.0, 0.0, Some(1));
     let (first, _) = call(&mut client, 0.0);
     let late_at = client.next_call_at();
     assert_eq!(steps(&mut client, late_at), [PollStep::Abort { call: first }]);
@@ -227,26 +228,30 @@
 }
 
 #[test]
-fn empty_answers_that_come_at_once_do_not_cause_calls_without_delay() {
-    let (mut client, watch) = watching();
+fn immediate_empty_answers_delay_the_next_call() {
+    let (mut client, watch) = client_with_watch();
     client.answered(11.0, watch, no_changes(4));
     assert_eq!(steps(&mut client, 11.0), []);
-    assert_eq!(client.next_call_at(), 11.0 + 50.0, "soon enough to go on with the watch");
+    assert_eq!(client.next_call_at(), 11.0 + 50.0, "soon enough to continue the watch");
 }
 
 #[test]
-fn a_list_is_valid_until_a_change_without_notice_may_bind() {
-    let (mut client, watch) = watching();
-    // The service held the watch for all of its time: the list was complete at its end.
+fn a_list_is_valid_until_a_change_without_notification_may_bind() {
+    let (mut client, watch) = client_with_watch();
+    // The service has held the watch for the whole time: the list was complete at the end of the hold.
     client.answered(10.0 + HOLD + 5.0, watch, no_changes(4));
     let complete_at = 10.0 + HOLD;
     assert_eq!(client.validity(complete_at + 5849.0), Validity::Valid);
-    assert_eq!(client.validity(complete_at + 5850.0), Validity::Expired, "nothing is known of the service");
+    assert_eq!(
+        client.validity(complete_at + 5850.0),
+        Validity::Expired,
+        "the state of the service is unknown"
+    );
     assert!(client.next_wakeup_at(complete_at + 2000.0) <= complete_at + 5850.0);
 }
 
 #[test]
-fn an_old_list_stays_usable_only_while_the_service_is_down() {
+fn an_old_list_remains_usable_only_while_the_service_is_down() {
     let cases = [
         (CallFailure::Unreachable, Validity::ServiceDown),
         (CallFailure::ConnectTimedOut, Validity::ServiceDown),
@@ -258,7 +263,7 @@
         (CallFailure::InvalidAnswer, Validity::Expired),
     ];
     for (failure, validity) in cases {
-        let (mut client, watch) = watching();
+        let (mut client, watch) = client_with_watch();
         client.failed(1000.0, watch, failure);
         assert_eq!(client.validity(5000.0), Validity::Valid);
         assert_eq!(client.validity(8000.0), validity, "{failure:?}");
@@ -274,7 +279,7 @@
         (CallFailure::Rejected, Validity::Expired),
     ];
     for (failure, validity) in cases {
-        let (mut client, _) = watching();
+        let (mut client, _) = client_with_watch();
         client.reloaded(1000.0);
         let (first, _) = call(&mut client, 1000.0);
         client.failed(2000.0, first, failure);
@@ -284,17 +289,17 @@
 }
 
 #[test]
-fn a_service_seen_up_since_the_last_list_does_not_count_as_down() {
-    let (mut client, watch) = watching();
+fn a_service_that_responded_since_the_last_list_does_not_count_as_down() {
+    let (mut client, watch) = client_with_watch();
     client.failed(1000.0, watch, CallFailure::InvalidAnswer);
-    let (again, _) = next_call(&mut client);
-    client.failed(2000.0, again, CallFailure::Unreachable);
+    let (retry, _) = next_call(&mut client);
+    client.failed(2000.0, retry, CallFailure::Unreachable);
     assert_eq!(client.validity(8000.0), Validity::Expired);
 }
 
 #[test]
-fn an_immediate_rejection_means_a_busy_service_and_a_longer_backoff() {
-    let (mut client, watch) = watching();
+fn an_immediate_rejection_counts_as_overload_and_lengthens_the_backoff() {
+    let (mut client, watch) = client_with_watch();
     client.failed(15.0, watch, CallFailure::Rejected);
     assert_eq!(client.validity(8000.0), Validity::Expired);
     let backoff = client.next_call_at() - 15.0;
@@ -302,25 +307,25 @@
 }
 
 #[test]
-fn after_a_reload_the_list_expires_sooner_until_the_present_address_answers() {
-    let (mut client, watch) = watching();
+fn after_a_reload_the_list_expires_sooner_until_the_current_address_answers() {
+    let (mut client, watch) = client_with_watch();
     client.reloaded(1000.0);
     let (first, _) = call(&mut client, 1000.0);
     assert_eq!(client.validity(1000.0 + 3849.0), Validity::Valid);
     assert_eq!(client.validity(1000.0 + 3850.0), Validity::Expired);
     client.failed(3000.0, first, CallFailure::Rejected);
     assert_eq!(client.validity(1000.0 + 3850.0), Validity::Expired, "the service may be overloaded");
-    // The service may have moved on to its new address without the former one.
+    // The new address may already be in use while the former one still answers.
     client.answered(3100.0, watch, no_changes(4));
     assert_eq!(client.validity(1000.0 + 3850.0), Validity::Expired);
-    let (again, _) = next_call(&mut client);
-    client.answered(4000.0, again, whole(5));
+    let (retry, _) = next_call(&mut client);
+    client.answered(4000.0, retry, snapshot(5));
     assert_eq!(client.validity(5000.0), Validity::Valid);
 }
 
 #[test]
-fn an_unreadable_reload_makes_the_list_expire_sooner_as_well() {
-    let (mut client, watch) = watching();
+fn after_an_unreadable_reload_the_list_expires_sooner() {
+    let (mut client, watch) = client_with_watch();
     client.reload_rejected(1000.0);
     assert_eq!(client.validity(4850.0), Validity::Expired);
     client.answered(10.0 + HOLD, watch, no_changes(4));
--- a/tests/endpoint_client_search.rs
+++ b/tests/endpoint_client_search.rs
@@ -1,17 +1,17 @@
-//! A search over the outcomes of the endpoint client's calls, against a reference model of the service and
-//! of the rule: the list is never older than what binds the host, or the client reports that it has
-//! expired.
+//! Search over the outcomes of the endpoint client's calls, against a reference model of the service and
+//! of the rule: either the list contains every change that binds the host, or the client reports that the
+//! list has expired.
 
 use magpiewick::*;
 use std::collections::BTreeSet;
 
 const STEP: Ms = 10.0;
-const BINDS_AFTER: Ms = 6000.0;
-const BINDS_AFTER_RELOAD: Ms = 4000.0;
-/// How long a call stays in the service's queue before the service rejects it.
+const BINDING_DELAY: Ms = 6000.0;
+const BINDING_DELAY_AFTER_RELOAD: Ms = 4000.0;
+/// Time that a call spends in the service's queue before the service rejects it.
 const QUEUE_TIMEOUT: Ms = 1000.0;
 
-fn pace() -> PollTiming {
+fn timing() -> PollTiming {
     PollTiming {
         hold: 2000.0,
         first_hold: 500.0,
@@ -24,17 +24,17 @@
 
 fn rules() -> FreshnessRules {
     FreshnessRules {
-        binding_delay: BINDS_AFTER,
-        binding_delay_after_reload: BINDS_AFTER_RELOAD,
+        binding_delay: BINDING_DELAY,
+        binding_delay_after_reload: BINDING_DELAY_AFTER_RELOAD,
         max_stall: 150.0,
         unresponsive_when_down: false,
     }
 }
 
-/// How a call ends.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CallOutcome {
-    /// Answered so long after there is anything to answer.
+    /// Answered with this delay after an answer is available.
     Answered(Ms),
     Unreachable,
     ConnectTimedOut,
@@ -62,21 +62,21 @@
     target: PollTarget,
     started_at: Ms,
     outcome: CallOutcome,
-    /// What the service has answered, and when the host receives it.
+    /// Answer of the service, and the time at which the host receives it.
     answer: Option<(AnswerHead, BTreeSet<u64>, Ms)>,
 }
 
-/// A host with its client, and the discovery service.
+/// Simulation of a host with its client, and of the discovery service.
 struct Simulation {
     now: Ms,
     client: EndpointClient,
     calls: Vec<Call>,
-    /// When each generation was created.
+    /// Creation time of each generation.
     changes: Vec<Ms>,
-    /// The generations that the host has applied.
+    /// Generations that the host has applied.
     applied: BTreeSet<u64>,
     reloads: Vec<Ms>,
-    /// Since when the service has been up; none while it is down.
+    /// Time since which the service has been up; none while the service is down.
     up_since: Option<Ms>,
     calls_started: usize,
     events: Vec<String>,
@@ -86,7 +86,7 @@
     fn new(seed: u64) -> Simulation {
         Simulation {
             now: 0.0,
-            client: EndpointClient::new(pace(), rules(), seed, 0.0, 0.0, Some(0)),
+            client: EndpointClient::new(timing(), rules(), seed, 0.0, 0.0, Some(0)),
             calls: Vec::new(),
             changes: vec![0.0],
             applied: BTreeSet::from([0]),
@@ -122,16 +122,16 @@
         self.log("reload unreadable".to_string());
     }
 
-    /// When a change binds the host, whether or not it was notified of it.
+    /// Returns the time at which a change binds the host, whether or not the host was notified.
     fn binds_at(&self, generation: u64) -> Ms {
-        let at = self.changes[generation as usize];
+        let changed_at = self.changes[generation as usize];
         let up_since = self.up_since.unwrap_or(f64::INFINITY);
-        let by_age = at.max(up_since) + BINDS_AFTER;
-        let reload = self.reloads.iter().copied().find(|reload| *reload >= at.max(up_since));
-        reload.map_or(by_age, |reload| by_age.min(reload + BINDS_AFTER_RELOAD))
+        let by_age = changed_at.max(up_since) + BINDING_DELAY;
+        let reload = self.reloads.iter().copied().find(|reload| *reload >= changed_at.max(up_since));
+        reload.map_or(by_age, |reload| by_age.min(reload + BINDING_DELAY_AFTER_RELOAD))
     }
 
-    /// Lets the service act until now.
+    /// Runs the service until now.
     fn serve(&mut self) {
         let (now, generation) = (self.now, self.generation());
         for call in self.calls.iter_mut().filter(|call| call.answer.is_none()) {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Delivers to the host what has reached it by now.
+    /// Delivers the answers and failures that have reached the host by now.
     fn deliver(&mut self) {
         let now = self.now;
         for call in std::mem::take(&mut self.calls) {
@@ -181,16 +181,16 @@
     }
 
     fn apply(&mut self, verdict: Verdict, lines: BTreeSet<u64>) {
-        let before = self.applied.clone();
+        let previous = self.applied.clone();
         match verdict {
             Verdict::Apply(EndpointUpdate::Snapshot) => self.applied = lines,
             Verdict::Apply(_) => self.applied.extend(lines),
             Verdict::Gap | Verdict::Outdated => return,
         }
-        assert!(before.is_subset(&self.applied), "an older list replaced a newer one: {:#?}", self.events);
+        assert!(previous.is_subset(&self.applied), "an older list replaced a newer one: {:#?}", self.events);
     }
 
-    /// Carries out the client's steps; `outcome` says how each call ends.
+    /// Carries out the client's steps; `outcome` determines the outcome of each call.
     fn run_client(&mut self, outcome: &mut dyn FnMut(usize) -> CallOutcome) {
         while let Some(step) = self.client.next_step(self.now) {
             match step {
@@ -234,17 +234,17 @@
     fn step(&mut self, outcome: &mut dyn FnMut(usize) -> CallOutcome) {
         self.now += STEP;
         self.serve();
-        // The host decides by the list that it has before it reads anything.
+        // The host makes its decisions by the list that it has before it reads any answer.
         self.check();
         self.deliver();
         self.run_client(outcome);
         self.check();
     }
 
-    /// The service is up from now on: the host gets the whole list and relies on it before another change
-    /// could bind.
+    /// Runs a service that is up, and asserts that the host receives the complete list and relies on it
+    /// before another change could bind.
     fn assert_recovers(&mut self) {
-        let until = self.now + BINDS_AFTER;
+        let until = self.now + BINDING_DELAY;
         while self.now < until {
             self.step(&mut |_| CallOutcome::Answered(1.0));
         }
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn the_list_is_never_used_stale_under_any_outcomes_of_the_first_calls() {
+fn no_stale_list_is_used_under_any_outcomes_of_the_first_calls() {
     let (reloads, changes) = ([f64::INFINITY, 700.0, 2400.0], [300.0, 1500.0, 3000.0]);
     let mut runs = 0;
     for choices in 0..CALL_OUTCOMES.len().pow(4) {
@@ -284,7 +284,7 @@
     assert_eq!(runs, 6561 * 9);
 }
 
-/// A simulation in which everything fails at random: calls, reloads, the service, and the host itself.
+/// Returns a simulation with random failures of calls, reloads, the service and the host itself.
 fn random_failures(seed: u64) -> Simulation {
     let mut rng = RandomSource::new(seed);
     let mut simulation = Simulation::new(seed);
@@ -299,7 +299,7 @@
                 simulation.log(format!("up since {:?}", simulation.up_since));
             }
             16..=17 => {
-                // The process stalls; the service and the network go on.
+                // The process stalls while the service and the network continue.
                 let stall = 8000.0 * rng.fraction();
                 simulation.log(format!("stalls for {stall:.0}"));
                 simulation.now += stall;
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn the_list_is_never_used_stale_under_random_failures() {
+fn no_stale_list_is_used_under_random_failures() {
     for seed in 0..1000 {
         random_failures(seed).assert_recovers();
     }
--- a/tests/scheduler/admission.rs
+++ b/tests/scheduler/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are rejected, when, and with which retry-after.
+//! Tests of admission: rejected requests, the time of the rejection, and its retry-after.
 
 use crate::simulation::*;
 use magpiewick::*;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn clients_rejected_together_get_retry_after_times_that_are_spread() {
+fn retry_after_is_spread_over_clients_rejected_together() {
     let mut simulation = Simulation::with_full_window(config());
     let all = simulation.submit_all(200, &request_of(1));
     simulation.advance(210.0);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn client_timeouts_of_many_lengths_are_not_mistaken_for_client_retries() {
+fn varied_client_timeouts_are_not_mistaken_for_client_retries() {
     let mut simulation = Simulation::new(config());
     for n in 0..40 {
         let client_timeout = 3000.0 - 60.0 * f64::from(n);
@@ -49,8 +49,8 @@
     assert_eq!(simulation.requests[id].completion, None);
 }
 
-/// Clients send requests of a volume that are served, all with the timeout that they always have.
-fn serve_calmly(simulation: &mut Simulation, count: usize) {
+/// Simulates clients whose requests are all served and all have the same timeout.
+fn serve_requests(simulation: &mut Simulation, count: usize) {
     for _ in 0..count {
         let id = simulation.submit(request_of(1));
         simulation.outcome(id, Outcome::Succeeded);
@@ -58,18 +58,19 @@
     }
 }
 
-/// Clients retry requests that they first sent half a second ago; how many of them are queued all the same.
+/// Simulates clients that retry requests first sent half a second ago. Returns the number of retries that
+/// are queued.
 fn queued_late_retries(simulation: &mut Simulation, count: usize) -> usize {
     let retry = Request { client_timeout: 2500.0, ..request_of(1) };
     let retries = simulation.submit_all(count, &retry);
     retries.into_iter().filter(|id| simulation.requests[*id].completion.is_none()).count()
 }
 
-/// Guards against a node that comes back and works on requests past their latency objective.
+/// Guards against a recovered node that works on requests past their latency objective.
 #[test]
-fn client_retries_are_recognised_when_they_outnumber_first_requests() {
+fn client_retries_are_recognized_when_they_outnumber_first_requests() {
     let mut simulation = Simulation::new(config());
-    serve_calmly(&mut simulation, 100);
+    serve_requests(&mut simulation, 100);
     simulation.fill_window_with(&request_of(9));
     assert_eq!(queued_late_retries(&mut simulation, 1000), 0);
     let first_request = simulation.submit(request_of(1));
@@ -78,17 +79,17 @@
     assert_eq!(simulation.requests[early_retry].completion, None);
 }
 
-/// Guards against one request with a long timeout for which all others are rejected.
+/// Guards against one request with a long timeout that causes the rejection of all others.
 #[test]
-fn a_longer_client_timeout_in_an_overload_does_not_make_others_retries() {
+fn a_longer_client_timeout_during_overload_does_not_mark_other_requests_as_retries() {
     let mut simulation = Simulation::new(config());
-    serve_calmly(&mut simulation, 100);
+    serve_requests(&mut simulation, 100);
     simulation.fill_window_with(&request_of(9));
     queued_late_retries(&mut simulation, 1000);
     simulation.submit(Request { client_timeout: 9000.0, ..request_of(1) });
     simulation.submit_all(20, &request_of(1));
-    let usual = simulation.submit(request_of(1));
-    assert_eq!(simulation.requests[usual].completion, None);
+    let next_request = simulation.submit(request_of(1));
+    assert_eq!(simulation.requests[next_request].completion, None);
 }
 
 #[test]
@@ -101,8 +102,8 @@
     assert_eq!(first.iter().filter(|id| surging.contains(id)).count(), 5, "{first:?}");
 }
 
-/// A host that stalls until so many queued requests have expired, while its window becomes free; how long it takes to
-/// end one of them.
+/// Simulates a host that stalls until `queued` requests have expired, while its window becomes free.
+/// Returns the time to end one of them.
 fn time_to_end_an_expired_request(queued: usize) -> f64 {
     let stalled_host = || {
         let mut simulation = Simulation::with_full_window(config());
@@ -129,9 +130,9 @@
     shortest_time(stalled_host, wake_up).as_secs_f64() / queued as f64
 }
 
-/// Guards against a turn so long after a stall that answers are late.
+/// Guards against a loop iteration after a stall that is so long that answers are late.
 #[test]
-fn each_of_many_requests_that_expire_together_costs_the_same() {
+fn cost_per_expired_request_is_independent_of_their_number() {
     let (few, many) = (time_to_end_an_expired_request(300), time_to_end_an_expired_request(4800));
     assert!(many < 4.0 * few, "{few:e} s for each of 300 requests, {many:e} s for each of 4800");
 }
--- a/tests/scheduler/coalescing.rs
+++ b/tests/scheduler/coalescing.rs
@@ -1,10 +1,10 @@
-//! Requests that leave in one batch.
+//! Tests of requests that are sent in one batch.
 
 use crate::simulation::*;
 use magpiewick::*;
 use std::collections::BTreeMap;
 
-/// Ends attempts with proof that nothing ran.
+/// Ends attempts with an outcome that proves that they did not run.
 fn end_without_running(simulation: &mut Simulation, requests: &[usize]) {
     for id in requests {
         simulation.outcome(*id, Outcome::DeadlineExceeded);
@@ -21,18 +21,19 @@
         queued.iter().copied().filter(|&id| simulation.attempts(id) > 0).collect()
     };
     let first = sent(&simulation);
-    assert!(first.len() > 3, "a frame holds several of them: {}", first.len());
-    assert!(first.len() < 30, "no more than a frame holds leave together: {}", first.len());
+    assert!(first.len() > 3, "a frame holds several requests: {}", first.len());
+    assert!(first.len() < 30, "a batch holds no more than a frame: {}", first.len());
     end_without_running(&mut simulation, &[1]);
     let second = sent(&simulation);
-    assert!(second.len() > first.len(), "all of the first batch take one slot");
+    assert!(second.len() > first.len(), "the first batch takes one slot");
     end_without_running(&mut simulation, &second[1..first.len()]);
     assert_eq!(sent(&simulation), second, "a slot is not free while a request of its batch is in flight");
     end_without_running(&mut simulation, &second[..1]);
     assert!(sent(&simulation).len() > second.len(), "the slot is free");
 }
 
-/// Fills the window, and answers each batch after a time that its units say; how many batches were in flight.
+/// Fills the window, and answers each batch after a time determined by its units. Returns the number of
+/// batches in flight.
 fn answer_batches(simulation: &mut Simulation, coalesces: bool) -> usize {
     simulation.coalesces = coalesces;
     for n in 0..60 {
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_coalesced_request_is_held_to_its_key_its_rate_limit_and_its_node() {
+fn coalesced_requests_respect_their_key_rate_limit_and_node() {
     let mut simulation = Simulation::with_full_window(config());
     simulation.coalesces = true;
     let ordered = simulation.submit_all(2, &Request { class: 1, key: Some(3), ..request_of(1) });
@@ -74,8 +75,12 @@
     let elsewhere = simulation.submit(Request { shard: Some(1), ..request_of(1) });
     let attempts_elsewhere = simulation.attempts(elsewhere);
     end_without_running(&mut simulation, &[0]);
-    // The reference model checks that none breaks its key's order or its volume's rate limit.
+    // The reference model checks that no request violates its key's order or its volume's rate limit.
     assert!(simulation.attempts(ordered[1]) == 0 || !simulation.requests[ordered[0]].is_in_flight());
     assert!(limited.iter().filter(|id| simulation.attempts(**id) > 0).count() < 60);
-    assert_eq!(simulation.attempts(elsewhere), attempts_elsewhere, "its node is another");
+    assert_eq!(
+        simulation.attempts(elsewhere),
+        attempts_elsewhere,
+        "a batch contains a request of another node"
+    );
 }
--- a/tests/scheduler/concurrency_window.rs
+++ b/tests/scheduler/concurrency_window.rs
@@ -1,4 +1,4 @@
-//! The window of attempts in flight at a node, and the spacing between attempts.
+//! Tests of the window of attempts in flight at a node, and of the spacing between attempts.
 
 use crate::simulation::*;
 use magpiewick::*;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn under_congestion_only_reserved_requests_of_high_priority_weight_leave_without_spacing() {
+fn under_congestion_only_reserved_requests_of_high_priority_weight_are_exempt_from_spacing() {
     let attempts = |priority_weight: f64| {
         let mut config = SchedulerConfig { hosts: 40.0, ..config() };
         config.classes[1].priority_weight = priority_weight;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn past_the_latency_objective_reserved_requests_are_spaced_as_well() {
+fn reserved_requests_are_spaced_when_latency_exceeds_the_objective() {
     let mut simulation = Simulation::new(SchedulerConfig { hosts: 40.0, ..config() });
     for _ in 0..80 {
         let id = simulation.submit(request_of(1));
--- a/tests/scheduler/endpoint_health.rs
+++ b/tests/scheduler/endpoint_health.rs
@@ -1,4 +1,4 @@
-//! Unresponsive and refusing nodes, lost answers, cancellation.
+//! Tests of unresponsive and rejecting nodes, lost answers and cancellation.
 
 use crate::simulation::*;
 use magpiewick::*;
@@ -20,20 +20,20 @@
         (simulation.attempts(lost), simulation.requests[lost].completion.is_some())
     };
     assert_eq!((after_later_answers(3), after_later_answers(10)), ((1, false), (2, false)));
-    // An unresponsive node is tried again, each time after a longer backoff.
+    // An unresponsive node is retried, each time after a longer backoff.
     let mut simulation = Simulation::with_full_window(config);
     simulation.advance(550.0);
-    let before = simulation.sent.len();
+    let sent_before = simulation.sent.len();
     for _ in 0..60 {
         simulation.submit(request_of(1));
         simulation.advance(100.0);
     }
-    let sent = simulation.sent.len() - before;
+    let sent = simulation.sent.len() - sent_before;
     assert!((3..12).contains(&sent), "{sent}");
 }
 
 #[test]
-fn one_unanswered_attempt_closes_no_node_that_other_hosts_report_answers_of() {
+fn one_unanswered_attempt_causes_no_backoff_if_other_hosts_report_answers() {
     let attempts_after = |lost: usize, receives_gossip: bool| {
         let mut simulation = Simulation::new(SchedulerConfig { host_number: Some(0), ..config() });
         for _ in 0..lost {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_moved_shard_does_not_count_against_the_node_that_held_it() {
+fn a_moved_shard_causes_no_backoff_at_its_former_node() {
     let mut simulation = Simulation::new(config());
     for _ in 0..2 {
         let id = simulation.submit(request_of(1));
@@ -67,11 +67,11 @@
         simulation.move_to_shard(id, 1);
     }
     let other = simulation.submit(request_of(2));
-    assert_eq!(simulation.attempts(other), 1, "backoff at a node that is well");
+    assert_eq!(simulation.attempts(other), 1, "backoff at a healthy node");
 }
 
 #[test]
-fn a_reset_connection_causes_no_backoff_and_a_refused_one_does() {
+fn a_refused_connection_causes_backoff_and_a_reset_one_does_not() {
     let mut simulation = Simulation::new(config());
     let (reset, other) = (simulation.submit(request_of(1)), simulation.submit(request_of(2)));
     simulation.outcome(reset, Outcome::Reset);
--- a/tests/scheduler/endpoint_selection.rs
+++ b/tests/scheduler/endpoint_selection.rs
@@ -1,10 +1,10 @@
-//! To which node a request goes.
+//! Tests of the selection of a node for a request.
 
 use crate::simulation::*;
 use magpiewick::*;
 
 #[test]
-fn requests_queued_at_a_draining_node_go_to_the_one_that_takes_its_shard() {
+fn requests_queued_at_a_draining_node_move_to_the_node_that_takes_over_its_shard() {
     let mut simulation = Simulation::with_full_window(config());
     let id = simulation.submit(request_of(1));
     simulation.set_endpoint(0, EndpointState::Draining, None);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_warming_successor_gets_no_requests_until_the_node_before_it_is_removed_or_fails() {
+fn a_warming_successor_gets_no_requests_until_its_predecessor_fails() {
     let mut simulation = Simulation::new(config());
     simulation.advance(1100.0);
     simulation.set_endpoint(2, EndpointState::Ready, Some(simulation.now));
@@ -41,6 +41,6 @@
         let id = simulation.submit(Request { shard: None, ..request_of(1) });
         simulation.nodes(id)[0]
     };
-    let at_first = (0..40).filter(|&seed| first_node(seed) == 0).count();
-    assert!((10..30).contains(&at_first), "{at_first} of 40 hosts chose the same node");
+    let first_node_count = (0..40).filter(|&seed| first_node(seed) == 0).count();
+    assert!((10..30).contains(&first_node_count), "{first_node_count} of 40 hosts chose the same node");
 }
--- a/tests/scheduler/endpoint_updates.rs
+++ b/tests/scheduler/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! When the endpoint list is polled.
+//! Tests of the times at which the endpoint list is polled.
 
 use crate::simulation::*;
 use magpiewick::*;
--- a/tests/scheduler/fair_queueing.rs
+++ b/tests/scheduler/fair_queueing.rs
@@ -1,4 +1,4 @@
-//! Virtual time: requests that leave a queue unsent.
+//! Tests of virtual time for requests that leave a queue unsent.
 
 use crate::simulation::*;
 use magpiewick::*;
@@ -15,8 +15,8 @@
 
 #[test]
 fn a_frame_crossing_request_that_leaves_unsent_does_not_stall_the_frame() {
-    // A counter left up would hold the potential back, and a volume that comes later would catch up on
-    // service that it never requested.
+    // A counter that is not decremented would stop the potential, and a volume that starts later would
+    // catch up on service that it never requested.
     let mut config = config();
     config.policies[0].reserve = 0.0;
     let mut simulation = Simulation::with_full_window(config);
@@ -28,16 +28,16 @@
     for id in 0..queued[20] {
         simulation.outcome(id, Outcome::Succeeded);
     }
-    let latecomer = simulation.submit_all(4, &request_of(3));
+    let late_volume = simulation.submit_all(4, &request_of(3));
     let remaining: Vec<usize> =
-        queued.iter().chain(&latecomer).copied().filter(|&id| simulation.attempts(id) == 0).collect();
+        queued.iter().chain(&late_volume).copied().filter(|&id| simulation.attempts(id) == 0).collect();
     let order = simulation.dispatch_order(&remaining);
-    let ahead = order.iter().take_while(|id| latecomer.contains(id)).count();
-    assert!(ahead < latecomer.len(), "the latecomer went ahead with all that it had: {order:?}");
+    let ahead = order.iter().take_while(|id| late_volume.contains(id)).count();
+    assert!(ahead < late_volume.len(), "the late volume was served before all others: {order:?}");
 }
 
 #[test]
-fn a_queued_request_follows_its_shard_and_is_not_charged_where_it_left() {
+fn a_queued_request_moves_with_its_shard_and_is_not_charged_at_the_former_node() {
     let mut simulation = Simulation::with_full_window(config());
     let queued = simulation.submit_all(3, &request_of(1));
     assert!(queued.iter().all(|&id| simulation.attempts(id) == 0));
--- a/tests/scheduler/gossip.rs
+++ b/tests/scheduler/gossip.rs
@@ -1,9 +1,9 @@
-//! What hosts report to each other, and what a report changes.
+//! Tests of gossip between hosts and of the effect of received reports.
 
 use crate::simulation::*;
 use magpiewick::*;
 
-/// Sends four requests of a volume, so that its reserve covers none for some time.
+/// Sends four requests of a volume, so that its reserve covers no further ones for some time.
 fn spend_reserve(simulation: &mut Simulation, request: &Request) {
     simulation.submit_all(4, request);
 }
@@ -44,12 +44,12 @@
         simulation.advance(1000.0);
         simulation.gossip_sent.len()
     };
-    let (calm, busy) = (reports_with(0), reports_with(4));
-    assert!((4..7).contains(&calm) && busy > 8, "{calm} and {busy} reports in a second");
+    let (idle, busy) = (reports_with(0), reports_with(4));
+    assert!((4..7).contains(&idle) && busy > 8, "{idle} and {busy} reports in a second");
 }
 
 #[test]
-fn hosts_that_compete_for_a_node_do_not_take_its_free_slot_together() {
+fn competing_hosts_do_not_take_a_free_slot_simultaneously() {
     let sent_at_once = |competing_hosts: usize| {
         let attempts = |seed: u64| {
             let config = SchedulerConfig { hosts: 20.0, host_number: Some(0), seed, ..config() };
@@ -66,6 +66,9 @@
         };
         (0..20).map(attempts).sum::<usize>()
     };
-    let (alone, beside_ten) = (sent_at_once(0), sent_at_once(10));
-    assert!(alone >= 2 * beside_ten, "{alone} leave at once alone, {beside_ten} beside ten hosts");
+    let (alone, with_ten_competitors) = (sent_at_once(0), sent_at_once(10));
+    assert!(
+        alone >= 2 * with_ten_competitors,
+        "{alone} sent immediately alone, {with_ten_competitors} with ten competing hosts"
+    );
 }
--- a/tests/scheduler/main.rs
+++ b/tests/scheduler/main.rs
@@ -1,5 +1,6 @@
-//! The scheduler by its interface alone: one file a decision, each test a fault or a known trap that one
-//! defence guards against; and generated events beside a reference model of the rules.
+//! Tests of the scheduler through its interface: one file per kind of decision, where each test covers a
+//! fault or a known failure mode and the defence against it; and generated events checked against a
+//! reference model of the rules.
 
 mod admission;
 mod coalescing;
--- a/tests/scheduler/ordering.rs
+++ b/tests/scheduler/ordering.rs
@@ -1,10 +1,10 @@
-//! Requests of one key run one after the other.
+//! Tests of ordering: requests with the same key run one after the other.
 
 use crate::simulation::*;
 use magpiewick::*;
 
 #[test]
-fn a_locked_key_blocks_no_other_key_of_its_volume() {
+fn a_locked_key_does_not_block_other_keys_of_its_volume() {
     let mut simulation = Simulation::new(config());
     let [first, second, other] =
         [1, 1, 2].map(|key| simulation.submit(Request { class: 1, key: Some(key), ..request() }));
--- a/tests/scheduler/rate_limit.rs
+++ b/tests/scheduler/rate_limit.rs
@@ -1,15 +1,16 @@
-//! Token buckets of limited volumes. The reference model checks each attempt against the true bucket.
+//! Tests of the token buckets of rate-limited volumes. The reference model checks each attempt against
+//! the actual bucket.
 
 use crate::simulation::*;
 use magpiewick::*;
 
-/// Requests that have tokens of their volume and are queued.
+/// Number of queued requests that hold tokens of their volume.
 const WITH_TOKENS: usize = 300;
-/// By how much the work may grow when sixteen times as many wait for tokens.
+/// Largest growth of the processor time when sixteen times as many requests wait for tokens.
 const MAX_GROWTH: f64 = 4.0;
 
-/// A host whose window is full, [`WITH_TOKENS`] queued requests of one volume, and as many as `waiting` that wait for
-/// its tokens and may do so for long.
+/// Returns a host whose window is full, with [`WITH_TOKENS`] queued requests of one volume and `waiting`
+/// requests with long deadlines that wait for tokens of this volume.
 fn host_short_of_tokens(waiting: usize) -> Simulation {
     let mut config = config();
     config.classes[2].latency_objective = 100_000.0;
@@ -33,18 +34,19 @@
     assert!(growth < MAX_GROWTH, "{few:?} with 300 waiting requests, {many:?} with 4800");
 }
 
-/// Guards against a turn so long that answers are late, when many requests expire and give their tokens back.
+/// Guards against a loop iteration that is so long that answers are late, when many requests expire and
+/// return their tokens.
 #[test]
-fn tokens_given_back_cost_the_same_however_many_requests_wait_for_them() {
+fn cost_of_returned_tokens_is_independent_of_the_number_of_waiting_requests() {
     assert_independent_of_waiting_requests(|simulation| {
         simulation.now += 210.0;
         assert!(simulation.run_due() >= WITH_TOKENS);
     });
 }
 
-/// Guards against a host that is busy with requests over their rate limit.
+/// Guards against a host whose processor time is consumed by requests over their rate limit.
 #[test]
-fn a_token_that_accrues_costs_the_same_however_many_requests_wait_for_it() {
+fn cost_of_accrued_tokens_is_independent_of_the_number_of_waiting_requests() {
     assert_independent_of_waiting_requests(|simulation| {
         for _ in 0..150 {
             simulation.now += 1.0;
@@ -66,7 +68,7 @@
 }
 
 #[test]
-fn a_token_bucket_does_not_refill_in_place_of_reserved_tokens() {
+fn a_token_bucket_does_not_replace_reserved_tokens() {
     let mut config = config();
     config.classes[0].latency_objective = 2000.0;
     let mut simulation = Simulation::new(config);
@@ -83,16 +85,16 @@
 fn a_request_whose_shard_moved_is_retried_within_the_budget_and_spends_its_tokens_once() {
     let mut simulation = Simulation::new(config());
     simulation.advance(2000.0);
-    // Not idempotent, with a rate limit that covers one such request only.
+    // A non-idempotent request with a rate limit that covers only one such request.
     let limited = |shard| Request { class: 2, policy: 1, units: 4.0, shard: Some(shard), ..request_of(5) };
     let id = simulation.submit(limited(0));
     assert_eq!(simulation.attempts(id), 1);
     simulation.outcome(id, Outcome::ShardMoved);
-    assert_eq!(simulation.attempts(id), 1, "sent again where the data is no more");
+    assert_eq!(simulation.attempts(id), 1, "sent again to the node that no longer holds the data");
     simulation.move_to_shard(id, 1);
     assert_eq!(simulation.nodes(id), [0, 1]);
     simulation.outcome(id, Outcome::Succeeded);
-    // The reference model has counted one draw; a second one would leave less than there is.
+    // The reference model has counted one withdrawal; a second one would exceed the remaining tokens.
     let next = simulation.submit(Request { units: 1.0, ..limited(1) });
     simulation.advance(60.0);
     assert_eq!(simulation.attempts(next), 1);
--- a/tests/scheduler/reference_model.rs
+++ b/tests/scheduler/reference_model.rs
@@ -1,4 +1,4 @@
-//! The reference model: a slow, simple account of the rules, which every decision is checked against.
+//! Reference model: a slow and simple implementation of the rules, which checks every decision.
 
 use crate::simulation::{Attempt, Completion, Simulation, Transfer};
 use magpiewick::*;
@@ -11,7 +11,7 @@
         }
     }
 
-    /// The host gives a request its final answer.
+    /// Records the final answer that the host gives a request.
     pub(crate) fn complete(&mut self, id: usize, status: FinalStatus) {
         let record = &self.requests[id];
         let class = &self.config.classes[record.request.class];
@@ -20,12 +20,15 @@
             || class.idempotency == Idempotency::IdempotentWithKey
                 && class.deduplication_scope == DeduplicationScope::All;
         if status != FinalStatus::Failed {
-            assert!(is_repeatable || record.provably_never_ran(), "rule 2: rejected though it may have run");
+            assert!(
+                is_repeatable || record.provably_never_ran(),
+                "rule 2: rejected although the request may have run"
+            );
         }
         self.requests[id].completion = Some(Completion::WithFinalStatus(status));
     }
 
-    /// The host sends an attempt, coalesced with that of `first`.
+    /// Records an attempt that the host sends, coalesced with that of `first`.
     pub(crate) fn start_attempt(&mut self, id: usize, node: usize, timeout: Ms, send_by: Ms, first: usize) {
         self.check_single_attempt(id, timeout);
         self.check_endpoint(id, node);
@@ -42,7 +45,7 @@
         self.requests[id].attempts.push(Attempt { node, sent_at: now, timeout, ended: None, first });
     }
 
-    /// Rule 1: one attempt at a time, which ends before the client's timeout.
+    /// Checks rule 1: a request has one attempt at a time, which ends before the client's timeout.
     fn check_single_attempt(&self, id: usize, timeout: Ms) {
         let record = &self.requests[id];
         let client_deadline = record.arrived_at + record.request.client_timeout;
@@ -54,14 +57,15 @@
         assert!(record.attempts.len() < self.config.max_attempts as usize, "too many attempts");
     }
 
-    /// Rule 3: attempts go to ready nodes only, and to those with the data.
+    /// Checks rule 3: attempts go only to ready nodes that hold the data.
     fn check_endpoint(&self, id: usize, node: usize) {
         let (shard, endpoint) = (self.requests[id].request.shard, &self.endpoints[&node]);
         assert!(endpoint.state == EndpointState::Ready, "rule 3: sent to a node that is draining or removed");
         assert!(shard.is_none_or(|shard| shard == endpoint.shard), "sent to a node without the data");
     }
 
-    /// Rule 2: what may have run runs again only where that does no harm.
+    /// Checks rule 2: a request that may have run is repeated only where a repetition has no further
+    /// effect.
     fn check_idempotency(&self, id: usize, node: usize, send_by: Ms) {
         let record = &self.requests[id];
         let class = &self.config.classes[record.request.class];
@@ -72,20 +76,20 @@
             Idempotency::IdempotentWithKey => {
                 let same_shard = self.endpoints[&earlier.node].shard == self.endpoints[&node].shard;
                 let in_scope = same_shard || class.deduplication_scope == DeduplicationScope::All;
-                let forgotten_at = earlier.sent_at + class.deduplication_window;
-                assert!(in_scope && self.now < forgotten_at, "rule 2: repeats are not recognised");
+                let window_end = earlier.sent_at + class.deduplication_window;
+                assert!(in_scope && self.now < window_end, "rule 2: repeats are not recognised");
                 assert!(
-                    self.now <= send_by && send_by < forgotten_at,
-                    "rule 2: it may leave when repeats are not recognised"
+                    self.now <= send_by && send_by < window_end,
+                    "rule 2: the attempt may be sent when repeats are not recognised"
                 );
             }
             Idempotency::NonIdempotent => panic!("rule 2: a non-idempotent request sent again"),
         }
     }
 
-    /// Rule 4: what went to a warming node within the window stays under an allowance of two largest
-    /// requests and what the bound of the rule allows of this host's part: of the stated units, or of the
-    /// most that the shard ever served for it in the time of a throughput window.
+    /// Checks rule 4: the units sent to a warming node within the window stay below an allowance of two
+    /// largest requests plus this host's part of the rule's bound: a part of the configured units, or of
+    /// the most that the shard ever served for this host in the time of a throughput window.
     fn check_slow_start(&self, node: usize, units: f64) {
         let config = &self.config;
         let age = self.endpoints[&node].started_at.map(|at| self.now - at);
@@ -98,13 +102,13 @@
         };
         let throughputs =
             self.served.iter().map(|served| served_within(served.at - 13_000.0, served.at) / 12_000.0);
-        let usual = config.overload_multiple * throughputs.fold(0.0, f64::max);
-        let stated =
+        let measured = config.overload_multiple * throughputs.fold(0.0, f64::max);
+        let configured =
             config.slow_start_units / config.hosts / config.slow_start_share / config.overload_window;
         let recovery = (config.slow_start_share
             + (1.0 - config.slow_start_share) * age / config.slow_start_duration)
             .min(1.0);
-        let bound = 2.0 * config.max_units + config.overload_window * recovery * usual.max(stated);
+        let bound = 2.0 * config.max_units + config.overload_window * recovery * measured.max(configured);
         let window_start = self.now - config.overload_window;
         let from = self.notified_at.get(&node).map_or(window_start, |at| at.max(window_start));
         let sent = self.sent.iter().filter(|sent| sent.node == node && sent.at >= from);
@@ -112,7 +116,8 @@
         assert!(sent + units <= bound + 1e-6, "rule 4: {sent} and {units} units to a warming node, {bound}");
     }
 
-    /// Rule 5: requests of one key run one after the other, with a quiet period after an uncertain end.
+    /// Checks rule 5: requests with the same key run one after the other, with a quiet period after an
+    /// outcome that leaves the effect uncertain.
     fn check_ordering(&self, id: usize) {
         let record = &self.requests[id];
         let key = record.request.key;
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Rule 6: retries stay within the budget.
+    /// Checks rule 6: retries stay within the budget.
     fn check_retry_budget(&mut self) {
         self.retries.push(self.now);
         let budget = self.config.budget.as_ref().unwrap();
@@ -147,7 +152,7 @@
         assert!(retries <= allowed, "rule 6: {retries} retries, {requests} requests");
     }
 
-    /// Rule 7: a limited volume's token bucket covers each first attempt.
+    /// Checks rule 7: the token bucket of a rate-limited volume covers each first attempt.
     fn check_rate_limit(&mut self, id: usize) {
         let request = &self.requests[id].request;
         let policy = &self.config.policies[request.policy];
--- a/tests/scheduler/retry_policy.rs
+++ b/tests/scheduler/retry_policy.rs
@@ -1,4 +1,4 @@
-//! Which requests run again. The reference model checks each retry against idempotency and the budget.
+//! Tests of retries. The reference model checks each retry against idempotency and the budget.
 
 use crate::simulation::*;
 use magpiewick::*;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_request_with_an_idempotency_key_that_may_have_run_stays_in_its_deduplication_scope() {
+fn a_request_with_an_idempotency_key_that_may_have_run_is_not_retried_outside_its_deduplication_scope() {
     let mut simulation = Simulation::new(config());
     let id = simulation.submit(Request { class: 1, key: Some(3), ..request_of(1) });
     simulation.outcome(id, Outcome::Reset);
--- a/tests/scheduler/rules.rs
+++ b/tests/scheduler/rules.rs
@@ -1,10 +1,10 @@
-//! The scheduler beside the reference model of the rules, on generated events.
+//! Checks of the scheduler against the reference model of the rules, on generated events.
 
 use crate::simulation::*;
 use magpiewick::*;
 use quickcheck::{Gen, QuickCheck};
 
-/// What an event is, and two choices in it.
+/// Kind of an event, and two parameters.
 type Event = (u8, u8, u8);
 
 fn generated_request(a: u8, b: u8) -> Request {
@@ -41,7 +41,8 @@
     simulation.set_endpoint(usize::from(b) / 4 % 4, state, started_at);
 }
 
-/// Whatever another host reports, about nodes that the endpoint list never named too.
+/// Applies a report of another host with arbitrary content, which may name nodes that are not in the
+/// endpoint list.
 fn receive_a_report(simulation: &mut Simulation, a: u8, b: u8) {
     let (x, y) = (usize::from(a), usize::from(b));
     let report = GossipReport {
@@ -54,9 +55,9 @@
     simulation.receive_gossip(x % 4, &[report, GossipReport { node: x % 6, ..report }]);
 }
 
-/// Plays one event: a request, an outcome, a change of the endpoint list, a disconnect, a restart, gossip,
-/// or time.
-fn play(simulation: &mut Simulation, (kind, a, b): Event) {
+/// Applies one event: a request, an outcome, a change of the endpoint list, a disconnection, a restart,
+/// gossip, or the passage of time.
+fn apply_event(simulation: &mut Simulation, (kind, a, b): Event) {
     match kind % 16 {
         0..=6 => _ = simulation.submit(generated_request(a, b)),
         7..=11 => end_an_attempt(simulation, a, b),
@@ -72,13 +73,13 @@
 }
 
 #[test]
-fn the_scheduler_keeps_every_rule_of_the_reference_model() {
+fn the_scheduler_satisfies_every_rule_of_the_reference_model() {
     fn every_request_is_answered(events: Vec<Event>) -> bool {
         let host_number = Some(0).filter(|_| !events.len().is_multiple_of(3));
         let mut simulation = Simulation::new(SchedulerConfig { host_number, ..config() });
         simulation.coalesces = events.len().is_multiple_of(2);
         for event in events {
-            play(&mut simulation, event);
+            apply_event(&mut simulation, event);
         }
         simulation.advance(2500.0);
         simulation.requests.iter().all(|record| record.completion.is_some())
@@ -89,14 +90,15 @@
 }
 
 #[test]
-fn without_received_gossip_decisions_are_those_of_a_host_that_cannot_gossip() {
+fn without_received_gossip_decisions_equal_those_of_a_host_without_gossip() {
     fn decisions_are_the_same(events: Vec<Event>) -> bool {
         let decisions = |host_number: Option<usize>| {
             let mut simulation = Simulation::new(SchedulerConfig { host_number, ..config() });
             (simulation.fixed_step, simulation.drops_gossip) = (true, true);
             for (kind, a, b) in &events {
-                // The node of a request without a shard is drawn anew at each check: there is none here.
-                play(&mut simulation, (*kind, *a, b % 230));
+                // All requests have a shard here, as the node of a request without one is drawn again at
+                // each check.
+                apply_event(&mut simulation, (*kind, *a, b % 230));
             }
             (simulation.sent, simulation.gossip_sent.is_empty())
         };
--- a/tests/scheduler/simulation.rs
+++ b/tests/scheduler/simulation.rs
@@ -1,11 +1,11 @@
-//! A simulated host: the scheduler under test, a clock, and a reference model of the rules that checks
+//! Simulated host: the scheduler under test, a clock, and a reference model of the rules that checks
 //! every decision.
 
 use magpiewick::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const ROUND: Ms = 2.0;
+const ACTION_INTERVAL: Ms = 2.0;
 const HOSTS: f64 = 2.0;
 
 pub(crate) fn config() -> SchedulerConfig {
@@ -35,7 +35,7 @@
             class(Idempotency::NonIdempotent, DeduplicationScope::Shard, false),
         ],
         policies: vec![policy(0.0), policy(40.0)],
-        action_interval: ROUND,
+        action_interval: ACTION_INTERVAL,
         max_attempts: 3,
         can_cancel: true,
         max_retry_after: 500.0,
@@ -60,7 +60,7 @@
     Endpoint { node, zone: 0, shard: node % 2, state, started_at }
 }
 
-/// An idempotent request of one unit for the first shard; tests change what they are about.
+/// Returns an idempotent request of one unit for the first shard; each test changes the relevant fields.
 pub(crate) fn request() -> Request {
     Request {
         class: 0,
@@ -76,24 +76,24 @@
     }
 }
 
-/// A request of a volume whose client waits for long.
+/// Returns a request of a volume, with a long client timeout.
 pub(crate) fn request_of(volume: usize) -> Request {
     Request { volume, client_timeout: 3000.0, ..request() }
 }
 
-/// A report without answers.
+/// Returns a report without answers.
 pub(crate) fn report(node: usize, in_flight: u32, has_queued: bool) -> GossipReport {
     GossipReport { node, in_flight, has_queued, answers: 0, queueing_delay: 0.0 }
 }
 
-/// An attempt that the scheduler decided on.
+/// Attempt that the scheduler has sent.
 pub(crate) struct Attempt {
     pub node: usize,
     pub sent_at: Ms,
     pub timeout: Ms,
-    /// How it ended, and when.
+    /// Outcome and time of the end.
     pub ended: Option<(Outcome, Ms)>,
-    /// The request that it was coalesced with; its own where it left first.
+    /// First request of its batch, which may be its own request.
     pub first: usize,
 }
 
@@ -107,16 +107,16 @@
     }
 }
 
-/// What became of a request.
+/// Completion of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Completion {
-    /// A node answered it, or its client disconnected.
+    /// A node answered, or the client disconnected.
     WithoutFinalStatus,
-    /// The host gave it this final answer.
+    /// The host gave this final answer.
     WithFinalStatus(FinalStatus),
 }
 
-/// A request and all that happened to it.
+/// Request and its history.
 pub(crate) struct RequestRecord {
     pub request: Request,
     pub arrived_at: Ms,
@@ -144,13 +144,13 @@
         }
     }
 
-    /// The nodes that its attempts went to.
+    /// Returns the nodes that its attempts went to.
     pub(crate) fn nodes(&self) -> Vec<usize> {
         self.attempts.iter().map(|attempt| attempt.node).collect()
     }
 }
 
-/// Units that were sent to a node or served by it.
+/// Units that were sent to a node or that a node served.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Transfer {
     pub at: Ms,
@@ -163,26 +163,27 @@
     pub config: SchedulerConfig,
     pub scheduler: Scheduler,
     pub endpoints: BTreeMap<usize, Endpoint>,
-    /// Every request since the host started, by index.
+    /// All requests since the host started, by index.
     pub requests: Vec<RequestRecord>,
-    /// What was sent and served, over restarts of the host too.
+    /// Units sent and served, including the time before restarts of the host.
     pub sent: Vec<Transfer>,
     pub served: Vec<Transfer>,
-    /// When retries were sent.
+    /// Times at which retries were sent.
     pub retries: Vec<Ms>,
-    /// Tokens and time of each limited volume's true bucket, over restarts of the host too.
+    /// Tokens of each limited volume's actual bucket and the time of its last refill, including the time
+    /// before restarts of the host.
     pub token_buckets: BTreeMap<usize, (f64, Ms)>,
-    /// When the host was notified of each node's present process.
+    /// Time at which the host was notified of each node's current process.
     pub notified_at: BTreeMap<usize, Ms>,
     pub polls: u32,
     pub gossip_sent: Vec<Vec<GossipReport>>,
-    /// Requests whose attempt was cancelled; the outcome comes as time advances.
+    /// Requests whose attempt was cancelled; the outcome is reported when time advances.
     pub cancelled: Vec<usize>,
-    /// Time advances by a round at a time.
+    /// True if time advances by one action interval at a time.
     pub fixed_step: bool,
-    /// Gossip of other hosts is lost on its way.
+    /// True if gossip of other hosts is lost.
     pub drops_gossip: bool,
-    /// All pending requests are offered for coalescing with each request that is sent.
+    /// True if all pending requests are offered for coalescing with each request that is sent.
     pub coalesces: bool,
 }
 
@@ -212,7 +213,7 @@
         simulation
     }
 
-    /// A host whose window at the first node is full, so that further requests are queued.
+    /// Returns a host whose window at the first node is full, so that further requests are queued.
     pub(crate) fn with_full_window(config: SchedulerConfig) -> Simulation {
         let mut simulation = Simulation::new(config);
         simulation.fill_window();
@@ -227,7 +228,8 @@
         }
     }
 
-    /// Submits requests of a kind to the first node until one is not sent; none of them is ever answered.
+    /// Submits copies of a request to the first node until one is not sent; none of them is ever
+    /// answered.
     pub(crate) fn fill_window_with(&mut self, request: &Request) {
         loop {
             let id = self.submit(request.clone());
@@ -237,35 +239,35 @@
         }
     }
 
-    /// Submits several requests of a kind; their indices.
+    /// Submits several copies of a request and returns their indices.
     pub(crate) fn submit_all(&mut self, count: usize, request: &Request) -> Vec<usize> {
         (0..count).map(|_| self.submit(request.clone())).collect()
     }
 
-    /// How many requests are in flight that had an attempt at a node.
+    /// Returns the number of requests in flight that had an attempt at a node.
     pub(crate) fn in_flight_at(&self, node: usize) -> usize {
         let in_flight = self.requests.iter().filter(|record| record.is_in_flight());
         in_flight.filter(|record| record.nodes().contains(&node)).count()
     }
 
-    /// How many attempts a request had.
+    /// Returns the number of attempts of a request.
     pub(crate) fn attempts(&self, id: usize) -> usize {
         self.requests[id].attempts.len()
     }
 
-    /// The nodes that the attempts of a request went to.
+    /// Returns the nodes that the attempts of a request went to.
     pub(crate) fn nodes(&self, id: usize) -> Vec<usize> {
         self.requests[id].nodes()
     }
 
-    /// The order in which queued requests leave as all that is in flight is answered.
+    /// Returns the order in which queued requests are sent while all attempts in flight are answered.
     pub(crate) fn dispatch_order(&mut self, queued: &[usize]) -> Vec<usize> {
         let mut order = Vec::new();
         for id in 0..self.requests.len() {
             self.outcome(id, Outcome::Succeeded);
-            let has_left = |id: &&usize| self.attempts(**id) > 0 && !order.contains(*id);
-            let left: Vec<usize> = queued.iter().filter(has_left).copied().collect();
-            order.extend(left);
+            let was_sent = |id: &&usize| self.attempts(**id) > 0 && !order.contains(*id);
+            let newly_sent: Vec<usize> = queued.iter().filter(was_sent).copied().collect();
+            order.extend(newly_sent);
         }
         order
     }
@@ -277,14 +279,14 @@
     }
 
     pub(crate) fn set_endpoint(&mut self, node: usize, state: EndpointState, started_at: Option<Ms>) {
-        let former = self.endpoints.insert(node, endpoint(node, state, started_at));
-        if former.is_none_or(|former| former.started_at != started_at) {
+        let previous = self.endpoints.insert(node, endpoint(node, state, started_at));
+        if previous.is_none_or(|previous| previous.started_at != started_at) {
             self.notified_at.insert(node, self.now);
         }
         self.update_endpoints(EndpointUpdate::Delta);
     }
 
-    /// The host is killed and starts again with nothing but its last endpoint list.
+    /// Kills the host and restarts it with only its last endpoint list.
     pub(crate) fn restart(&mut self) {
         self.requests.clear();
         self.retries.clear();
@@ -293,7 +295,7 @@
         self.update_endpoints(EndpointUpdate::Restored);
     }
 
-    /// A request arrives; its index.
+    /// Submits a request and returns its index.
     pub(crate) fn submit(&mut self, request: Request) -> usize {
         let id = self.requests.len();
         let arrived_at = self.now;
@@ -314,7 +316,7 @@
         }
     }
 
-    /// Offers all pending requests for coalescing with one that was just sent.
+    /// Offers all pending requests for coalescing with a request that was just sent.
     fn offer_for_coalescing(&mut self, first: usize, first_node: usize) {
         let offered = if self.coalesces { self.requests.len() } else { 0 };
         for id in 0..offered {
@@ -331,7 +333,7 @@
         }
     }
 
-    /// The attempt in flight of a request ends, if there is one.
+    /// Ends the attempt in flight of a request, if there is one.
     pub(crate) fn outcome(&mut self, id: usize, outcome: Outcome) {
         let (now, record) = (self.now, &mut self.requests[id]);
         let request_finished = record.completion.is_some() || outcome == Outcome::Succeeded;
@@ -351,7 +353,7 @@
         self.run_actions();
     }
 
-    /// The client of a request disconnects.
+    /// Disconnects the client of a request.
     pub(crate) fn disconnect(&mut self, id: usize) {
         if self.requests[id].completion.is_none() {
             self.requests[id].completion = Some(Completion::WithoutFinalStatus);
@@ -360,7 +362,7 @@
         }
     }
 
-    /// Another host reports.
+    /// Delivers the reports of another host.
     pub(crate) fn receive_gossip(&mut self, from: usize, reports: &[GossipReport]) {
         if !self.drops_gossip {
             self.scheduler.on_gossip(self.now, from, reports);
@@ -368,14 +370,14 @@
         }
     }
 
-    /// The data of a request lies on another shard now.
+    /// Moves the data of a request to another shard.
     pub(crate) fn move_to_shard(&mut self, id: usize, shard: usize) {
         self.requests[id].request.shard = Some(shard);
         self.scheduler.on_shard_moved(self.now, id, shard);
         self.run_actions();
     }
 
-    /// Carries out all actions that are due; when the next one is.
+    /// Carries out all due actions and returns the time of the next one.
     fn run_actions(&mut self) -> Ms {
         for _ in 0..10_000 {
             match self.scheduler.next_action(self.now) {
@@ -384,13 +386,14 @@
                 Action::CheckHealth(_) => {}
                 Action::PollEndpoints => self.polls += 1,
                 Action::SendGossip { reports, .. } => self.gossip_sent.push(reports),
-                Action::WaitUntil(at) => return at.max(self.now + ROUND),
+                Action::WaitUntil(at) => return at.max(self.now + ACTION_INTERVAL),
             }
         }
         panic!("the scheduler names no time to wait until");
     }
 
-    /// Carries out all that is due without a look at the reference model; how many requests got their final answer.
+    /// Carries out all due actions without the reference model, and returns the number of requests that
+    /// got their final answer.
     pub(crate) fn run_due(&mut self) -> usize {
         let mut finished = 0;
         loop {
@@ -405,12 +408,16 @@
         }
     }
 
-    /// Lets time advance, with cancellations and time-outs, and checks that no answer is overdue.
+    /// Advances time, with cancellations and time-outs, and checks that no answer is overdue.
     pub(crate) fn advance(&mut self, time: Ms) {
         let end = self.now + time;
         while self.now < end {
             let until = self.run_actions();
-            self.now = if self.fixed_step { self.now + ROUND } else { until.min(self.now + 10.0).min(end) };
+            self.now = if self.fixed_step {
+                self.now + ACTION_INTERVAL
+            } else {
+                until.min(self.now + 10.0).min(end)
+            };
             for id in std::mem::take(&mut self.cancelled) {
                 self.outcome(id, Outcome::Cancelled);
             }
@@ -429,13 +436,13 @@
     }
 }
 
-/// Processor time of this thread: how busy the machine is does not count.
+/// Returns the processor time of this thread, which does not depend on other load of the machine.
 fn processor_time() -> Duration {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// The shortest of several processor times that a step takes, each on a simulation of its own.
+/// Returns the shortest of several processor times of a step, each measured on its own simulation.
 pub(crate) fn shortest_time(simulation: impl Fn() -> Simulation, step: impl Fn(&mut Simulation)) -> Duration {
     let time_once = |_| {
         let mut simulation = simulation();
--- a/tests/scheduler/slow_start.rs
+++ b/tests/scheduler/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a warming node is sent.
+//! Tests of the load that warming nodes receive.
 
 use crate::simulation::*;
 use magpiewick::*;
@@ -6,41 +6,41 @@
 const HOSTS: usize = 40;
 const STEP: Ms = 25.0;
 
-/// How many hosts together load a warming node.
+/// Load on a warming node from many hosts together.
 struct WarmingLoad {
-    /// The most of its overload bound that any window held.
+    /// Largest fraction of its overload bound that any window reached.
     bound_used: f64,
-    /// What was sent over what the node could do while it warmed up.
+    /// Units sent during the slow start as a fraction of the node's capacity in that time.
     capacity_used: f64,
 }
 
-fn submit_and_answer(simulation: &mut Simulation, turn: usize) {
-    let id = simulation.submit(Request { units: 1.0 + (turn % 4) as f64, ..request_of(1) });
+fn submit_and_answer(simulation: &mut Simulation, step: usize) {
+    let id = simulation.submit(Request { units: 1.0 + (step % 4) as f64, ..request_of(1) });
     simulation.outcome(id, Outcome::Succeeded);
 }
 
-/// Forty hosts at a node that starts anew while demand trebles.
+/// Simulates forty hosts at a node that restarts while demand trebles.
 fn load_of_many_hosts(hosts_restart: bool) -> WarmingLoad {
     let config = SchedulerConfig { hosts: HOSTS as f64, ..config() };
     let mut hosts: Vec<Simulation> = (0..HOSTS as u64)
         .map(|host| Simulation::new(SchedulerConfig { seed: 7 + host, ..config.clone() }))
         .collect();
-    for turn in 0..520 {
+    for step in 0..520 {
         hosts.iter_mut().for_each(|simulation| simulation.advance(STEP));
-        submit_and_answer(&mut hosts[turn % HOSTS], turn / HOSTS);
+        submit_and_answer(&mut hosts[step % HOSTS], step / HOSTS);
     }
     let (restarted_at, capacity) = (hosts[0].now, 2.5 / STEP);
-    for turn in 0..160 {
+    for step in 0..160 {
         for (host, simulation) in hosts.iter_mut().enumerate() {
             simulation.advance(STEP);
-            if turn == host {
+            if step == host {
                 simulation.set_endpoint(0, EndpointState::Ready, Some(restarted_at));
             }
-            if hosts_restart && turn == 40 + 3 * host {
+            if hosts_restart && step == 40 + 3 * host {
                 simulation.restart();
             }
-            if turn > host && (turn + host) % 10 == 0 {
-                submit_and_answer(simulation, turn / 10);
+            if step > host && (step + host) % 10 == 0 {
+                submit_and_answer(simulation, step / 10);
             }
         }
     }
