--- a/crates/engine/src/accept_backoff.rs
+++ b/crates/engine/src/accept_backoff.rs
@@ -1,33 +1,33 @@
-//! When connections are accepted again after the system has refused to; free of I/O.
+//! Backoff of accepting connections after the system has failed to accept one; free of I/O.
 
 use magpiewick::Ms;
 
-/// Refusals in a row after which it is tried again at once: a call that failed by chance must not hold up the clients
-/// that are waiting, whose requests count as received.
+/// Number of consecutive failures that are retried immediately: a single failed call must not delay waiting
+/// clients, whose requests count as received.
 const IMMEDIATE_RETRIES: u32 = 3;
-/// The first pause after that, and the longest; each is twice the one before. Without a pause the event loop would
-/// spin.
+/// First pause after the immediate retries, and the longest; each pause is twice the one before. Without a pause
+/// the event loop would spin.
 const FIRST_PAUSE_MS: Ms = 2.0;
 const MAX_PAUSE_MS: Ms = 50.0;
 
-/// How often the system has refused in a row.
+/// Backoff by the number of consecutive failures.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AcceptBackoff {
-    refusals: u32,
+    failures: u32,
 }
 
 impl AcceptBackoff {
-    /// A connection was accepted, or none was waiting.
+    /// Resets the backoff after a connection was accepted or none was waiting.
     pub fn reset(&mut self) {
-        self.refusals = 0;
+        self.failures = 0;
     }
 
-    /// The system refused once more: how long to wait, none to try again at once.
+    /// Counts a failure and returns the pause before the next try, or none for an immediate retry.
     #[must_use]
     pub fn next_pause(&mut self) -> Option<Ms> {
-        self.refusals = self.refusals.saturating_add(1);
-        let pauses_before = self.refusals.checked_sub(IMMEDIATE_RETRIES + 1)?;
-        Some((FIRST_PAUSE_MS * 2f64.powi(pauses_before.min(10) as i32)).min(MAX_PAUSE_MS))
+        self.failures = self.failures.saturating_add(1);
+        let previous_pauses = self.failures.checked_sub(IMMEDIATE_RETRIES + 1)?;
+        Some((FIRST_PAUSE_MS * 2f64.powi(previous_pauses.min(10) as i32)).min(MAX_PAUSE_MS))
     }
 }
 
--- a/crates/engine/src/accept_backoff/tests.rs
+++ b/crates/engine/src/accept_backoff/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_refusal_by_chance_delays_no_connection() {
+fn few_consecutive_failures_cause_no_pause() {
     let mut backoff = AcceptBackoff::default();
     for _ in 0..100 {
         assert!((0..IMMEDIATE_RETRIES).all(|_| backoff.next_pause().is_none()));
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn pauses_grow_while_the_system_goes_on_refusing() {
+fn pauses_grow_with_consecutive_failures() {
     let mut backoff = AcceptBackoff::default();
     let pauses: Vec<Option<Ms>> = (0..100).map(|_| backoff.next_pause()).collect();
     let first: Vec<Ms> = pauses.iter().flatten().copied().take(6).collect();
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: requests in hand, ids, and the calls on the scheduler.
+//! Engine: pending requests, their ids, and the calls to the scheduler.
 
 use crate::environment::{AttemptRef, Environment};
 use crate::id_table::RecentIdTable;
@@ -9,37 +9,38 @@
     RouteDecision, Scheduler, SchedulerConfig,
 };
 
-/// Keys known at once; more than a host can have in hand.
+/// Largest number of keys in use at a time; more than a host can have pending.
 const MAX_KEYS: usize = 100_000;
-/// Volumes known at once. A volume that returns after that many others may share the token buckets of another, which
-/// matters only where neither has been idle long enough for them to fill up.
+/// Largest number of volumes in use at a time. A volume that is used again after that many others may share the
+/// token buckets of another volume, which matters only where neither has been idle long enough for the buckets to
+/// fill.
 const MAX_VOLUMES: usize = 20_000;
 
-/// A request as it stands on a wire, before its ids are mapped.
+/// Request as received on a wire, before its ids are mapped.
 pub struct IncomingRequest {
-    /// The driver's id, never used again.
+    /// Driver's id of the request, which must not be reused.
     pub id: u64,
-    /// The driver's id of its key; 0 where it has none.
+    /// Driver's id of the key; 0 for a request without a key.
     pub key: u64,
-    /// The driver's id of its volume.
+    /// Driver's id of the volume.
     pub volume: u64,
-    /// All else of it; the engine sets its volume and key.
+    /// Other properties of the request; the engine sets the volume and the key.
     pub request: Request,
 }
 
-/// The requests of one host and the scheduler that decides on them.
+/// Requests of one host and the scheduler that decides on them.
 pub struct Engine {
     scheduler: Scheduler,
     nodes: NodeTable,
     volumes: RecentIdTable,
     keys: RecentIdTable,
     requests: RequestTable,
-    /// The batch that is about to be sent; empty between calls, kept for its allocation.
+    /// Batch under construction; empty between calls and kept for its allocation.
     batch: Vec<AttemptRef>,
 }
 
 impl Engine {
-    /// An engine without requests and nodes.
+    /// Creates an engine without requests and nodes.
     pub fn new(config: SchedulerConfig, now: Ms) -> Engine {
         Engine {
             scheduler: Scheduler::new(config, now),
@@ -51,18 +52,18 @@
         }
     }
 
-    /// Requests without their final answer, and finished ones that still have an attempt in flight.
+    /// Returns the number of requests that have no final answer or still have an attempt in flight.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether the endpoint list may be relied on; while it may not, nothing new is sent.
+    /// Sets whether the endpoint list has expired; while the list is expired, no new attempt is sent.
     pub fn set_endpoint_list_expired(&mut self, expired: bool) {
         self.scheduler.set_endpoint_list_expired(expired);
     }
 
-    /// An update of the endpoint list; `endpoints` are named by the driver's node ids.
+    /// Applies an update of the endpoint list; `endpoints` are named by the driver's node ids.
     pub fn on_endpoint_update(&mut self, now: Ms, update: EndpointUpdate, endpoints: &[(u32, Endpoint)]) {
         let mut mapped = Vec::with_capacity(endpoints.len());
         for (id, endpoint) in endpoints {
@@ -72,7 +73,7 @@
         self.scheduler.on_endpoint_update(now, update, &mapped);
     }
 
-    /// A new request: routes it, queues it or answers it.
+    /// Submits a new request: routes, queues or answers it.
     pub fn submit(&mut self, now: Ms, incoming: IncomingRequest, environment: &mut impl Environment) {
         let mut request = incoming.request;
         request.volume = self.volumes.index_of(incoming.volume);
@@ -87,7 +88,7 @@
             RouteDecision::Send { node, timeout, send_by } => {
                 self.batch.push(pending.begin_attempt(timeout, send_by));
                 while let Some(other) = environment.next_coalesced(&self.batch) {
-                    self.route_with(now, slot, other);
+                    self.route_coalesced(now, slot, other);
                 }
                 environment.send(self.nodes.id(node), &self.batch);
                 self.batch.clear();
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Asks the scheduler whether a request may join the batch of the one at `first`, which leaves now.
-    fn route_with(&mut self, now: Ms, first: usize, other: u64) {
+    /// Adds a request to the batch of the one at `first`, which is sent now, if the scheduler permits this.
+    fn route_coalesced(&mut self, now: Ms, first: usize, other: u64) {
         let Some(slot) = self.requests.slot_of(other) else { return };
         let Some(pending) = self.requests.get_mut(slot) else { return };
         pending.request_mut().coalesce_with = Some(first);
@@ -128,8 +129,8 @@
         }
     }
 
-    /// The host shuts down: a queued request gets its final answer now. One with an attempt in flight waits for the
-    /// outcome.
+    /// Ends a queued request with its final answer when the host shuts down. A request with an attempt in flight
+    /// waits for the outcome.
     pub fn finish(&mut self, now: Ms, id: u64, environment: &mut impl Environment) {
         let Some(slot) = self.requests.slot_of(id) else { return };
         if self.requests.get(slot).is_some_and(|pending| pending.is_queued()) {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// The client disconnected or cancelled: no answer is due any more, but attempts in flight go on.
+    /// Records that the client has disconnected or cancelled: no answer is sent, but attempts in flight continue.
     pub fn on_client_disconnect(&mut self, now: Ms, id: u64) {
         let Some(slot) = self.requests.slot_of(id) else { return };
         let Some(pending) = self.requests.get_mut(slot) else { return };
@@ -149,14 +150,14 @@
         }
     }
 
-    /// A message from another host. Reports on nodes that this host's list has not named are ignored.
+    /// Applies a message from another host. Reports on nodes that this host's list has not named are ignored.
     pub fn on_gossip(&mut self, now: Ms, from: usize, reports: &[(u16, GossipReport)]) {
         let resolved: Vec<GossipReport> =
             reports.iter().filter_map(|report| self.nodes.resolve(report)).collect();
         self.scheduler.on_gossip(now, from, &resolved);
     }
 
-    /// The data of a request lies on another shard now.
+    /// Records that the data of a request has moved to another shard.
     pub fn on_shard_moved(&mut self, now: Ms, id: u64, shard: usize) {
         let Some(slot) = self.requests.slot_of(id) else { return };
         let Some(pending) = self.requests.get_mut(slot) else { return };
@@ -164,7 +165,7 @@
         self.scheduler.on_shard_moved(now, slot, shard);
     }
 
-    /// Does all that is due and schedules the next call.
+    /// Carries out all due actions and schedules the next call.
     pub fn run(&mut self, now: Ms, environment: &mut impl Environment) {
         loop {
             match self.scheduler.next_action(now) {
@@ -178,7 +179,7 @@
                 Action::PollEndpoints => environment.poll_endpoints(),
                 Action::SendGossip { to, reports } => {
                     let reports: Vec<(u16, GossipReport)> =
-                        reports.iter().map(|report| self.nodes.tagged(report)).collect();
+                        reports.iter().map(|report| self.nodes.to_tagged(report)).collect();
                     environment.send_gossip(&to, &reports);
                 }
                 Action::WaitUntil(until) => return environment.schedule_run(until),
--- a/crates/engine/src/environment.rs
+++ b/crates/engine/src/environment.rs
@@ -1,38 +1,40 @@
-//! What the engine asks of its driver.
+//! Interface between the engine and its driver.
 
 use magpiewick::{FinalStatus, GossipReport, Ms, Outcome};
 use std::fmt;
 
-/// One attempt of a request at a node.
+/// Attempt of a request at a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptRef {
-    /// The driver's id of the request.
+    /// Driver's id of the request.
     pub request_id: u64,
-    /// The number of the attempt, counted from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
-    /// How long after the send the outcome is due.
+    /// Time from the send until the outcome is due.
     pub timeout: Ms,
-    /// When the attempt must have left the host, if it has not yet.
+    /// Latest time at which the attempt may leave the host.
     pub send_by: Ms,
 }
 
-/// The driver of an engine: sockets, the simulator's wire, or a test. No method may call the engine back; what
-/// results from a call is reported to the engine afterwards.
+/// Driver of an engine: sockets, the simulator's wire, or a test. No method may call the engine; the results of a
+/// call are reported to the engine afterwards.
 pub trait Environment {
-    /// Sends attempts to a node, several as one batch. The outcome of each is reported by itself.
+    /// Sends attempts to a node, several as one batch. The driver reports the outcome of each attempt separately.
     fn send(&mut self, node: u32, attempts: &[AttemptRef]);
 
-    /// Another pending request that may join the attempts that are about to be sent. A request that was returned
-    /// and is not the last of `attempts` at the next call was not admitted to the batch. Nothing is coalesced by
-    /// default.
+    /// Returns another pending request that may join the batch about to be sent. A returned request that is not the
+    /// last of `attempts` at the next call was not admitted to the batch. The default implementation coalesces
+    /// nothing.
     fn next_coalesced(&mut self, _attempts: &[AttemptRef]) -> Option<u64> {
         None
     }
 
-    /// Stops waiting for an attempt. Its outcome is still to be reported: the one on the way, or `Cancelled`.
+    /// Stops waiting for an attempt. The driver still reports its outcome: either the one being received, or
+    /// `Cancelled`.
     fn cancel(&mut self, request_id: u64, attempt: u32);
 
-    /// Delivers the one final answer that the host gives itself; the driver passes on a succeeded one.
+    /// Delivers a final answer that the host itself gives, exactly one per request; the driver passes on a
+    /// successful one.
     fn answer(&mut self, request_id: u64, status: FinalStatus, reason: Reason);
 
     /// Sends a health check to a node.
@@ -41,7 +43,7 @@
     /// Requests the endpoint list and its changes from now on.
     fn poll_endpoints(&mut self);
 
-    /// Sends reports on nodes, named by their tags, to other hosts, named by their numbers. Messages may get lost.
+    /// Sends reports on nodes, named by their tags, to other hosts, named by their numbers. Messages may be lost.
     fn send_gossip(&mut self, _hosts: &[usize], _reports: &[(u16, GossipReport)]) {}
 
     /// Schedules a call of [`Engine::run`](crate::Engine::run) at this time at the latest. A later call replaces an
@@ -49,17 +51,17 @@
     fn schedule_run(&mut self, at: Ms);
 }
 
-/// Why a host ended a request itself.
+/// Reason for which a host ended a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It had no attempt: it was rejected, or no slot came free in time.
+    /// The request had no attempt: it was rejected, or no slot became free in time.
     NoAttempt,
-    /// Its last attempt ended with this outcome.
+    /// The last attempt ended with this outcome.
     After(Outcome),
 }
 
 impl Reason {
-    /// The stable word for it in logs, on the wire and on the operators' page.
+    /// Returns the stable name of the reason in logs, on the wire and on the operators' page.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::NoAttempt => "waited",
--- a/crates/engine/src/id_table.rs
+++ b/crates/engine/src/id_table.rs
@@ -2,21 +2,21 @@
 
 use std::collections::HashMap;
 
-/// Ids of a bounded set, numbered in the order in which they were first seen.
+/// Table of ids from a bounded set, numbered in the order of first use.
 #[derive(Default)]
 pub(crate) struct IdTable(HashMap<u32, usize>);
 
 impl IdTable {
-    /// The index of an id; a new id gets the next one.
+    /// Returns the index of an id; a new id gets the next one.
     pub(crate) fn index_of(&mut self, id: u32) -> usize {
         let next = self.0.len();
         *self.0.entry(id).or_insert(next)
     }
 }
 
-/// Indices for ids of an unbounded set, such as keys and volumes. Ids that are not among the recent ones are
-/// evicted and their indices reused, so that state kept by index stays bounded. A caller that uses more than
-/// `capacity` ids at once would see one index stand for two ids.
+/// Table of ids from an unbounded set, such as keys and volumes. Ids that are not recent are evicted and their
+/// indices reused, so that state stored by index remains bounded. If more than `capacity` ids are in use at a time,
+/// two ids may share an index.
 pub(crate) struct RecentIdTable {
     capacity: usize,
     current: HashMap<u64, usize>,
@@ -26,7 +26,7 @@
 }
 
 impl RecentIdTable {
-    /// A table that keeps at least the last `capacity` ids, and less than twice as many.
+    /// Creates a table that keeps at least the last `capacity` ids, and less than twice as many.
     pub(crate) fn new(capacity: usize) -> RecentIdTable {
         RecentIdTable {
             capacity,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The index of an id, which counts as recent from now on.
+    /// Returns the index of an id and marks the id as recent.
     pub(crate) fn index_of(&mut self, id: u64) -> usize {
         if let Some(&index) = self.current.get(&id) {
             return index;
@@ -45,8 +45,8 @@
         if self.current.len() >= self.capacity {
             self.start_generation();
         }
-        let known = self.previous.remove(&id).or_else(|| self.free_indices.pop());
-        let index = known.unwrap_or_else(|| {
+        let reused = self.previous.remove(&id).or_else(|| self.free_indices.pop());
+        let index = reused.unwrap_or_else(|| {
             self.highest_index += 1;
             self.highest_index
         });
@@ -54,7 +54,7 @@
         index
     }
 
-    /// Evicts the previous generation; the current one takes its place.
+    /// Evicts the previous generation and replaces it by the current one.
     fn start_generation(&mut self) {
         let evicted = std::mem::replace(&mut self.previous, std::mem::take(&mut self.current));
         let first_freed = self.free_indices.len();
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,11 +1,11 @@
-//! The engine of one host: the requests in hand, the ids of a wire and the calls on the scheduler.
+//! Engine of one host: pending requests, the ids of a wire and the calls to the scheduler.
 //!
-//! The engine is free of I/O and decides nothing. A driver calls it when something happened, with the time in
-//! milliseconds on a monotonic clock; the engine asks the scheduler and calls the driver's [`Environment`] for what
-//! is to be done. The simulator's adapter, the gateway and the platform are such drivers, so that the simulator
-//! measures the code that serves.
+//! The engine does no I/O and makes no decisions. A driver calls the engine on each event, with the time in
+//! milliseconds on a monotonic clock; the engine calls the scheduler and the driver's [`Environment`] to carry out
+//! the decisions. The simulator's adapter, the gateway and the platform are drivers, so the simulator runs the same
+//! code as production.
 //!
-//! Ids of requests, nodes, volumes and keys are the driver's own; a request's id must never be used again.
+//! The driver assigns the ids of requests, nodes, volumes and keys; the id of a request must not be reused.
 
 mod accept_backoff;
 mod engine;
--- a/crates/engine/src/node_table.rs
+++ b/crates/engine/src/node_table.rs
@@ -1,48 +1,48 @@
-//! The nodes that an endpoint list has named: their ids, indices and gossip tags.
+//! Nodes that an endpoint list has named: their ids, indices and gossip tags.
 
 use crate::id_table::IdTable;
 use magpiewick::GossipReport;
 use std::collections::HashMap;
 
-/// Maps node ids to the scheduler's indices and to the tags by which hosts name nodes to each other.
+/// Map from node ids to the scheduler's indices and to the tags by which hosts name nodes in gossip.
 #[derive(Default)]
 pub(crate) struct NodeTable {
     indices: IdTable,
     ids: Vec<u32>,
-    /// The node of a tag; none where several nodes share it.
-    index_of_tag: HashMap<u16, Option<usize>>,
+    /// Node index of a tag; none for a tag that several nodes share.
+    index_by_tag: HashMap<u16, Option<usize>>,
 }
 
 impl NodeTable {
-    /// The index of a node; a new node gets the next one.
+    /// Returns the index of a node; a new node gets the next one.
     pub(crate) fn index_of(&mut self, id: u32) -> usize {
         let index = self.indices.index_of(id);
         if index == self.ids.len() {
             self.ids.push(id);
-            let shared = self.index_of_tag.entry(tag(id));
-            shared.and_modify(|index| *index = None).or_insert(Some(index));
+            let entry = self.index_by_tag.entry(tag(id));
+            entry.and_modify(|index| *index = None).or_insert(Some(index));
         }
         index
     }
 
-    /// The id of the node with this index.
+    /// Returns the id of the node with this index.
     pub(crate) fn id(&self, index: usize) -> u32 {
         self.ids[index]
     }
 
-    /// A report with the tag of its node, for other hosts.
-    pub(crate) fn tagged(&self, report: &GossipReport) -> (u16, GossipReport) {
+    /// Returns a report with the tag of its node, for other hosts.
+    pub(crate) fn to_tagged(&self, report: &GossipReport) -> (u16, GossipReport) {
         (tag(self.ids[report.node]), *report)
     }
 
-    /// A report from another host with the index of its node; none where the tag names no node, or several.
+    /// Returns a report from another host with the index of its node, or none if the tag names no node or several.
     pub(crate) fn resolve(&self, (tag, report): &(u16, GossipReport)) -> Option<GossipReport> {
-        let node = (*self.index_of_tag.get(tag)?)?;
+        let node = (*self.index_by_tag.get(tag)?)?;
         Some(GossipReport { node, ..*report })
     }
 }
 
-/// The name of a node between hosts: part of its id, scattered, as ids may differ in any bits.
+/// Returns the name of a node in gossip: part of a hash of its id, as ids may differ in any bits.
 fn tag(id: u32) -> u16 {
     const GOLDEN_RATIO: u32 = 0x9e37_79b1;
     (id.wrapping_mul(GOLDEN_RATIO) >> 16) as u16
--- a/crates/engine/src/pending_request.rs
+++ b/crates/engine/src/pending_request.rs
@@ -1,10 +1,10 @@
-//! A request in the engine's hands, and the slots that hold them.
+//! Pending requests of the engine, and the slots that hold them.
 
 use crate::environment::{AttemptRef, Reason};
 use magpiewick::{Ms, Outcome, Request};
 use std::collections::HashMap;
 
-/// A request until it has its final answer and no attempt in flight.
+/// Request that has no final answer or still has an attempt in flight.
 pub(crate) struct PendingRequest {
     id: u64,
     request: Request,
@@ -19,42 +19,42 @@
         PendingRequest { id, request, attempts: 0, in_flight: 0, finished: false, last_outcome: None }
     }
 
-    /// The driver's id.
+    /// Returns the driver's id.
     pub(crate) fn id(&self) -> u64 {
         self.id
     }
 
-    /// The request as the scheduler knows it.
+    /// Returns the request as passed to the scheduler.
     pub(crate) fn request(&self) -> &Request {
         &self.request
     }
 
-    /// The request as the scheduler knows it, to change where its data lies or what it travels with.
+    /// Returns the request as passed to the scheduler, for changes of its shard or batch.
     pub(crate) fn request_mut(&mut self) -> &mut Request {
         &mut self.request
     }
 
-    /// Whether it has its final answer, or nobody waits for one.
+    /// Returns whether the request has its final answer or its client has disconnected.
     pub(crate) fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// Whether it has neither its final answer nor an attempt in flight.
+    /// Returns whether the request has neither its final answer nor an attempt in flight.
     pub(crate) fn is_queued(&self) -> bool {
         !self.finished && self.in_flight == 0
     }
 
-    /// Whether an attempt of this number was ever begun.
+    /// Returns whether an attempt of this number was ever started.
     pub(crate) fn has_begun(&self, attempt: u32) -> bool {
         attempt < self.attempts
     }
 
-    /// Why the host ends it, if it ends it now.
+    /// Returns the reason to report if the host ends the request now.
     pub(crate) fn reason(&self) -> Reason {
         self.last_outcome.map_or(Reason::NoAttempt, Reason::After)
     }
 
-    /// Counts a new attempt.
+    /// Counts and returns a new attempt.
     pub(crate) fn begin_attempt(&mut self, timeout: Ms, send_by: Ms) -> AttemptRef {
         assert!(!self.finished, "an attempt of request {}, which is finished", self.id);
         self.attempts += 1;
@@ -62,8 +62,8 @@
         AttemptRef { request_id: self.id, attempt: self.attempts - 1, timeout, send_by }
     }
 
-    /// Counts the outcome of an attempt; `finishes` where the request has its final answer by it. Returns whether
-    /// the request is finished.
+    /// Counts the outcome of an attempt; `finishes` is true if the outcome is the final answer of the request.
+    /// Returns whether the request is finished.
     pub(crate) fn end_attempt(&mut self, outcome: Outcome, finishes: bool) -> bool {
         assert!(self.in_flight > 0, "an outcome for request {}, which has no attempt in flight", self.id);
         self.in_flight -= 1;
@@ -72,14 +72,14 @@
         self.finished
     }
 
-    /// Marks that it has its final answer.
+    /// Marks the request as finished.
     pub(crate) fn finish(&mut self) {
         assert!(!self.finished, "a second final answer for request {}", self.id);
         self.finished = true;
     }
 }
 
-/// The pending requests by slot; a slot is reused once its request is released.
+/// Pending requests by slot; a slot is reused when its request has been released.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     slots: Vec<Option<PendingRequest>>,
@@ -88,7 +88,7 @@
 }
 
 impl RequestTable {
-    /// Requests that are not released.
+    /// Returns the number of requests that are not released.
     pub(crate) fn len(&self) -> usize {
         self.slot_of_id.len()
     }
@@ -105,22 +105,22 @@
         slot
     }
 
-    /// The slot of a request that is not released.
+    /// Returns the slot of a request that is not released.
     pub(crate) fn slot_of(&self, id: u64) -> Option<usize> {
         self.slot_of_id.get(&id).copied()
     }
 
-    /// The request in a slot.
+    /// Returns the request in a slot.
     pub(crate) fn get(&self, slot: usize) -> Option<&PendingRequest> {
         self.slots[slot].as_ref()
     }
 
-    /// The request in a slot, to change it.
+    /// Returns the request in a slot for modification.
     pub(crate) fn get_mut(&mut self, slot: usize) -> Option<&mut PendingRequest> {
         self.slots[slot].as_mut()
     }
 
-    /// Frees the slot where its request is finished and has no attempt in flight.
+    /// Frees a slot if its request is finished and has no attempt in flight.
     pub(crate) fn release(&mut self, slot: usize) {
         if let Some(pending) = self.slots[slot].take_if(|p| p.finished && p.in_flight == 0) {
             self.slot_of_id.remove(&pending.id);
--- a/crates/engine/src/stall_detector/tests.rs
+++ b/crates/engine/src/stall_detector/tests.rs
@@ -2,7 +2,7 @@
 use quickcheck::quickcheck;
 
 #[test]
-fn a_stall_ages_requests_and_a_sleep_in_time_does_not() {
+fn a_stall_increases_the_request_age_and_a_timely_wake_up_does_not() {
     let mut stall_detector = StallDetector::new(0.0, 2.0);
     stall_detector.on_sleep(0.5, 20.0);
     stall_detector.on_wake(20.5);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_long_turn_ages_requests_that_arrived_meanwhile() {
+fn a_long_iteration_increases_the_request_age() {
     let mut stall_detector = StallDetector::new(0.0, 2.0);
     stall_detector.on_sleep(300.0, 20.0);
     stall_detector.on_wake(301.0);
@@ -21,17 +21,17 @@
 }
 
 quickcheck! {
-    /// A request that arrived after the last wake is never taken for much younger than it is, except by
-    /// the sleep that the loop asked for.
-    fn a_request_is_never_taken_for_younger_than_it_is(turns: Vec<(u8, u8, u8)>, arrival: u8) -> bool {
+    /// The estimated age of a request that arrived after the last wake-up falls short of its actual age by no more
+    /// than the tolerance and the requested sleep.
+    fn the_age_of_a_request_is_never_underestimated(iterations: Vec<(u8, u8, u8)>, arrival: u8) -> bool {
         let (mut stall_detector, mut now) = (StallDetector::new(0.0, 2.0), 0.0);
-        turns.iter().all(|(busy, sleep, late)| {
-            let (woke, slept) = (now, now + f64::from(*busy));
-            stall_detector.on_sleep(slept, f64::from(*sleep));
-            now = slept + f64::from(*sleep) + f64::from(*late);
+        iterations.iter().all(|(busy, sleep, late)| {
+            let (woke_at, slept_at) = (now, now + f64::from(*busy));
+            stall_detector.on_sleep(slept_at, f64::from(*sleep));
+            now = slept_at + f64::from(*sleep) + f64::from(*late);
             stall_detector.on_wake(now);
-            let arrived = woke + (now - woke) * f64::from(arrival) / 255.0;
-            stall_detector.max_request_age() + 2.0 + f64::from(*sleep) >= now - arrived
+            let arrived_at = woke_at + (now - woke_at) * f64::from(arrival) / 255.0;
+            stall_detector.max_request_age() + 2.0 + f64::from(*sleep) >= now - arrived_at
         })
     }
 }
--- a/crates/engine/tests/final_answers.rs
+++ b/crates/engine/tests/final_answers.rs
@@ -1,5 +1,5 @@
-//! The engine checked against a plain model: in whatever order events come, each request gets one final answer,
-//! nothing is sent after it, and nothing is kept once everything is finished.
+//! Checks of the engine against a simple model: for any order of events each request gets one final answer, nothing
+//! is sent after it, and no request remains once all are finished.
 
 use magpiewick::{
     Answer, DeduplicationScope, EndpointUpdate, FinalStatus, Idempotency, Ms, Outcome, QosPolicy, Request,
@@ -9,14 +9,14 @@
 use quickcheck::quickcheck;
 use std::collections::btree_map::{BTreeMap, Entry};
 
-/// Records what the engine does. Every request is offered for coalescing: the scheduler has the last word.
+/// Recorder of the engine's actions. Every request is offered for coalescing, and the scheduler decides.
 #[derive(Default)]
 struct Recorder {
     submitted: u64,
     offered: u64,
     batches: u32,
     in_flight: Vec<(u64, u32)>,
-    /// Final answers by request; a disconnect of the client counts as one.
+    /// Number of final answers by request; a disconnection of the client counts as one.
     finished: BTreeMap<u64, u32>,
     violation: Option<String>,
 }
@@ -160,7 +160,7 @@
                 }
                 3 if submitted > 0 => {
                     let id = 1 + u64::from(a) % submitted;
-                    // The client of a finished request has nothing to cancel.
+                    // The client of a finished request cannot disconnect from it.
                     if let Entry::Vacant(unfinished) = environment.finished.entry(id) {
                         engine.on_client_disconnect(now, id);
                         unfinished.insert(1);
@@ -170,7 +170,7 @@
             }
             engine.run(now, &mut environment);
         }
-        // In the end every attempt times out, and every client's deadline passes.
+        // Finally every attempt times out, and every client's deadline passes.
         for _ in 0..100 {
             now += 10.0;
             engine.run(now, &mut environment);
@@ -178,18 +178,18 @@
                 report_outcome(&mut engine, &mut environment, now, 0, Outcome::TimedOut);
             }
         }
-        let other_than_one = environment.finished.iter().find(|(_, times)| **times != 1);
-        match (environment.violation, other_than_one) {
+        let not_answered_once = environment.finished.iter().find(|(_, answers)| **answers != 1);
+        match (environment.violation, not_answered_once) {
             (Some(violation), _) => Err(violation),
-            (None, Some((request, times))) => Err(format!("{request} got {times} final answers")),
+            (None, Some((request, answers))) => Err(format!("{request} got {answers} final answers")),
             (None, None) if environment.finished.len() as u64 != submitted => Err("a request never got a final answer".to_string()),
-            (None, None) if engine.pending() != 0 => Err("a finished request is kept".to_string()),
+            (None, None) if engine.pending() != 0 => Err("a finished request remains pending".to_string()),
             _ => Ok(()),
         }
     }
 }
 
-/// Resident memory of this process in kilobytes.
+/// Returns the resident memory of this process in kilobytes.
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap();
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn memory_does_not_grow_with_ids_that_are_always_new() {
+fn memory_does_not_grow_with_new_ids() {
     let (mut engine, mut environment) = (Engine::new(scheduler_config(), 0.0), Recorder::default());
     let endpoint = magpiewick::Endpoint::default();
     engine.on_endpoint_update(0.0, EndpointUpdate::Snapshot, &[(1, endpoint)]);
@@ -229,8 +229,8 @@
         assert_eq!((engine.pending(), &environment.violation), (0, &None));
         resident_kb()
     };
-    // Enough ids that every bounded structure reaches its bound.
-    let before = serve(1..250_000);
-    let grown = serve(250_000..500_000).saturating_sub(before);
-    assert!(grown < 4096, "{grown} kB more after as many requests again");
+    // The number of ids is sufficient for every bounded structure to reach its bound.
+    let initial_kb = serve(1..250_000);
+    let growth_kb = serve(250_000..500_000).saturating_sub(initial_kb);
+    assert!(growth_kb < 4096, "{growth_kb} kB more after the same number of requests again");
 }
