--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,62 +1,62 @@
-//! Why the adapter ends before its input does.
+//! Errors that end the adapter before the end of its input.
 
 use std::io;
 
-/// A fault of the input, or of the streams themselves. All of them end the process.
+/// Error of the input or of the streams. Every error ends the process.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
-    /// Standard input failed.
+    /// Standard input could not be read.
     #[error("the input cannot be read: {source}")]
     Read {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Standard output failed.
+    /// Standard output could not be written.
     #[error("the output cannot be written: {source}")]
     Write {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The input ends within a frame's header.
     #[error("the input ends at byte {position} of a frame's header")]
-    HeaderCutShort {
-        /// Bytes of the header that came.
+    TruncatedHeader {
+        /// Number of bytes received of the header.
         position: usize,
     },
     /// The input ends within a frame.
     #[error("the input ends at byte {position} of a frame of {length}")]
-    FrameCutShort {
-        /// Bytes of the frame that came.
+    TruncatedFrame {
+        /// Number of bytes received of the frame.
         position: usize,
-        /// Bytes of the frame by its header.
+        /// Length of the frame in bytes according to its header.
         length: usize,
     },
-    /// A frame claims to be shorter than its header.
+    /// The length of a frame is less than that of its header.
     #[error("a frame's length of {length} is less than its header, at byte 8 of the frame")]
     LengthBelowHeader {
-        /// Bytes of the frame by its header.
+        /// Length of the frame in bytes according to its header.
         length: usize,
     },
-    /// The frame ends before a field does.
+    /// The frame ends within a field.
     #[error("{field} is cut short at byte {position} of the frame")]
-    FieldCutShort {
-        /// The field.
+    TruncatedField {
+        /// Name of the field.
         field: &'static str,
-        /// Where the field starts.
+        /// Position of the field's start in the frame.
         position: usize,
     },
-    /// A field or a record cannot be what it says.
+    /// A field or a record has an invalid value.
     #[error("{problem}, before byte {position} of the frame")]
     Invalid {
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
-        /// How far the frame was read.
+        /// Number of bytes read of the frame.
         position: usize,
     },
     /// The settings of an instance are not usable.
     #[error("{0}")]
     Settings(String),
-    /// A reply does not fit its length field.
-    #[error("a reply outgrew its length field")]
+    /// The length of a reply does not fit into its length field.
+    #[error("a reply is too long for its length field of 4 bytes")]
     ReplyTooLong,
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! The records of a batch, decoded from the wire's codes and units.
+//! Records of a batch, decoded from the wire's codes and units.
 
 use crate::error::AdapterError;
 use crate::fields::Fields;
@@ -6,89 +6,89 @@
 use magpiewick::{Answer, Endpoint, EndpointState, EndpointUpdate, Outcome, Request};
 use magpiewick_engine::IncomingRequest;
 
-/// The codes of a batch's records.
+/// Codes of a batch's records.
 pub(crate) mod record_code {
-    /// A stream begins; nothing follows from it.
+    /// Start of a stream; requires no action.
     pub(crate) const STREAM_STARTED: u8 = 1;
-    /// A client's request.
+    /// Request of a client.
     pub(crate) const REQUEST: u8 = 2;
-    /// A table of endpoints, which later records name by its number.
+    /// Table of endpoints, which later records name by its number.
     pub(crate) const TABLE: u8 = 3;
-    /// The outcome of an attempt.
+    /// Outcome of an attempt.
     pub(crate) const OUTCOME: u8 = 4;
-    /// A message from another host.
+    /// Message from another host.
     pub(crate) const GOSSIP: u8 = 5;
-    /// An instance starts.
+    /// Start of an instance.
     pub(crate) const START: u8 = 6;
-    /// An update of the endpoint list.
+    /// Update of the endpoint list.
     pub(crate) const ENDPOINT_UPDATE: u8 = 7;
-    /// A client disconnected.
+    /// Disconnection of a client.
     pub(crate) const CLIENT_DISCONNECT: u8 = 8;
-    /// The answer to a health check; nothing follows from it.
+    /// Answer to a health check; requires no action.
     pub(crate) const HEALTH_REPORT: u8 = 9;
-    /// An instance was killed.
+    /// Termination of an instance.
     pub(crate) const KILL: u8 = 10;
-    /// A timer is due.
+    /// Expiry of a timer.
     pub(crate) const TIMER: u8 = 11;
 }
 
-/// Bytes of an endpoint in a table.
+/// Length of an endpoint in a table, in bytes.
 const TABLE_ENTRY_LENGTH: usize = 22;
-/// Bytes of a record that says that a stream begins.
+/// Length of the fields of a record for the start of a stream, in bytes.
 const STREAM_START_LENGTH: usize = 8 + 4 + 8 + 2;
 
-/// How many classes and policies an instance was started with; an event names them by smaller numbers.
+/// Numbers of classes and policies that an instance was started with; the indices in events must be less.
 #[derive(Clone, Copy)]
 pub(crate) struct Limits {
-    /// Request classes.
+    /// Number of request classes.
     pub classes: usize,
-    /// QoS policies.
+    /// Number of QoS policies.
     pub policies: usize,
 }
 
-/// What happened to a running instance.
+/// Event of a running instance.
 pub(crate) enum Event<'a> {
-    /// A client's request.
+    /// Request of a client.
     Request(IncomingRequest),
-    /// The outcome of an attempt.
+    /// Outcome of an attempt.
     Outcome {
-        /// The request.
+        /// Id of the request.
         request_id: u64,
-        /// What came of the attempt.
+        /// Outcome of the attempt, with the data received with it.
         answer: Answer,
     },
-    /// A message from another host.
+    /// Message from another host.
     Gossip {
-        /// The host's number.
+        /// Number of the sending host.
         from: u16,
-        /// The message's bytes.
+        /// Bytes of the message.
         message: &'a [u8],
     },
-    /// An update of the endpoint list.
+    /// Update of the endpoint list.
     EndpointUpdate {
-        /// The number of the table that holds the endpoints.
+        /// Number of the table that holds the endpoints.
         table: usize,
-        /// The kind of update.
+        /// Kind of the update.
         update: EndpointUpdate,
     },
-    /// A client disconnected.
+    /// Disconnection of a client.
     ClientDisconnect {
-        /// Its request.
+        /// Id of the client's request.
         request_id: u64,
     },
-    /// A timer is due.
+    /// Expiry of a timer.
     Timer {
-        /// The label that it was set with.
+        /// Label that the timer was set with.
         label: u32,
     },
-    /// The instance was killed.
+    /// Termination of the instance.
     Killed,
-    /// A record from which nothing follows.
+    /// Record that requires no action.
     Ignored,
 }
 
 impl<'a> Event<'a> {
-    /// Reads the fields of an event whose code and instance were read.
+    /// Reads the fields of an event whose code and instance have been read.
     pub(crate) fn read(code: u8, fields: &mut Fields<'a>, limits: Limits) -> Result<Event<'a>, AdapterError> {
         Ok(match code {
             record_code::STREAM_STARTED => {
@@ -104,7 +104,7 @@
             }
             record_code::ENDPOINT_UPDATE => read_endpoint_update(fields)?,
             record_code::CLIENT_DISCONNECT => {
-                Event::ClientDisconnect { request_id: fields.u64("a command")? }
+                Event::ClientDisconnect { request_id: fields.u64("a request id")? }
             }
             record_code::HEALTH_REPORT => {
                 fields.u32("a node")?;
@@ -120,24 +120,25 @@
 }
 
 fn read_request(fields: &mut Fields<'_>, limits: Limits) -> Result<IncomingRequest, AdapterError> {
-    let id = fields.u64("a command")?;
-    let class = usize::from(fields.u16("a band")?);
-    let policy = usize::from(fields.u16("a plan")?);
+    let id = fields.u64("a request id")?;
+    let class = usize::from(fields.u16("a class")?);
+    let policy = usize::from(fields.u16("a policy")?);
     if class >= limits.classes || policy >= limits.policies.max(1) {
-        return Err(fields
-            .invalid(format_args!("a command of band {class} and plan {policy}, which were never stated")));
+        return Err(fields.invalid(format_args!(
+            "a request of class {class} and policy {policy}, which the instance's settings do not define"
+        )));
     }
     let key = fields.u64("a key")?;
-    let client_timeout = ms(fields.u64("a time limit")?);
+    let client_timeout = ms(fields.u64("a client timeout")?);
     let volume = fields.u64("a volume")?;
     let units = fields.f32("a size")?;
     let shard = fields.f32("a shard")?;
     let hosts = fields.f32("a number of hosts")?;
-    fields.u8("a command's marks")?;
-    let is_shard = (-1.0..=f64::from(u16::MAX)).contains(&shard) && shard.fract() == 0.0;
-    if units < 0.0 || hosts < 0.0 || !is_shard {
+    fields.u8("a request's flags")?;
+    let is_valid_shard = (-1.0..=f64::from(u16::MAX)).contains(&shard) && shard.fract() == 0.0;
+    if units < 0.0 || hosts < 0.0 || !is_valid_shard {
         return Err(
-            fields.invalid(format_args!("a command of {units} units for shard {shard} over {hosts} hosts"))
+            fields.invalid(format_args!("a request of {units} units for shard {shard} over {hosts} hosts"))
         );
     }
     let request = Request {
@@ -156,16 +157,16 @@
 }
 
 fn read_attempt_outcome<'a>(fields: &mut Fields<'_>) -> Result<Event<'a>, AdapterError> {
-    let request_id = fields.u64("a command")?;
-    fields.u16("a hand-off")?;
+    let request_id = fields.u64("a request id")?;
+    fields.u16("an attempt number")?;
     fields.u32("a node")?;
     let outcome = read_outcome_code(fields)?;
     let latency = ms(fields.u64("a latency")?);
-    let request_finished = fields.u8("an end mark")? != 0;
-    // In hundredths, and one more, as 0 stands for unknown.
-    let used = fields.u16("a use")?;
+    let request_finished = fields.u8("an end flag")? != 0;
+    // The field holds hundredths plus one, as 0 represents an unknown usage.
+    let used = fields.u16("a volume usage")?;
     let volume_usage = (used > 0).then(|| (f64::from(used) - 1.0) / 100.0);
-    let remote_units = f64::from(fields.u16("a count of others")?);
+    let remote_units = f64::from(fields.u16("a count of remote units")?);
     skip_load_report(fields)?;
     Ok(Event::Outcome {
         request_id,
@@ -176,12 +177,12 @@
 fn read_endpoint_update<'a>(fields: &mut Fields<'_>) -> Result<Event<'a>, AdapterError> {
     let table = usize::from(fields.u16("a table's number")?);
     fields.u64("a version")?;
-    let update = match fields.u8("a list's mode")? {
+    let update = match fields.u8("the kind of an endpoint update")? {
         0 => EndpointUpdate::Delta,
         1 => EndpointUpdate::Snapshot,
         2 => EndpointUpdate::Restored,
         3 => EndpointUpdate::PollFailed,
-        other => return Err(fields.invalid(format_args!("impossible list mode {other}"))),
+        other => return Err(fields.invalid(format_args!("unknown kind {other} of an endpoint update"))),
     };
     Ok(Event::EndpointUpdate { table, update })
 }
@@ -200,7 +201,7 @@
     })
 }
 
-/// Reads past the node's load figures, which no decision uses.
+/// Skips the node's load figures, which no decision uses.
 fn skip_load_report(fields: &mut Fields<'_>) -> Result<(), AdapterError> {
     for _ in 0..fields.u8("a load report's length")? {
         fields.f32("a load report")?;
@@ -208,7 +209,7 @@
     Ok(())
 }
 
-/// Reads the endpoints of a table whose number was read.
+/// Reads the endpoints of a table whose number has been read.
 pub(crate) fn read_endpoints(fields: &mut Fields<'_>) -> Result<Vec<(u32, Endpoint)>, AdapterError> {
     let count = fields.u32("a table's length")? as usize;
     fields.check_remaining(count.saturating_mul(TABLE_ENTRY_LENGTH), "a table")?;
@@ -224,12 +225,12 @@
     let zone = usize::from(fields.u16("a zone")?);
     fields.u8("a machine type")?;
     let shard = usize::from(fields.u16("a shard")?);
-    let state = match fields.u8("a condition")? {
+    let state = match fields.u8("a node state")? {
         0 => EndpointState::Ready,
         2 => EndpointState::Draining,
         3 => EndpointState::Removed,
         other => {
-            return Err(fields.invalid(format_args!("impossible node condition {other} in a table")));
+            return Err(fields.invalid(format_args!("unknown node state {other} in a table")));
         }
     };
     fields.f32("a nominal size")?;
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,15 +1,15 @@
-//! Reads whole frames from the input.
+//! Reader of frames from the input.
 
 use crate::error::AdapterError;
 use std::io::Read;
 
-/// Bytes of a frame's header: clock u64, frame length u32, records u32, batch u32.
+/// Length of a frame's header in bytes: clock u64, frame length u32, records u32, batch u32.
 pub(crate) const HEADER_LENGTH: usize = 20;
-/// Where the frame's length stands in the header.
+/// Position of the frame's length in the header.
 const LENGTH_FIELD: std::ops::Range<usize> = 8..12;
 
-/// Reads one frame into `frame`; false at the end of the input. The frame grows with what arrives, not with what its
-/// header promises.
+/// Reads one frame into `frame` and returns whether there was one before the end of the input. The buffer grows
+/// with the data received, regardless of the length in the header.
 pub(crate) fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, AdapterError> {
     frame.clear();
     read_up_to(input, HEADER_LENGTH, frame)?;
@@ -17,7 +17,7 @@
         return Ok(false);
     }
     if frame.len() < HEADER_LENGTH {
-        return Err(AdapterError::HeaderCutShort { position: frame.len() });
+        return Err(AdapterError::TruncatedHeader { position: frame.len() });
     }
     let mut length = [0; 4];
     length.copy_from_slice(&frame[LENGTH_FIELD]);
@@ -27,7 +27,7 @@
     }
     read_up_to(input, length - HEADER_LENGTH, frame)?;
     if frame.len() < length {
-        return Err(AdapterError::FrameCutShort { position: frame.len(), length });
+        return Err(AdapterError::TruncatedFrame { position: frame.len(), length });
     }
     Ok(true)
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,19 +1,20 @@
-//! One instance on the simulator's wire: its engine, and the environment that writes what the engine asks for as
-//! the wire's actions.
+//! Instance on the simulator's wire: its engine, and the environment that writes the engine's calls as actions of
+//! the wire.
 
 use crate::reply::{action_code, Reply};
 use magpiewick::{Answer, Endpoint, EndpointUpdate, FinalStatus, GossipReport, Ms, SchedulerConfig};
 use magpiewick_engine::{AttemptRef, Engine, Environment, IncomingRequest, Reason};
 use magpiewick_instance_settings::NS_PER_MS;
 
-/// One instance of the process.
+/// Instance of the process.
 pub(crate) struct Host {
     number: u32,
     engine: Engine,
     timer: Timer,
 }
 
-/// The wire's timers cannot be cancelled, so a new one is set only where it is due before the one that is armed.
+/// Timer of an instance. The wire's timers cannot be cancelled, so a new one is set only if it is due before the
+/// armed one.
 #[derive(Default)]
 struct Timer {
     armed_for_ns: Option<u64>,
@@ -27,7 +28,7 @@
     reply: &'a mut Reply,
 }
 
-/// Nanoseconds of the wire as the scheduler's milliseconds.
+/// Converts nanoseconds of the wire to the scheduler's milliseconds.
 pub(crate) fn ms(ns: u64) -> Ms {
     ns as f64 / NS_PER_MS
 }
@@ -69,7 +70,7 @@
     }
 
     fn poll_endpoints(&mut self) {
-        /// Asks for the changes too.
+        /// Flag that requests the changes as well.
         const WATCH: u8 = 1;
         self.action(action_code::POLL_ENDPOINTS).u8(WATCH);
     }
@@ -96,7 +97,7 @@
 }
 
 impl Host {
-    /// An instance that starts now.
+    /// Creates an instance that starts now.
     pub(crate) fn new(number: u32, config: SchedulerConfig, now_ns: u64) -> Host {
         Host { number, engine: Engine::new(config, ms(now_ns)), timer: Timer::default() }
     }
@@ -110,7 +111,7 @@
         (&mut self.engine, environment)
     }
 
-    /// An update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(crate) fn on_endpoint_update(
         &mut self,
         now_ns: u64,
@@ -120,38 +121,38 @@
         self.engine.on_endpoint_update(ms(now_ns), update, endpoints);
     }
 
-    /// A new request.
+    /// Submits a new request.
     pub(crate) fn submit(&mut self, now_ns: u64, incoming: IncomingRequest, reply: &mut Reply) {
         let (engine, mut environment) = self.with_environment(now_ns, reply);
         engine.submit(ms(now_ns), incoming, &mut environment);
     }
 
-    /// The outcome of an attempt.
+    /// Applies the outcome of an attempt.
     pub(crate) fn on_outcome(&mut self, now_ns: u64, request_id: u64, answer: Answer, reply: &mut Reply) {
         let (engine, mut environment) = self.with_environment(now_ns, reply);
         engine.on_outcome(ms(now_ns), request_id, answer, &mut environment);
     }
 
-    /// A client disconnected.
+    /// Records that a client has disconnected.
     pub(crate) fn on_client_disconnect(&mut self, now_ns: u64, request_id: u64) {
         self.engine.on_client_disconnect(ms(now_ns), request_id);
     }
 
-    /// A message from another host; one that cannot be decoded counts as lost.
+    /// Applies a message from another host; a message that cannot be decoded counts as lost.
     pub(crate) fn on_gossip(&mut self, now_ns: u64, from: u16, message: &[u8]) {
         if let Ok(reports) = magpiewick_gossip::decode(message) {
             self.engine.on_gossip(ms(now_ns), usize::from(from), &reports);
         }
     }
 
-    /// A timer is due; [`Host::run`] follows it.
+    /// Records that a timer is due; the caller then calls [`Host::run`].
     pub(crate) fn on_timer(&mut self, label: u32) {
         if label == self.timer.label {
             self.timer.armed_for_ns = None;
         }
     }
 
-    /// Does what is due.
+    /// Carries out all due actions.
     pub(crate) fn run(&mut self, now_ns: u64, reply: &mut Reply) {
         let (engine, mut environment) = self.with_environment(now_ns, reply);
         engine.run(ms(now_ns), &mut environment);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire in front of the engine: frames with events on standard input, frames with actions on
+//! Adapter from the simulator's wire to the engine: frames with events on standard input, frames with actions on
 //! standard output.
 
 mod error;
--- a/crates/simulator-adapter/src/process.rs
+++ b/crates/simulator-adapter/src/process.rs
@@ -1,4 +1,4 @@
-//! The instances of this process: applies the records of a batch in their order.
+//! Instances of this process, to which the records of a batch are applied in order.
 
 use crate::error::AdapterError;
 use crate::event::{read_endpoints, record_code, Event, Limits};
@@ -9,10 +9,10 @@
 use magpiewick_instance_settings::InstanceSettings;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many tables of endpoints a process keeps.
+/// Largest number of endpoint tables of a process.
 const MAX_TABLES: usize = 16;
 
-/// The tables that records name, and the running instances by number.
+/// Endpoint tables that records name, and the running instances by number.
 #[derive(Default)]
 pub(crate) struct Process {
     tables: [Option<Vec<(u32, Endpoint)>>; MAX_TABLES],
@@ -25,21 +25,21 @@
 }
 
 impl Process {
-    /// Applies a batch: first its records in their order, then what is due at the instances that it named.
+    /// Applies a batch: first its records in order, then the due actions of the instances that the records named.
     pub(crate) fn apply_batch(&mut self, frame: &[u8], reply: &mut Reply) -> Result<(), AdapterError> {
         let mut fields = Fields::new(frame);
         let now_ns = fields.u64("the clock")?;
         fields.u32("the length")?;
         let records = fields.u32("the number of records")?;
         reply.open(fields.u32("the number of the batch")?);
-        let mut named = BTreeSet::new();
+        let mut affected = BTreeSet::new();
         for _ in 0..records {
-            self.apply_record(now_ns, &mut fields, &mut named, reply)?;
+            self.apply_record(now_ns, &mut fields, &mut affected, reply)?;
         }
         if !fields.at_end() {
-            return Err(fields.invalid("the frame goes on behind its last record"));
+            return Err(fields.invalid("the frame continues after its last record"));
         }
-        for number in named {
+        for number in affected {
             if let Some(instance) = self.instances.get_mut(&number) {
                 instance.host.run(now_ns, reply);
             }
@@ -51,7 +51,7 @@
         &mut self,
         now_ns: u64,
         fields: &mut Fields<'_>,
-        named: &mut BTreeSet<u32>,
+        affected: &mut BTreeSet<u32>,
         reply: &mut Reply,
     ) -> Result<(), AdapterError> {
         let code = fields.u8("a record's code")?;
@@ -59,7 +59,7 @@
             record_code::TABLE => self.set_table(fields),
             record_code::STREAM_STARTED..=record_code::TIMER => {
                 let number = fields.u32("the instance")?;
-                named.insert(number);
+                affected.insert(number);
                 match code {
                     record_code::START => self.start_instance(number, now_ns, fields),
                     _ => self.apply_event(code, number, now_ns, fields, reply),
@@ -72,7 +72,7 @@
     fn set_table(&mut self, fields: &mut Fields<'_>) -> Result<(), AdapterError> {
         let number = usize::from(fields.u16("a table's number")?);
         if number >= MAX_TABLES {
-            return Err(fields.invalid(format_args!("impossible table number {number}")));
+            return Err(fields.invalid(format_args!("table number {number} is not below {MAX_TABLES}")));
         }
         self.tables[number] = Some(read_endpoints(fields)?);
         Ok(())
@@ -106,7 +106,7 @@
         reply: &mut Reply,
     ) -> Result<(), AdapterError> {
         let Some(Instance { host, limits }) = self.instances.get_mut(&number) else {
-            let problem = format_args!("an event for instance {number}, which does not run");
+            let problem = format_args!("an event for instance {number}, which is not running");
             return Err(fields.invalid(problem));
         };
         match Event::read(code, fields, *limits)? {
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,28 +1,28 @@
-//! Writes the reply to a batch: little-endian, packed.
+//! Writer of the reply to a batch: little-endian, packed.
 
 use crate::error::AdapterError;
 
-/// The codes of a reply's actions.
+/// Codes of a reply's actions.
 pub(crate) mod action_code {
-    /// Checks a node's health.
+    /// Action: check the health of a node.
     pub(crate) const CHECK_HEALTH: u8 = 1;
-    /// Sends an attempt.
+    /// Action: send an attempt.
     pub(crate) const SEND: u8 = 3;
-    /// Rejects a request with a retry-after.
+    /// Action: reject a request with a retry-after.
     pub(crate) const REJECT: u8 = 4;
-    /// Polls the endpoint list.
+    /// Action: poll the endpoint list.
     pub(crate) const POLL_ENDPOINTS: u8 = 6;
-    /// Cancels an attempt.
+    /// Action: cancel an attempt.
     pub(crate) const CANCEL: u8 = 7;
-    /// Sends a message to another host.
+    /// Action: send a message to another host.
     pub(crate) const SEND_GOSSIP: u8 = 9;
-    /// Fails a request.
+    /// Action: fail a request.
     pub(crate) const FAIL: u8 = 10;
-    /// Sets a timer.
+    /// Action: set a timer.
     pub(crate) const SET_TIMER: u8 = 12;
 }
 
-/// The reply that is being written; its buffer is reused from batch to batch.
+/// Reply under construction; its buffer is reused for each batch.
 #[derive(Default)]
 pub(crate) struct Reply {
     bytes: Vec<u8>,
@@ -35,20 +35,20 @@
         self.u32(0).u32(batch);
     }
 
-    /// Fills in the length and returns the whole reply.
+    /// Writes the length field and returns the complete reply.
     pub(crate) fn close(&mut self) -> Result<&[u8], AdapterError> {
         let length = u32::try_from(self.bytes.len()).map_err(|_| AdapterError::ReplyTooLong)?;
         self.bytes[..4].copy_from_slice(&length.to_le_bytes());
         Ok(&self.bytes)
     }
 
-    /// What was written so far.
+    /// Returns the bytes written so far.
     #[cfg(test)]
     pub(crate) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Appends bytes as they are.
+    /// Appends bytes unchanged.
     pub(crate) fn put(&mut self, bytes: &[u8]) -> &mut Reply {
         self.bytes.extend_from_slice(bytes);
         self
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -6,7 +6,7 @@
 
 const INSTANCE: u32 = 3;
 
-// The wire's numbers are stated again here, so that a changed constant fails these tests.
+// The wire's codes are repeated here, so that a changed constant fails these tests.
 const REQUEST: u8 = 2;
 const TABLE: u8 = 3;
 const START: u8 = 6;
@@ -67,8 +67,8 @@
     action.bytes().to_vec()
 }
 
-fn contains(bytes: &[u8], part: &[u8]) -> bool {
-    bytes.windows(part.len()).any(|w| w == part)
+fn contains(bytes: &[u8], pattern: &[u8]) -> bool {
+    bytes.windows(pattern.len()).any(|w| w == pattern)
 }
 
 #[test]
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_update_uses_the_table_sent_before_it() {
+fn an_endpoint_update_uses_the_table_sent_before_it() {
     let reply = reply_to(&[
         &start_record(SETTINGS),
         &table_record(70),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_instance_restarted_in_one_batch_starts_empty() {
+fn an_instance_restarted_in_one_batch_starts_without_state() {
     let kill = [&[KILL][..], &INSTANCE.to_le_bytes()].concat();
     let (start, update) = (start_record(SETTINGS), endpoint_update());
     let reply =
@@ -111,11 +111,11 @@
     assert!(error(&[&start_record(&bad)]).contains("profiles.0.slo_ns"));
     let missing = SETTINGS.replace("round_ns", "other");
     assert!(error(&[&start_record(&missing)]).contains("round_ns is missing"));
-    let mut long = frame(&[]);
-    long[8] = 200;
-    assert!(read_frame(&mut io::Cursor::new(&long), &mut Vec::new())
+    let mut oversized = frame(&[]);
+    oversized[8] = 200;
+    assert!(read_frame(&mut io::Cursor::new(&oversized), &mut Vec::new())
         .unwrap_err()
         .to_string()
         .contains("byte 20"));
-    assert!(read_frame(&mut io::Cursor::new(&long[..5]), &mut Vec::new()).is_err());
+    assert!(read_frame(&mut io::Cursor::new(&oversized[..5]), &mut Vec::new()).is_err());
 }
