--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -34,7 +34,7 @@
     pub grace: Ms,
     /// Grace period of the first call after a failure, which the service may have queued behind others.
     pub first_grace: Ms,
-    /// Largest number of concurrent calls. With a limit of one, a late call is aborted in favor of the
+    /// Largest number of concurrent calls. With a limit of one, a late call is aborted in favour of the
     /// next.
     pub max_calls: usize,
     /// Longest time that the host may run without a poll.
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -14,8 +14,7 @@
 const COMMON_TIMEOUT_FRACTION: f64 = 0.1;
 /// Factor by which earlier counts decay with each request.
 const TIMEOUT_COUNT_DECAY: f64 = 0.995;
-/// Highest fraction of requests ending unserved at which few arriving requests are retries of unserved
-/// ones.
+/// Highest fraction of requests ending unserved at which retries are few among the arriving requests.
 const LOW_UNSERVED_FRACTION: f64 = 0.05;
 /// Number of requests that must have arrived while few ended unserved before their statistics are
 /// representative.
@@ -72,8 +71,8 @@
     /// retry of the client, or waited for a stalled host. Where few requests have the longest timeout,
     /// timeouts are of many lengths, and a shorter one is no indication. Where many requests end
     /// unserved, retries outnumber first requests, so the statistics from before that count. Guards
-    /// against work on requests past their latency objective in a retry storm; may penalize clients that
-    /// change to shorter timeouts during one.
+    /// against work on requests past their latency objective in a retry storm; may penalise clients that
+    /// change to shorter timeouts during the storm.
     fn time_spent(&mut self, client_timeout: Ms) -> Ms {
         if client_timeout > self.longest + TIMEOUT_TOLERANCE {
             let unserved = self.unserved;
@@ -208,7 +207,7 @@
         // Spread at random, so that clients that are rejected together do not retry together.
         let spread_factor = 1.0 - RETRY_AFTER_SPREAD * self.rng.fraction();
         let retry_after = (self.config.max_retry_after * spread_factor).min(time_left);
-        self.forget(now, id);
+        self.remove_request(now, id);
         match is_safe_to_retry {
             true => FinalStatus::Rejected { retry_after },
             false => FinalStatus::Failed,
@@ -216,7 +215,7 @@
     }
 
     /// Removes all state of a finished request.
-    pub(super) fn forget(&mut self, now: Ms, id: usize) {
+    pub(super) fn remove_request(&mut self, now: Ms, id: usize) {
         self.unblock(id);
         self.set_waiting(id, false);
         let Some(pending) = self.requests.remove(id) else { return };
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -10,7 +10,7 @@
 /// Fractions of the headroom under the shortest latency objective. A queueing delay above the first
 /// narrows the window down to one, a delay above the second until the windows of all hosts together are
 /// at the floor.
-const TIGHT_DELAY: f64 = 0.1;
+const HIGH_DELAY: f64 = 0.1;
 const CONGESTED_DELAY: f64 = 0.2;
 /// Step by which a window under one widens in addition to doubling.
 const CONGESTED_STEP: f64 = 0.05;
@@ -21,7 +21,7 @@
 /// Fraction of the window that one answer removes.
 const NARROWING_FRACTION: f64 = 0.1;
 /// Multiple of the window that attempts exempt from spacing may fill where hosts gossip.
-const EXEMPT_WINDOWS: f64 = 2.0;
+const EXEMPT_WINDOW_FACTOR: f64 = 2.0;
 /// Smoothing factors of the queueing delay for one answer: the least, and the greatest, which is
 /// approached where the last answer is much older than the time scale.
 const SMOOTHING: f64 = 0.15;
@@ -116,13 +116,13 @@
 
     /// Returns whether a slot is free for an attempt, which may be exempt from spacing.
     pub(super) fn has_capacity(&self, in_flight: &InFlightAttempts, exempt: bool) -> bool {
-        let windows = if exempt && self.has_gossip { EXEMPT_WINDOWS } else { 1.0 };
+        let windows = if exempt && self.has_gossip { EXEMPT_WINDOW_FACTOR } else { 1.0 };
         self.total_in_flight(in_flight) < self.size.max(1.0) * windows
     }
 
     /// Returns the expected queueing delay of an attempt that is sent now. Where hosts report all
-    /// attempts in flight, the time that those take is an upper bound, which guards against the effect of
-    /// past congestion until the next answer.
+    /// attempts in flight, the time to complete these attempts is an upper bound, which guards against
+    /// the effect of past congestion until the next answer.
     pub(super) fn expected_queueing_delay(&self, in_flight: &InFlightAttempts) -> Ms {
         if self.has_gossip {
             return self.queueing_delay.min(self.total_in_flight(in_flight) * self.unloaded_latency);
@@ -216,7 +216,7 @@
 
     fn adapt(&mut self, nearly_full: bool, bounds: &DelayBounds) {
         let unloaded_latency = bounds.unloaded_latency;
-        if self.queueing_delay > TIGHT_DELAY * bounds.headroom {
+        if self.queueing_delay > HIGH_DELAY * bounds.headroom {
             self.narrow(1.0 - NARROWING_FRACTION, self.congestion_floor(bounds));
         } else if self.queueing_delay > NARROWING_DELAY * unloaded_latency && self.size > MIN_WINDOW {
             self.narrow(1.0 - NARROWING_FRACTION, MIN_WINDOW);
--- a/src/scheduler/endpoint_health.rs
+++ b/src/scheduler/endpoint_health.rs
@@ -177,8 +177,8 @@
 
     /// Records an attempt that ended without an answer at a node that answered nothing else, and backs
     /// off the node, which is then retried with one request at a time. Where other hosts report answers
-    /// of the node, a single unanswered attempt is not sufficient: this host may send only one attempt in
-    /// several seconds.
+    /// of the node, a single unanswered attempt is not sufficient for a backoff: this host may send only
+    /// one attempt in several seconds.
     fn on_unanswered(&mut self, now: Ms, floor: f64) {
         self.health.unanswered += 1;
         if self.health.unanswered >= UNANSWERED_WITH_GOSSIP || !self.window.has_gossip() {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -151,7 +151,7 @@
         self.record_outcome(now, id, node, answer);
         self.start_quiet_period(now, id, answer.outcome);
         if is_finished {
-            self.forget(now, id);
+            self.remove_request(now, id);
             return AfterOutcome::Done;
         }
         if let Some(pending) = self.requests.get_mut(id) {
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -33,7 +33,8 @@
         self.refilled(now, request, policy).available()
     }
 
-    /// Reserves the tokens of a request, or returns the time at which the bucket holds them as the error.
+    /// Reserves the tokens of a request. If the bucket lacks them, the error is the time at which the
+    /// bucket covers the request.
     fn reserve(&mut self, now: Ms, request: &Request, policy: &QosPolicy) -> Result<(), Ms> {
         let bucket = self.refilled(now, request, policy);
         if bucket.available() >= request.units {
--- a/src/scheduler/retry_policy.rs
+++ b/src/scheduler/retry_policy.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns the latest send time of an attempt; after it, nodes may no longer recognize an earlier
+    /// Returns the latest send time of an attempt; after it, nodes may no longer recognise an earlier
     /// attempt.
     pub(super) fn latest_send_time(&self, pending: &PendingRequest) -> Ms {
         let class = &self.config.classes[pending.request.class];
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -74,7 +74,7 @@
 
 /// Returns the fraction of a warm node's capacity that a node of this age has at the start of the window
 /// over which overload is measured.
-fn recovery(config: &SchedulerConfig, age: Ms) -> f64 {
+fn recovered_fraction(config: &SchedulerConfig, age: Ms) -> f64 {
     let progress = ((age - config.overload_window) / config.slow_start_duration).clamp(0.0, 1.0);
     config.slow_start_share + (1.0 - config.slow_start_share) * progress
 }
@@ -91,7 +91,7 @@
         let configured =
             config.slow_start_units / config.hosts / config.slow_start_share / config.overload_window;
         let measured = config.overload_multiple * self.shard_throughput.of_shard(node.endpoint.shard);
-        let units_per_ms = recovery(config, age) * measured.max(configured);
+        let units_per_ms = recovered_fraction(config, age) * measured.max(configured);
         let max_units = config.max_units + config.mean_units;
         node.slow_start.grow(now, units_per_ms, max_units) >= config.mean_units
     }
--- a/src/types.rs
+++ b/src/types.rs
@@ -12,14 +12,14 @@
 pub enum Idempotency {
     /// Repeated runs have no further effect.
     Idempotent,
-    /// Repeated runs have no further effect at nodes that recognize the request by its key, see
+    /// Repeated runs have no further effect at nodes that recognise the request by its key, see
     /// [`DeduplicationScope`].
     IdempotentWithKey,
     /// A request may run only once.
     NonIdempotent,
 }
 
-/// Set of nodes that together recognize a repeated request by its idempotency key.
+/// Set of nodes that together recognise a repeated request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All nodes.
@@ -41,9 +41,9 @@
     pub priority_weight: f64,
     /// Permission for requests of the class to run more than once.
     pub idempotency: Idempotency,
-    /// Nodes that recognize a repeated request.
+    /// Nodes that recognise a repeated request.
     pub deduplication_scope: DeduplicationScope,
-    /// Time during which nodes recognize a repeated request, from the first attempt that may have run.
+    /// Time during which nodes recognise a repeated request, from the first attempt that may have run.
     pub deduplication_window: Ms,
     /// True if requests with the same key run one after the other, in the order of arrival.
     pub ordered: bool,
@@ -197,7 +197,7 @@
         node: usize,
         /// Longest duration of the attempt.
         timeout: Ms,
-        /// Latest send time; after it, nodes may not recognize a repeated request.
+        /// Latest send time; after it, nodes may not recognise a repeated request.
         send_by: Ms,
     },
     /// Keep the request, which is queued or blocked.
@@ -227,8 +227,8 @@
     pub latency: Ms,
     /// True if the request is finished, by this outcome or before.
     pub request_finished: bool,
-    /// Service that the volume received from all nodes in a past period, as a fraction of its QoS
-    /// policy's rate.
+    /// Service that the volume received in total in a past period, as a fraction of its QoS policy's
+    /// rate.
     pub volume_usage: Option<f64>,
     /// Units that the node's shard has served for the volume through other hosts since its last answer to
     /// this host.
--- a/tests/scheduler/admission.rs
+++ b/tests/scheduler/admission.rs
@@ -68,7 +68,7 @@
 
 /// Guards against a recovered node that works on requests past their latency objective.
 #[test]
-fn client_retries_are_recognized_when_they_outnumber_first_requests() {
+fn client_retries_are_recognised_when_they_outnumber_first_requests() {
     let mut simulation = Simulation::new(config());
     serve_requests(&mut simulation, 100);
     simulation.fill_window_with(&request_of(9));
