--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -108,10 +108,10 @@
 
 impl Call {
     /// Returns a time as of which an answer received now contains all changes.
-    fn complete_as_of(&self, now: Ms, lines: usize) -> Ms {
+    fn complete_as_of(&self, now: Ms, endpoint_count: usize) -> Ms {
         match self.target {
             // Without changes, the service has held the call for the whole time.
-            PollTarget::Delta { hold, .. } if lines == 0 && now - self.started_at >= hold => {
+            PollTarget::Delta { hold, .. } if endpoint_count == 0 && now - self.started_at >= hold => {
                 self.started_at + hold
             }
             _ => self.started_at,
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -24,7 +24,7 @@
 /// Failure of a call to the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The network or the service's machine reported that it cannot be reached.
+    /// The network or the service's machine reported that the service is unreachable.
     Unreachable,
     /// The connection was not established in time.
     ConnectTimedOut,
@@ -142,8 +142,8 @@
         }
         match self.last_failure {
             Some(CallFailure::Unreachable) => true,
-            // After a reload the service may be overloaded instead, and the operator has stated its
-            // address.
+            // After a reload these failures may also mean overload, as the operator has configured a
+            // service at the new address.
             Some(CallFailure::ConnectTimedOut | CallFailure::ConnectionLost | CallFailure::Rejected) => {
                 self.reloads.is_empty() || self.rules.unresponsive_when_down
             }
--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -15,7 +15,7 @@
 const POLL_TIMEOUT: f64 = 0.4;
 const POLL_INTERVAL: f64 = 0.8;
 
-/// Times of polls of the endpoint list, where it must be polled.
+/// Schedule of the polls of the endpoint list, where polling is required.
 pub(super) struct EndpointPolling {
     max_interval: Option<Ms>,
     next_at: Option<Ms>,
--- a/src/scheduler/fair_queueing.rs
+++ b/src/scheduler/fair_queueing.rs
@@ -6,7 +6,7 @@
 use crate::types::{Ms, SchedulerConfig};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Factor by which the weight of reserved service exceeds its priority weight.
+/// Factor by which a volume's reserve counts in the weight of a flow, in addition to the priority weight.
 const RESERVE_FACTOR: f64 = 4.0;
 /// Time after the last request of a flow during which the flow counts in the sum of the weights at a
 /// node.
@@ -45,7 +45,7 @@
 pub(super) struct FrameBounds {
     /// Largest number of units that are sent as one batch.
     pub max_batch_units: f64,
-    /// The least weight that any flow can have.
+    /// Least weight that any flow can have.
     pub least_weight: f64,
 }
 
@@ -172,7 +172,7 @@
     (policy.price * config.classes[class].priority_weight * rate).max(MIN_WEIGHT)
 }
 
-/// The least weight that any flow can have.
+/// Returns the least weight that any flow can have.
 pub(super) fn least_flow_weight(config: &SchedulerConfig) -> f64 {
     let (classes, policies) = (0..config.classes.len(), 0..config.policies.len());
     let kinds = classes.flat_map(|class| policies.clone().map(move |policy| (class, policy)));
