--- a/crates/exchange/src/common_responses.rs
+++ b/crates/exchange/src/common_responses.rs
@@ -1,58 +1,59 @@
-//! Responses that different requests were given: their content says nothing of whose they are.
+//! Responses that occur for different requests, so that their content does not identify the request.
 
 use crate::{ReceivedResponse, ResponseDigest};
 use std::collections::{HashMap, VecDeque};
 
-/// Responses that are remembered, over all connections.
+/// Maximum number of remembered responses over all connections.
 const MAX_REMEMBERED: usize = 4096;
 
-/// On which connections a response was seen.
+/// Connections on which a response was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum SeenOn {
-    /// On one, by its serial number.
-    One(u64),
-    Several,
+enum ReceivedOn {
+    /// A single connection, given by its serial number.
+    SingleConnection(u64),
+    MultipleConnections,
 }
 
-/// Which responses different requests were given. A copy arrives on the connection of its original, so a response that
-/// matched its request on each of two connections belongs to two requests by nature.
+/// Registry of responses that occur for different requests. A duplicate arrives on the connection of its
+/// original, so a response that matched its request on each of two connections belongs to two requests.
 #[derive(Clone, Debug, Default)]
 pub struct CommonResponses {
-    seen: HashMap<ResponseDigest, SeenOn>,
-    /// The order in which they are forgotten.
+    connections: HashMap<ResponseDigest, ReceivedOn>,
+    /// Digests in order of insertion; the oldest is evicted first.
     order: VecDeque<ResponseDigest>,
 }
 
 impl CommonResponses {
-    /// A response matched the request on this connection. Whether it is thereby found to be common.
+    /// Records that a response matched the request on a connection. Returns whether the response thereby
+    /// becomes common.
     pub fn record(&mut self, connection: u64, response: &ReceivedResponse<'_>) -> bool {
         let digest = response.digest();
-        match self.seen.get(&digest) {
+        match self.connections.get(&digest) {
             None => {
-                self.remember(digest, connection);
+                self.insert_new(digest, connection);
                 false
             }
-            Some(SeenOn::One(other)) if *other != connection => {
-                self.seen.insert(digest, SeenOn::Several);
+            Some(ReceivedOn::SingleConnection(other)) if *other != connection => {
+                self.connections.insert(digest, ReceivedOn::MultipleConnections);
                 true
             }
             Some(_) => false,
         }
     }
 
-    /// Whether different requests were given this response.
+    /// Returns whether different requests received this response.
     pub fn contains(&self, response: &ReceivedResponse<'_>) -> bool {
-        self.seen.get(&response.digest()) == Some(&SeenOn::Several)
+        self.connections.get(&response.digest()) == Some(&ReceivedOn::MultipleConnections)
     }
 
-    fn remember(&mut self, digest: ResponseDigest, connection: u64) {
+    fn insert_new(&mut self, digest: ResponseDigest, connection: u64) {
         if self.order.len() == MAX_REMEMBERED {
             if let Some(oldest) = self.order.pop_front() {
-                self.seen.remove(&oldest);
+                self.connections.remove(&oldest);
             }
         }
         self.order.push_back(digest);
-        self.seen.insert(digest, SeenOn::One(connection));
+        self.connections.insert(digest, ReceivedOn::SingleConnection(connection));
     }
 }
 
--- a/crates/exchange/src/endpoint_trust.rs
+++ b/crates/exchange/src/endpoint_trust.rs
@@ -1,151 +1,156 @@
-//! When a connection to an endpoint may carry another exchange.
+//! Rules for when a connection to an endpoint may carry another exchange.
 
 use crate::{Ms, ResponseDigest};
 use std::collections::BTreeMap;
 
-/// How long a connection must be idle before it is used again: twice what the platform's protocol allows the network,
-/// for a copy that an endpoint writes late and for its way.
+/// Minimum idle time of a connection before it is reused: twice the network delay that the platform's
+/// protocol allows, to cover a duplicate that an endpoint writes late and the time of its transfer.
 const MIN_IDLE_MS: Ms = 100.0;
-/// Once bytes arrived late, connections must be idle for so many times as long as those were late.
+/// Factor from the lateness of unsolicited bytes to the required idle time of connections.
 const IDLE_PER_LATENESS: f64 = 4.0;
-/// The longest idle time that is learned in this way. What arrives later belongs to no exchange: some endpoints write
-/// something when they close an idle connection.
+/// Longest idle time that is learned from late bytes. Bytes that arrive later belong to no exchange: some
+/// endpoints write data when they close an idle connection.
 const MAX_LEARNED_IDLE_MS: Ms = 1000.0;
-/// A response with this status ends an exchange in the ordinary way.
+/// Status of a response after which the connection may be reused.
 const STATUS_OK: u16 = 200;
 
-/// Exchanges, or the time, after which an endpoint is trusted again that sent more than was requested for the first
-/// time; each further time it takes twice as long, up to a bound.
-const FIRST_DISTRUST_EXCHANGES: u32 = 64;
-const FIRST_DISTRUST_MS: Ms = 10_000.0;
-const MAX_DISTRUST_DOUBLINGS: u32 = 6;
+/// Number of exchanges, and duration, for which connections to an endpoint are not reused after its first
+/// unsolicited bytes. Both are twice as long after each further violation, up to a bound.
+const FIRST_RESTRICTION_EXCHANGES: u32 = 64;
+const FIRST_RESTRICTION_MS: Ms = 10_000.0;
+const MAX_RESTRICTION_DOUBLINGS: u32 = 6;
 
-/// A response that may be a copy, by its content alone.
+/// A response that may be a duplicate, judged by its content alone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct SuspectedCopy {
+struct SuspectedDuplicate {
     digest: ResponseDigest,
     idle_ms: Ms,
 }
 
-/// Why and for how long an endpoint is not trusted.
+/// State of an endpoint whose connections are not reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Distrust {
-    /// Exchanges until it is trusted again, and when it is at the latest.
+struct ReuseRestriction {
+    /// Number of exchanges until connections are reused, and the latest time at which they are.
     exchanges_left: u32,
     until: Ms,
-    /// How often it sent more than was requested.
-    offences: u32,
-    suspicion: Option<SuspectedCopy>,
+    /// Number of times that the endpoint sent unsolicited bytes or an unexplained duplicate.
+    violations: u32,
+    suspicion: Option<SuspectedDuplicate>,
 }
 
-impl Distrust {
-    fn is_over(&self) -> bool {
+impl ReuseRestriction {
+    fn has_ended(&self) -> bool {
         self.exchanges_left == 0 && self.suspicion.is_none()
     }
 
-    /// The endpoint has behaved for long enough. A suspicion that nothing has explained counts as a copy that was late.
+    /// Ends the restriction after enough exchanges without a violation. A suspected duplicate that is still
+    /// unexplained counts as a late duplicate.
     fn end(&mut self, learned_idle: &mut Ms) {
         self.exchanges_left = 0;
         if let Some(suspicion) = self.suspicion.take() {
-            self.offences += 1;
-            let idle = idle_after(suspicion.idle_ms).unwrap_or(MIN_IDLE_MS);
+            self.violations += 1;
+            let idle = required_idle(suspicion.idle_ms).unwrap_or(MIN_IDLE_MS);
             *learned_idle = learned_idle.max(idle);
         }
     }
 }
 
-/// What a host has learned of its endpoints. Nothing in HTTP/1.1 proves that nothing of an exchange is still on its
-/// way, so a connection is used again only after an idle time in which nothing arrived, and an endpoint that sent more
-/// than was requested gets a new connection for each exchange until it has behaved for a number of them.
+/// Decides which connections may be reused, from the past behaviour of their endpoints. HTTP/1.1 offers no
+/// proof that no bytes of an exchange are still in transit. A connection is therefore reused only after an
+/// idle time without incoming bytes, and an endpoint that sent unsolicited bytes gets a new connection for
+/// each exchange until a number of exchanges have completed without a violation.
 #[derive(Clone, Debug)]
 pub struct ConnectionReusePolicy {
     now: Ms,
     learned_idle: Ms,
-    distrusted: BTreeMap<u32, Distrust>,
+    restrictions: BTreeMap<u32, ReuseRestriction>,
 }
 
 impl Default for ConnectionReusePolicy {
     fn default() -> ConnectionReusePolicy {
-        ConnectionReusePolicy { now: 0.0, learned_idle: MIN_IDLE_MS, distrusted: BTreeMap::new() }
+        ConnectionReusePolicy { now: 0.0, learned_idle: MIN_IDLE_MS, restrictions: BTreeMap::new() }
     }
 }
 
 impl ConnectionReusePolicy {
-    /// Time advances: endpoints that have behaved for long enough are trusted again.
+    /// Advances the time and ends the restrictions that have expired.
     pub fn advance(&mut self, now: Ms) {
         self.now = now;
         let learned_idle = &mut self.learned_idle;
-        for distrust in self.distrusted.values_mut().filter(|distrust| now >= distrust.until) {
-            distrust.end(learned_idle);
+        for restriction in self.restrictions.values_mut().filter(|restriction| now >= restriction.until) {
+            restriction.end(learned_idle);
         }
     }
 
-    /// How long a connection must be idle before it is used again.
+    /// Returns the time that a connection must be idle before it is reused.
     pub fn min_idle(&self) -> Ms {
-        let suspicions = self.distrusted.values().filter_map(|distrust| distrust.suspicion);
-        let suspected = suspicions.filter_map(|suspicion| idle_after(suspicion.idle_ms));
+        let suspicions = self.restrictions.values().filter_map(|restriction| restriction.suspicion);
+        let suspected = suspicions.filter_map(|suspicion| required_idle(suspicion.idle_ms));
         suspected.fold(self.learned_idle, f64::max)
     }
 
-    /// Whether a connection to this endpoint may carry another exchange after a response with this status. A copy of a
-    /// refusal cannot be told from the next refusal, and would be taken for a proof that nothing was run.
+    /// Returns whether a connection to this endpoint may carry another exchange after a response with this
+    /// status. A duplicate of a rejection is indistinguishable from the next rejection and would be taken as
+    /// proof that the request did not run.
     pub fn may_reuse(&self, endpoint: u32, status: u16) -> bool {
-        status == STATUS_OK && self.distrusted.get(&endpoint).is_none_or(Distrust::is_over)
+        status == STATUS_OK && self.restrictions.get(&endpoint).is_none_or(ReuseRestriction::has_ended)
     }
 
-    /// Whether an endpoint ever sent more than was requested.
+    /// Returns whether an endpoint has ever sent unsolicited bytes.
     pub fn has_sent_unsolicited_bytes(&self, endpoint: u32) -> bool {
-        self.distrusted.get(&endpoint).is_some_and(|distrust| distrust.offences > 0)
+        self.restrictions.get(&endpoint).is_some_and(|restriction| restriction.violations > 0)
     }
 
-    /// Bytes arrived from an endpoint outside an exchange, so long after the last one on their connection ended.
+    /// Records bytes that arrived outside an exchange, `idle_ms` after the last exchange on their connection
+    /// ended.
     pub fn on_unsolicited_bytes(&mut self, endpoint: u32, idle_ms: Ms) {
-        let distrust = self.distrusted.entry(endpoint).or_default();
-        let doublings = distrust.offences.min(MAX_DISTRUST_DOUBLINGS);
-        distrust.exchanges_left = FIRST_DISTRUST_EXCHANGES << doublings;
-        distrust.until = self.now + FIRST_DISTRUST_MS * f64::from(1u32 << doublings);
-        distrust.offences += 1;
-        if let Some(idle) = idle_after(idle_ms) {
+        let restriction = self.restrictions.entry(endpoint).or_default();
+        let doublings = restriction.violations.min(MAX_RESTRICTION_DOUBLINGS);
+        restriction.exchanges_left = FIRST_RESTRICTION_EXCHANGES << doublings;
+        restriction.until = self.now + FIRST_RESTRICTION_MS * f64::from(1u32 << doublings);
+        restriction.violations += 1;
+        if let Some(idle) = required_idle(idle_ms) {
             self.learned_idle = self.learned_idle.max(idle);
         }
     }
 
-    /// A response that is the same as an earlier one on its connection may be a copy of it.
+    /// Records a response that equals an earlier one on its connection and may therefore be a duplicate.
     pub fn on_suspected_copy(&mut self, endpoint: u32, digest: ResponseDigest, idle_ms: Ms) {
-        let distrust = self.distrusted.entry(endpoint).or_default();
-        distrust.exchanges_left = distrust.exchanges_left.max(FIRST_DISTRUST_EXCHANGES);
-        distrust.until = distrust.until.max(self.now + FIRST_DISTRUST_MS);
-        distrust.suspicion = Some(SuspectedCopy { digest, idle_ms });
+        let restriction = self.restrictions.entry(endpoint).or_default();
+        restriction.exchanges_left = restriction.exchanges_left.max(FIRST_RESTRICTION_EXCHANGES);
+        restriction.until = restriction.until.max(self.now + FIRST_RESTRICTION_MS);
+        restriction.suspicion = Some(SuspectedDuplicate { digest, idle_ms });
     }
 
-    /// Different requests are given this response: what was suspected for its sake alone was none.
+    /// Clears suspicions that rest only on this response, as different requests receive it.
     pub fn on_common_response(&mut self, digest: ResponseDigest) {
-        for distrust in self.distrusted.values_mut() {
-            if distrust.suspicion.take_if(|suspicion| suspicion.digest == digest).is_some()
-                && distrust.offences == 0
+        for restriction in self.restrictions.values_mut() {
+            if restriction.suspicion.take_if(|suspicion| suspicion.digest == digest).is_some()
+                && restriction.violations == 0
             {
-                distrust.exchanges_left = 0;
+                restriction.exchanges_left = 0;
             }
         }
     }
 
-    /// An exchange with an endpoint ended with a response of its own and nothing behind it.
+    /// Records an exchange that ended with its own response and no trailing bytes.
     pub fn on_exchange(&mut self, endpoint: u32) {
-        let Some(distrust) = self.distrusted.get_mut(&endpoint) else { return };
-        distrust.exchanges_left = distrust.exchanges_left.saturating_sub(1);
-        if distrust.exchanges_left == 0 {
-            distrust.end(&mut self.learned_idle);
+        let Some(restriction) = self.restrictions.get_mut(&endpoint) else { return };
+        restriction.exchanges_left = restriction.exchanges_left.saturating_sub(1);
+        if restriction.exchanges_left == 0 {
+            restriction.end(&mut self.learned_idle);
         }
     }
 
-    /// The endpoint has left the list.
+    /// Removes an endpoint that is no longer on the list.
     pub fn remove_endpoint(&mut self, endpoint: u32) {
-        self.distrusted.remove(&endpoint);
+        self.restrictions.remove(&endpoint);
     }
 }
 
-/// How long connections must be idle where bytes arrived so late; none where these belong to no exchange.
-fn idle_after(lateness: Ms) -> Option<Ms> {
+/// Returns the idle time that connections require after bytes arrived with this lateness; none where the
+/// bytes belong to no exchange.
+fn required_idle(lateness: Ms) -> Option<Ms> {
     (lateness < MAX_LEARNED_IDLE_MS).then(|| (lateness * IDLE_PER_LATENESS).min(MAX_LEARNED_IDLE_MS))
 }
 
--- a/crates/exchange/src/exchange_history.rs
+++ b/crates/exchange/src/exchange_history.rs
@@ -1,25 +1,25 @@
-//! The exchanges of one connection to an endpoint, one at a time.
+//! History of the exchanges on one connection to an endpoint, which carries one exchange at a time.
 
 use crate::{CommonResponses, Ms};
 use std::collections::VecDeque;
 use thiserror::Error;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How every response begins.
+/// First bytes of every response.
 const RESPONSE_START: &[u8] = b"HTTP/1.1 ";
-/// Responses that are remembered of each connection.
+/// Maximum number of remembered responses per connection.
 const MAX_REMEMBERED_RESPONSES: usize = 32;
 
-/// A complete response as it arrived on a connection.
+/// A complete response as received on a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedResponse<'a> {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its body.
+    /// Body without its framing.
     pub body: &'a [u8],
-    /// What has arrived after it.
+    /// Bytes received after the response.
     pub trailing: &'a [u8],
-    /// The id of the request that it names.
+    /// Request id that the response states.
     pub request_id: Option<&'a str>,
 }
 
@@ -28,7 +28,7 @@
 pub struct ResponseDigest(u64);
 
 impl ReceivedResponse<'_> {
-    /// By what it is compared with others.
+    /// Returns the digest by which responses are compared.
     pub fn digest(&self) -> ResponseDigest {
         let mut hasher = Xxh3::new();
         hasher.update(&self.status.to_le_bytes());
@@ -37,23 +37,23 @@
     }
 }
 
-/// Why a response may belong to another request than the one in flight.
+/// Reason why a response may belong to a request other than the one in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ResponseMismatch {
-    /// It names another request.
+    /// The response states the id of another request.
     #[error("the response names another request")]
     DifferentRequestId,
-    /// It is the same as an earlier one on this connection.
+    /// The response equals an earlier one on this connection.
     #[error("the response is the same as an earlier one on its connection")]
     DuplicateResponse,
-    /// The beginning of another response is in its body, and more came after it: a part of an earlier response came
-    /// first, and was filled up with what came next.
+    /// The body contains the start of another response, and more bytes follow the body: the response began
+    /// with part of an earlier one, and the following bytes filled up the rest of its length.
     #[error("another response begins in the body")]
     ContainsAnotherResponse,
 }
 
 impl ResponseMismatch {
-    /// The name under which it is logged and counted.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             ResponseMismatch::DifferentRequestId => "different_request_id",
@@ -63,7 +63,7 @@
     }
 }
 
-/// What is known of the exchanges of one connection.
+/// Record of the past exchanges of one connection.
 #[derive(Clone, Debug, Default)]
 pub struct ExchangeHistory {
     /// Digests of earlier responses, the latest at the end.
@@ -73,20 +73,20 @@
 }
 
 impl ExchangeHistory {
-    /// Exchanges that ended with a complete response.
+    /// Returns the number of exchanges that ended with a complete response.
     pub fn exchanges(&self) -> u32 {
         self.exchanges
     }
 
-    /// How long ago the last one ended.
+    /// Returns the time since the last exchange ended.
     pub fn idle_for(&self, now: Ms) -> Ms {
         now - self.last_ended_at
     }
 
-    /// Whether a response is that of the request in flight. On a connection that was never used before nothing else
-    /// can arrive. On any other, what is left of an earlier exchange may arrive first: a copy of its response, or a
-    /// part of one. Where an endpoint gives the same response to two requests on one connection, the second counts as
-    /// a mismatch.
+    /// Verifies that a response belongs to the request in flight. On a connection that was not used before,
+    /// no other response can arrive. On any other, bytes of an earlier exchange may arrive first: a duplicate
+    /// of its response, or part of one. Where an endpoint gives the same response to two requests on one
+    /// connection, the second counts as a mismatch.
     pub fn verify(&self, response: &ReceivedResponse<'_>, request_id: &str) -> Result<(), ResponseMismatch> {
         if response.request_id.is_some_and(|named| named != request_id) {
             return Err(ResponseMismatch::DifferentRequestId);
@@ -103,8 +103,8 @@
         Ok(())
     }
 
-    /// The same, where responses are known that different requests are given: the same content is no sign then, unless
-    /// more arrived behind it.
+    /// Verifies a response like [`ExchangeHistory::verify`], but accepts a duplicate of a response that is
+    /// common to different requests, unless more bytes follow it.
     pub fn verify_allowing_common(
         &self,
         response: &ReceivedResponse<'_>,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// An exchange has ended with a response of its own.
+    /// Records an exchange that ended with its own response.
     pub fn record(&mut self, now: Ms, response: &ReceivedResponse<'_>) {
         if self.digests.len() == MAX_REMEMBERED_RESPONSES {
             self.digests.pop_front();
@@ -132,7 +132,8 @@
     }
 }
 
-/// Whether another response begins inside a body and goes on after it. A body alone may hold anything.
+/// Returns whether another response begins inside a body and continues after it. A body without trailing
+/// bytes may contain anything.
 fn contains_another_response(body: &[u8], trailing: &[u8]) -> bool {
     if trailing.is_empty() {
         return false;
--- a/crates/exchange/src/exchange_history/tests.rs
+++ b/crates/exchange/src/exchange_history/tests.rs
@@ -1,90 +1,90 @@
 use super::*;
 use quickcheck::quickcheck;
 
-fn arrived<'a>(body: &'a [u8], trailing: &'a [u8]) -> ReceivedResponse<'a> {
+fn received<'a>(body: &'a [u8], trailing: &'a [u8]) -> ReceivedResponse<'a> {
     ReceivedResponse { status: 200, body, trailing, request_id: None }
 }
 
-fn used(bodies: &[&[u8]]) -> ExchangeHistory {
+fn history_of(bodies: &[&[u8]]) -> ExchangeHistory {
     let mut history = ExchangeHistory::default();
-    bodies.iter().for_each(|body| history.record(0.0, &arrived(body, b"")));
+    bodies.iter().for_each(|body| history.record(0.0, &received(body, b"")));
     history
 }
 
 #[test]
-fn a_response_on_a_new_connection_always_matches() {
+fn response_on_a_new_connection_always_matches() {
     let new = ExchangeHistory::default();
-    assert_eq!(new.verify(&arrived(b"HTTP/1.1 200 OK", b"HTTP/1.1 200 OK"), "a"), Ok(()));
-    assert_eq!((new.exchanges(), used(&[b"a"]).exchanges()), (0, 1));
+    assert_eq!(new.verify(&received(b"HTTP/1.1 200 OK", b"HTTP/1.1 200 OK"), "a"), Ok(()));
+    assert_eq!((new.exchanges(), history_of(&[b"a"]).exchanges()), (0, 1));
 }
 
 #[test]
-fn a_response_that_names_another_request_is_a_mismatch() {
-    let answer = ReceivedResponse { request_id: Some("b"), ..arrived(b"body", b"") };
-    assert_eq!(ExchangeHistory::default().verify(&answer, "a"), Err(ResponseMismatch::DifferentRequestId));
-    assert_eq!(ExchangeHistory::default().verify(&answer, "b"), Ok(()));
+fn response_with_another_request_id_is_a_mismatch() {
+    let response = ReceivedResponse { request_id: Some("b"), ..received(b"body", b"") };
+    assert_eq!(ExchangeHistory::default().verify(&response, "a"), Err(ResponseMismatch::DifferentRequestId));
+    assert_eq!(ExchangeHistory::default().verify(&response, "b"), Ok(()));
 }
 
 #[test]
-fn a_copy_of_any_remembered_response_is_a_mismatch() {
-    let history = used(&[b"first", b"second"]);
-    assert_eq!(history.verify(&arrived(b"first", b""), "a"), Err(ResponseMismatch::DuplicateResponse));
-    assert_eq!(history.verify(&arrived(b"second", b"x"), "a"), Err(ResponseMismatch::DuplicateResponse));
-    assert_eq!(history.verify(&arrived(b"third", b"noise"), "a"), Ok(()));
-    // A response with another status or another body is no copy.
-    let failed = ReceivedResponse { status: 500, ..arrived(b"first", b"") };
+fn duplicate_of_any_remembered_response_is_a_mismatch() {
+    let history = history_of(&[b"first", b"second"]);
+    assert_eq!(history.verify(&received(b"first", b""), "a"), Err(ResponseMismatch::DuplicateResponse));
+    assert_eq!(history.verify(&received(b"second", b"x"), "a"), Err(ResponseMismatch::DuplicateResponse));
+    assert_eq!(history.verify(&received(b"third", b"noise"), "a"), Ok(()));
+    // A response with another status or another body is no duplicate.
+    let failed = ReceivedResponse { status: 500, ..received(b"first", b"") };
     assert_eq!(history.verify(&failed, "a"), Ok(()));
 }
 
 quickcheck! {
-    /// Wherever a copy was cut, a body that is made of it and of the next response is recognised.
-    fn a_truncated_copy_before_a_response_is_a_mismatch(first: Vec<u8>, second: Vec<u8>, cut: usize) -> bool {
+    /// A body that consists of a truncated duplicate and the next response is a mismatch, wherever the cut is.
+    fn truncated_duplicate_before_a_response_is_a_mismatch(first: Vec<u8>, second: Vec<u8>, cut: usize) -> bool {
         if first.is_empty() {
             return true;
         }
-        // So many bytes of the copy's body arrived; the next response fills it up.
-        let came = cut % first.len();
+        // The number of the duplicate's body bytes that arrive; the next response fills up the rest.
+        let copied = cut % first.len();
         let next = [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n".as_slice(), &second].concat();
-        let stream = [&first[..came], &next].concat();
+        let stream = [&first[..copied], &next].concat();
         if stream.len() <= first.len() {
             return true;
         }
         let (body, trailing) = stream.split_at(first.len());
-        used(&[&first]).verify(&arrived(body, trailing), "a").is_err()
+        history_of(&[&first]).verify(&received(body, trailing), "a").is_err()
     }
 }
 
 #[test]
-fn a_body_without_trailing_bytes_may_contain_anything() {
-    let history = used(&[b"0123456789"]);
-    assert_eq!(history.verify(&arrived(b"x HTTP/1.1 200 OK\r\n", b""), "a"), Ok(()));
+fn body_without_trailing_bytes_may_contain_anything() {
+    let history = history_of(&[b"0123456789"]);
+    assert_eq!(history.verify(&received(b"x HTTP/1.1 200 OK\r\n", b""), "a"), Ok(()));
     assert_eq!(
-        history.verify(&arrived(b"x HTTP/1.1 200 OK\r\n", b"\r\n"), "a"),
+        history.verify(&received(b"x HTTP/1.1 200 OK\r\n", b"\r\n"), "a"),
         Err(ResponseMismatch::ContainsAnotherResponse)
     );
     assert_eq!(
-        history.verify(&arrived(b"012345678H", b"TTP/1.1 200"), "a"),
+        history.verify(&received(b"012345678H", b"TTP/1.1 200"), "a"),
         Err(ResponseMismatch::ContainsAnotherResponse)
     );
     assert_eq!(
-        history.verify(&arrived(b"012345678H", b"TT"), "a"),
+        history.verify(&received(b"012345678H", b"TT"), "a"),
         Err(ResponseMismatch::ContainsAnotherResponse)
     );
-    assert_eq!(history.verify(&arrived(b"012345678H", b"noise"), "a"), Ok(()));
+    assert_eq!(history.verify(&received(b"012345678H", b"noise"), "a"), Ok(()));
 }
 
 #[test]
-fn a_common_response_matches_unless_more_arrived_behind_it() {
-    let history = used(&[b"OK", b"own"]);
+fn common_response_matches_unless_more_bytes_follow() {
+    let history = history_of(&[b"OK", b"own"]);
     let mut common = CommonResponses::default();
     for (connection, body) in [(1, b"OK".as_slice()), (2, b"OK"), (2, b"own")] {
-        common.record(connection, &arrived(body, b""));
+        common.record(connection, &received(body, b""));
     }
-    assert_eq!(history.verify_allowing_common(&arrived(b"OK", b""), "a", &common), Ok(()));
+    assert_eq!(history.verify_allowing_common(&received(b"OK", b""), "a", &common), Ok(()));
     let copy = Err(ResponseMismatch::DuplicateResponse);
-    assert_eq!(history.verify_allowing_common(&arrived(b"OK", b"HTTP/1.1 200 OK"), "a", &common), copy);
-    assert_eq!(history.verify_allowing_common(&arrived(b"own", b""), "a", &common), copy);
-    let named = ReceivedResponse { request_id: Some("b"), ..arrived(b"OK", b"") };
+    assert_eq!(history.verify_allowing_common(&received(b"OK", b"HTTP/1.1 200 OK"), "a", &common), copy);
+    assert_eq!(history.verify_allowing_common(&received(b"own", b""), "a", &common), copy);
+    let named = ReceivedResponse { request_id: Some("b"), ..received(b"OK", b"") };
     let verdict = history.verify_allowing_common(&named, "a", &common);
     assert_eq!(verdict, Err(ResponseMismatch::DifferentRequestId));
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,9 +1,9 @@
 //! Exchanges of requests and responses on HTTP/1.1 connections, free of I/O.
 //!
-//! HTTP/1.1 matches a response to its request by order alone. What keeps that order is decided here, on both sides of
-//! a host: [`ExchangeHistory`], [`CommonResponses`] and [`ConnectionReusePolicy`] say which bytes from an endpoint may be the response to the
-//! request in flight, and when a connection may carry another exchange; [`RequestQueue`] holds what a client has sent
-//! until each request of it has its response.
+//! HTTP/1.1 matches a response to its request by order alone. This package maintains that order on both sides
+//! of a host. [`ExchangeHistory`], [`CommonResponses`] and [`ConnectionReusePolicy`] decide which bytes from
+//! an endpoint may be the response to the request in flight, and when a connection may carry another
+//! exchange. [`RequestQueue`] buffers a client's requests until each has been answered.
 
 mod common_responses;
 mod endpoint_trust;
--- a/crates/exchange/src/request_queue.rs
+++ b/crates/exchange/src/request_queue.rs
@@ -1,37 +1,37 @@
-//! The requests that a client has sent and that have no response yet.
+//! Queue of the requests that a client has sent and that have not been answered.
 
 use magpiewick_http1::{may_begin_request, CompleteRequest, Rejection, RequestReader};
 
-/// The response to a body whose length was wrong, which shows in what follows it.
+/// Response to a request whose stated body length is wrong, which the bytes after the body reveal.
 const WRONG_CONTENT_LENGTH: Rejection =
     Rejection { status: 400, reason: "the length is not that of the body" };
-/// Used input is dropped when there is so much of it.
+/// Number of used input bytes from which on they are dropped.
 const COMPACT_THRESHOLD_BYTES: usize = 64 << 10;
 
-/// What is next in a client's queue.
+/// Next item of a client's queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextRequest {
-    /// There is no input without a response.
+    /// The queue is empty.
     Empty,
-    /// A part of a request.
+    /// The queue holds an incomplete request.
     Partial,
     /// A complete request.
     Complete(CompleteRequest),
-    /// A complete request came behind too many others: it is rejected in its turn.
+    /// A complete request beyond the buffer limit, which is rejected in order.
     Overflowed,
-    /// It is no request, and nothing after it can be read as one either.
+    /// The input is no valid request, and nothing after it can be parsed.
     Rejected(Rejection),
 }
 
-/// Requests that came behind more than is kept: they are counted, not kept.
+/// Requests beyond the buffer limit: they are counted, but not stored.
 #[derive(Clone, Debug, Default)]
 struct Overflow {
     requests: RequestReader,
-    /// Complete requests so far.
+    /// Number of complete requests.
     count: usize,
-    /// The part of a request after them.
+    /// Bytes of the incomplete request after the complete ones.
     partial: Vec<u8>,
-    /// What comes after them is no request.
+    /// Reason why the input after the complete requests is no valid request.
     malformed: Option<Rejection>,
 }
 
@@ -62,19 +62,19 @@
     }
 }
 
-/// All that a client has sent and that has no response yet, in order. Nothing leaves it but by
-/// [`RequestQueue::take_next`]: each complete request that was put in comes out once.
+/// Input of a client that has not been answered, in order. Input leaves only through
+/// [`RequestQueue::take_next`], which returns each complete request once.
 #[derive(Clone, Debug, Default)]
 pub struct RequestQueue {
     input: Vec<u8>,
-    /// How much of the input was used.
+    /// Number of input bytes that have been parsed.
     used: usize,
     requests: RequestReader,
     overflow: Option<Overflow>,
 }
 
 impl RequestQueue {
-    /// Takes in what was read from the client.
+    /// Adds bytes that were read from the client.
     pub fn push(&mut self, input: Vec<u8>) {
         if let Some(overflow) = &mut self.overflow {
             overflow.push(&input);
@@ -85,34 +85,34 @@
         }
     }
 
-    /// Whether there is no input without a response.
+    /// Returns whether the queue holds neither input nor rejected requests.
     pub fn is_empty(&self) -> bool {
         self.buffered() == 0 && !self.requests.in_progress() && self.overflow.is_none()
     }
 
-    /// The memory that it takes.
+    /// Returns the memory that the queue takes.
     pub fn memory_bytes(&self) -> usize {
         let overflow = self.overflow.as_ref().map_or(0, |o| o.partial.capacity() + o.requests.memory_bytes());
         self.input.capacity() + self.requests.memory_bytes() + overflow
     }
 
-    /// Bytes that arrived and were not used.
+    /// Returns the number of bytes that have not been parsed.
     pub fn buffered(&self) -> usize {
         self.input.len() - self.used
     }
 
-    /// Whether what follows the next responses is no request: no further input is of use.
+    /// Returns whether the input after the next responses is malformed, so that no further input can be used.
     pub fn is_malformed(&self) -> bool {
         self.overflow.as_ref().is_some_and(|overflow| overflow.malformed.is_some())
     }
 
-    /// Whether the client waits for `100 Continue` before it sends the body; true once.
+    /// Returns whether the client waits for `100 Continue` before it sends the body; true once per request.
     pub fn expects_continue(&mut self) -> bool {
         self.requests.expects_continue()
     }
 
-    /// Keeps at most so many bytes of complete requests; those after them are counted and will be rejected in their
-    /// turn.
+    /// Limits the stored complete requests to `limit` bytes. Requests beyond the limit are counted and will
+    /// be rejected in order.
     pub fn limit_buffered(&mut self, limit: usize) {
         if self.overflow.is_some() || self.buffered() <= limit {
             return;
@@ -127,7 +127,7 @@
         }
         let mut overflow = Overflow::default();
         if end == self.used {
-            // The request that has begun is itself too large.
+            // The incomplete request alone exceeds the limit.
             overflow.requests = std::mem::take(&mut self.requests);
         }
         overflow.push(&self.input[end..]);
@@ -136,8 +136,8 @@
         self.overflow = Some(overflow);
     }
 
-    /// What is next. A complete request leaves the queue before it is answered, so that what is left in the queue is
-    /// what is owed after that response.
+    /// Removes and returns the next item. A complete request leaves the queue before it is answered, so the
+    /// queue then holds only what follows that request.
     pub fn take_next(&mut self) -> NextRequest {
         let (read, request) = match self.requests.read(&self.input[self.used..]) {
             Ok(read) => read,
@@ -160,7 +160,8 @@
         }
     }
 
-    /// The next of those that overflowed. Once all were rejected, what came after them is ordinary input again.
+    /// Returns the next item beyond the buffer limit. Once all of these requests have been rejected, the
+    /// input after them is processed as usual.
     fn next_overflowed(&mut self) -> Option<NextRequest> {
         let overflow = self.overflow.as_mut()?;
         if overflow.count > 0 {
@@ -182,7 +183,7 @@
 
     fn compact(&mut self) {
         if self.used == self.input.len() {
-            // An idle connection keeps no memory of a burst.
+            // Releases the buffer, so that an idle connection keeps no memory from a burst.
             (self.input, self.used) = (Vec::new(), 0);
         } else if self.used >= COMPACT_THRESHOLD_BYTES {
             self.input.drain(..self.used);
--- a/crates/exchange/src/request_queue/tests.rs
+++ b/crates/exchange/src/request_queue/tests.rs
@@ -10,8 +10,9 @@
     String::from_utf8_lossy(&request.head).split(' ').nth(1).unwrap_or_default().to_string()
 }
 
-/// What comes out of a queue until nothing more does: the names of requests, and which were rejected.
-fn drained(queue: &mut RequestQueue) -> Vec<Option<String>> {
+/// Takes items from a queue until none is available; returns the names of complete requests, and none for
+/// each rejected request.
+fn drain(queue: &mut RequestQueue) -> Vec<Option<String>> {
     let mut all = Vec::new();
     loop {
         match queue.take_next() {
@@ -24,24 +25,25 @@
 }
 
 quickcheck! {
-    /// A plain model: requests come out once each and in their order, however they came in, whatever was kept.
-    fn each_request_comes_out_once_in_its_order(pieces: Vec<u8>, bounds: Vec<u8>, count: u8) -> bool {
+    /// Each request leaves the queue once and in order, however the input was split and whichever limits
+    /// applied.
+    fn each_request_leaves_the_queue_once_in_order(pieces: Vec<u8>, limits: Vec<u8>, count: u8) -> bool {
         let count = usize::from(count % 40);
         let bytes: Vec<u8> = (0..count).flat_map(request).collect();
         let (mut queue, mut rest, mut out) = (RequestQueue::default(), bytes.as_slice(), Vec::new());
-        let mut steps = pieces.iter().zip(bounds.iter().cycle());
+        let mut steps = pieces.iter().zip(limits.iter().cycle());
         while !rest.is_empty() {
-            let (piece, bound) = steps.next().unwrap_or((&255, &0));
+            let (piece, limit) = steps.next().unwrap_or((&255, &0));
             let (now, later) = rest.split_at(rest.len().min(usize::from(*piece) + 1));
             queue.push(now.to_vec());
-            match bound % 3 {
-                0 => queue.limit_buffered(usize::from(*bound) * 4),
-                1 => out.extend(drained(&mut queue)),
+            match limit % 3 {
+                0 => queue.limit_buffered(usize::from(*limit) * 4),
+                1 => out.extend(drain(&mut queue)),
                 _ => {}
             }
             rest = later;
         }
-        out.extend(drained(&mut queue));
+        out.extend(drain(&mut queue));
         let own = |(number, name): (usize, &Option<String>)| {
             name.as_ref().is_none_or(|name| *name == format!("/r{number}"))
         };
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn requests_beyond_the_bound_are_rejected_in_their_turn() {
+fn requests_beyond_the_limit_are_rejected_in_order() {
     let mut queue = RequestQueue::default();
     let length = request(0).len();
     queue.push((0..5).flat_map(|_| request(0)).collect());
@@ -58,14 +60,18 @@
     queue.limit_buffered(2 * length + 1);
     assert_eq!(queue.buffered(), 2 * length);
     queue.push(b"Host: h\r\n\r\nGET /late".to_vec());
-    let out = drained(&mut queue);
+    let out = drain(&mut queue);
     assert_eq!(out.iter().map(Option::is_some).collect::<Vec<_>>(), [true, true, false, false, false, false]);
     queue.push(b" HTTP/1.1\r\nHost: h\r\n\r\n".to_vec());
-    assert_eq!(drained(&mut queue), [Some("/late".to_string())], "an ordinary request again");
+    assert_eq!(
+        drain(&mut queue),
+        [Some("/late".to_string())],
+        "a request after the rejected ones is accepted"
+    );
 }
 
 #[test]
-fn garbage_after_rejected_requests_ends_the_queue_in_its_turn() {
+fn malformed_input_after_rejected_requests_ends_the_queue() {
     let mut queue = RequestQueue::default();
     queue.push([request(0), request(1), b"\x01\x02\r\n\r\n".to_vec()].concat());
     queue.limit_buffered(1);
@@ -76,7 +82,7 @@
 }
 
 #[test]
-fn a_request_that_is_itself_too_large_is_rejected_when_it_is_complete() {
+fn request_that_alone_exceeds_the_limit_is_rejected_when_complete() {
     let mut queue = RequestQueue::default();
     let request = request(6);
     queue.push(request[..40].to_vec());
