--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -1,4 +1,4 @@
-//! The connections of clients, and which requests each of them waits for.
+//! Connections of clients, with the pending requests of each.
 
 use crate::config::HostLimits;
 use crate::poll_key::{index_of, poll_key, source_of, Source};
@@ -11,12 +11,12 @@
 
 struct Client {
     connection: Connection,
-    /// Ids by the client's own numbers.
+    /// Request ids by the client's own request numbers.
     requests: HashMap<u64, u64>,
-    /// Since when nothing is read from it.
+    /// Time since which the host does not read from the client.
     paused_since: Option<Ms>,
     has_partial_frame: bool,
-    /// Counts its partial frames, so that a timer of an earlier one is recognized.
+    /// Serial number of the partial frame, which identifies timers of an earlier one.
     partial_frame_serial: u64,
 }
 
@@ -24,16 +24,16 @@
 pub(crate) struct ClientConnections {
     clients: Slab<Client>,
     max_clients: usize,
-    /// Bytes of answers that may wait for a client before nothing more is read from it.
+    /// Maximum bytes of unsent answers per client; above this the host stops reading from the client.
     max_pending_bytes: usize,
 }
 
 impl ClientConnections {
-    pub(crate) fn new(bounds: &HostLimits) -> ClientConnections {
+    pub(crate) fn new(limits: &HostLimits) -> ClientConnections {
         ClientConnections {
             clients: Slab::new(),
-            max_clients: bounds.max_clients,
-            max_pending_bytes: bounds.max_client_buffer,
+            max_clients: limits.max_clients,
+            max_pending_bytes: limits.max_client_buffer,
         }
     }
 
@@ -45,7 +45,7 @@
         self.clients.get_mut(index_of(key))
     }
 
-    /// Takes over an accepted connection; returns its key, none where it is rejected.
+    /// Registers an accepted connection; returns its key, or none where the connection is rejected.
     pub(crate) fn accept(&mut self, poll: &Poll, stream: TcpStream) -> Option<usize> {
         if self.clients.len() >= self.max_clients {
             tracing::warn!(reason = "too_many_clients", max_clients = self.max_clients, "client_rejected");
@@ -74,7 +74,7 @@
         self.get_mut(key).map(|client| &mut client.connection)
     }
 
-    /// Queues a message; false where the client has gone.
+    /// Queues a message; returns false where the client has disconnected.
     pub(crate) fn send(&mut self, key: usize, message: &Message<'_>) -> bool {
         let Some(client) = self.get_mut(key) else { return false };
         client.connection.queue(message, UNTRACKED);
@@ -89,8 +89,8 @@
         self.clients.is_empty()
     }
 
-    /// Pauses a client that does not read its answers, until it does: what is kept for it is bounded by what it had
-    /// pending.
+    /// Pauses a client that does not read its answers, until it does. Its unsent answers are thereby limited
+    /// to those of its pending requests.
     pub(crate) fn pause_if_slow(&mut self, now: Ms, key: usize) -> Result<(), StreamEnd> {
         let max_pending_bytes = self.max_pending_bytes;
         let Some(client) = self.get_mut(key).filter(|_| source_of(key) == Source::Client) else {
@@ -103,7 +103,7 @@
         Ok(())
     }
 
-    /// Pauses all clients, as the host has as many requests as it may.
+    /// Pauses all clients, as the host has reached its maximum number of requests.
     pub(crate) fn pause_all(&mut self, now: Ms) {
         for (_, client) in self.clients.iter_mut().filter(|(_, client)| client.paused_since.is_none()) {
             client.paused_since = Some(now);
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Whether a client is paused and has read enough of its answers to be resumed.
+    /// Returns whether a client is paused and has read enough of its answers to be resumed.
     pub(crate) fn may_resume(&self, key: usize) -> bool {
         let paused = self.get(key).filter(|client| client.paused_since.is_some());
         paused.is_some_and(|client| client.connection.pending() <= self.max_pending_bytes / 2)
     }
 
-    /// Reads from a client again.
+    /// Resumes reading from a client.
     pub(crate) fn resume(&mut self, key: usize) {
         if let Some(client) = self.get_mut(key) {
             client.paused_since = None;
@@ -127,13 +127,13 @@
         }
     }
 
-    /// For how long a client has been paused: what it sent may have waited as long.
+    /// Returns how long a client has been paused; its next bytes may have been waiting for as long.
     pub(crate) fn paused_for(&self, now: Ms, key: usize) -> Ms {
         self.get(key).and_then(|client| client.paused_since).map_or(0.0, |since| now - since)
     }
 
-    /// Notes whether a client's bytes end in a partial frame, and whether frames were consumed since the last note.
-    /// Returns the serial number of a new partial frame, for its timer.
+    /// Records whether a client's bytes end in a partial frame, and whether frames were consumed since the
+    /// last call. Returns the serial number of a new partial frame, for its timer.
     pub(crate) fn note_partial_frame(&mut self, key: usize, partial: bool, progress: bool) -> Option<u64> {
         let client = self.get_mut(key)?;
         if !partial || progress {
@@ -147,7 +147,7 @@
         Some(client.partial_frame_serial)
     }
 
-    /// Whether a partial frame is still incomplete, and the client is not paused.
+    /// Returns whether a partial frame is still incomplete, and the client is not paused.
     pub(crate) fn is_partial_frame_late(&self, key: usize, serial: u64) -> bool {
         self.get(key).is_some_and(|client| {
             let same_frame = client.has_partial_frame && client.partial_frame_serial == serial;
@@ -163,32 +163,32 @@
         request_ids
     }
 
-    /// Notes a request under the client's own number; none where the client has gone.
+    /// Records a request under the client's own number; none where the client has disconnected.
     pub(crate) fn add_request(&mut self, key: usize, number: u64, request_id: u64) -> Option<()> {
         self.get_mut(key)?.requests.insert(number, request_id);
         Some(())
     }
 
-    /// Forgets the request of this number; returns its id.
+    /// Removes the request of this number; returns its id.
     pub(crate) fn remove_request(&mut self, key: usize, number: u64) -> Option<u64> {
         self.get_mut(key)?.requests.remove(&number)
     }
 
-    /// Whether a request of this number is pending.
+    /// Returns whether a request of this number is pending.
     pub(crate) fn has_request(&self, key: usize, number: u64) -> bool {
         self.get(key).is_some_and(|client| client.requests.contains_key(&number))
     }
 
-    /// Ends writing to all clients, and reads what they still send.
+    /// Closes the writing half of all client connections, and continues to read from them.
     pub(crate) fn end_writing(&mut self) {
         for (_, client) in &mut self.clients {
             client.connection.end_writing();
-            // One that cannot be read any more ends at its next read.
+            // A connection that cannot be read any more ends at its next read.
             _ = client.connection.set_reading(true);
         }
     }
 
-    /// Whether all answers have been written.
+    /// Returns whether all answers have been written.
     pub(crate) fn all_written(&self) -> bool {
         self.clients.iter().all(|(_, client)| client.connection.pending() == 0)
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings of a host. `docs/settings.md` lists their names in a file.
+//! Settings of a host. `docs/settings.md` lists their names in a file.
 
 mod reader;
 
@@ -9,62 +9,62 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The endpoint list service.
+/// Settings of the endpoint list service.
 #[derive(Clone, Debug)]
 pub struct ListServiceConfig {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// It must be polled; else it pushes updates to each connection.
+    /// Whether the list must be polled; otherwise the service pushes updates to each connection.
     pub polled: bool,
-    /// It serves the extent map too.
+    /// Whether the service also serves the extent map.
     pub serves_map: bool,
-    /// The file in which the list is cached over a restart.
+    /// File that caches the list across restarts.
     pub cache_path: Option<PathBuf>,
 }
 
-/// A volume.
+/// Settings of a volume.
 #[derive(Clone, Debug)]
 pub struct Volume {
-    /// Its name in logs.
+    /// Name in logs.
     pub name: String,
-    /// The index of its QoS policy.
+    /// Index of the QoS policy.
     pub policy: usize,
-    /// The shards that hold its data; a piece of data lies on the one that its key hashes to.
+    /// Shards that store the data; each piece of data is on the shard that its key hashes to.
     pub shards: Vec<usize>,
-    /// The number of hosts that serve its requests.
+    /// Number of hosts that serve requests of the volume.
     pub host_count: f64,
 }
 
 /// Limits on what a host accepts, and its timeouts on sockets.
 #[derive(Clone, Debug)]
 pub struct HostLimits {
-    /// The time for a connect and the peer's greeting.
+    /// Maximum time to connect and to receive the peer's greeting.
     pub connect_timeout: Ms,
-    /// How long a client may leave a frame incomplete.
+    /// Maximum time for which a client may leave a frame incomplete.
     pub partial_frame_timeout: Ms,
-    /// Connections of clients.
+    /// Maximum number of client connections.
     pub max_clients: usize,
-    /// Requests without their final answer; at this number nothing is read from clients.
+    /// Maximum number of requests without a final answer; at this number the host stops reading from clients.
     pub max_pending_requests: usize,
-    /// Bytes of answers that may wait for a client before nothing more is read from it.
+    /// Maximum bytes of unsent answers per client; above this the host stops reading from the client.
     pub max_client_buffer: usize,
 }
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// As text for people.
+    /// Plain text.
     Text,
-    /// As JSON, one object a line.
+    /// JSON, one object per line.
     Json,
 }
 
-/// What is logged.
+/// Settings of the log.
 #[derive(Clone, Debug)]
 pub struct LogConfig {
-    /// The lowest level that is logged.
+    /// Lowest level that is logged.
     pub level: String,
-    /// How lines are written.
+    /// Format of log lines.
     pub format: LogFormat,
     /// Whether each request is logged.
     pub requests: bool,
@@ -73,36 +73,36 @@
 /// All settings of a host.
 #[derive(Clone, Debug)]
 pub struct HostConfig {
-    /// Its number among the hosts.
+    /// Number among the hosts.
     pub number: u32,
-    /// Where it listens for clients.
+    /// Listening address for clients.
     pub listen: SocketAddr,
-    /// The endpoint list service.
+    /// Endpoint list service.
     pub list_service: ListServiceConfig,
-    /// The settings of the scheduler.
+    /// Settings of the scheduler.
     pub scheduler: SchedulerConfig,
-    /// The names of the request classes, in the scheduler's order.
+    /// Names of the request classes, in the scheduler's order.
     pub classes: Vec<String>,
-    /// The volumes by id.
+    /// Volumes by id.
     pub volumes: BTreeMap<u64, Volume>,
-    /// The gossip addresses of hosts by number, this host's included; empty where hosts do not gossip.
+    /// Gossip addresses of all hosts by number, including this host; empty where hosts do not gossip.
     pub gossip_addresses: BTreeMap<usize, SocketAddr>,
     /// Limits and timeouts.
     pub limits: HostLimits,
-    /// What is logged.
+    /// Settings of the log.
     pub log: LogConfig,
-    /// Which writes are coalesced; one part where none are.
+    /// Limits of coalesced writes; a limit of one part disables coalescing.
     pub coalescing: magpiewick_coalescing::BatchLimits,
-    /// How reads are split.
+    /// Settings of split reads.
     pub split_reads: SplitReadConfig,
 }
 
-/// How large reads are split.
+/// Limits for splitting large reads.
 #[derive(Clone, Debug)]
 pub struct SplitReadConfig {
-    /// The most blocks of a part; extents are kept apart in any case.
+    /// Maximum number of blocks per part; a part never crosses an extent boundary.
     pub max_blocks: u64,
-    /// The most parts of one read in flight at once.
+    /// Maximum number of parts of one read in flight at the same time.
     pub max_in_flight: usize,
 }
 
@@ -117,7 +117,7 @@
         self.scheduler.max_retry_after = 0.0;
     }
 
-    /// Sends every request by itself.
+    /// Sends every request in a frame of its own.
     pub fn disable_coalescing(&mut self) {
         self.coalescing.max_parts = 1;
         self.scheduler.max_batch_units = self.scheduler.max_units;
--- a/crates/gateway/src/config/reader.rs
+++ b/crates/gateway/src/config/reader.rs
@@ -1,5 +1,5 @@
-//! Reads the settings of a host from an HCL file. The names of keys and their values are those of our installations;
-//! this is the one place that maps them to the code's terms.
+//! Reads the settings of a host from an HCL file. The names of keys and values are those of the
+//! installations; this module alone maps them to the code's terms.
 
 use super::{HostConfig, HostLimits, ListServiceConfig, LogConfig, LogFormat, SplitReadConfig, Volume};
 use magpiewick::{
@@ -45,7 +45,7 @@
             format!("mean_units {mean} must lie within most_units {units}"),
         );
     }
-    let max_poll_interval = list.as_ref().and_then(|(_, within)| *within);
+    let max_poll_interval = list.as_ref().and_then(|(_, poll_within)| *poll_within);
     let mut scheduler = SchedulerConfig {
         seed: part.attribute("seed").integer_or(0..=u64::MAX, seed),
         hosts,
@@ -77,8 +77,8 @@
     if scheduler.max_attempts > 1
         && scheduler.classes.iter().all(|b| b.idempotency == Idempotency::NonIdempotent)
     {
-        let message = "hand_offs to spare, where every band is binding; a second one is never allowed after \
-            the first may have run";
+        let message = "hand_offs above 1, where every band is binding; a request is never sent again after \
+            an attempt that may have run";
         part.report_attribute_error("hand_offs", message);
     }
     capacity(root, &scheduler, &volumes);
@@ -113,13 +113,13 @@
 
 fn list(p: &SettingsBlock<'_>) -> (ListServiceConfig, Option<Ms>) {
     let polled = p.attribute("mode").one_of_or(&POLLED_WORDS, false);
-    let within = p.attribute("ask_within");
-    let max_poll_interval = match (polled, within.is_present()) {
-        (true, _) => Some(within.duration_ms()),
+    let poll_within = p.attribute("ask_within");
+    let max_poll_interval = match (polled, poll_within.is_present()) {
+        (true, _) => Some(poll_within.duration_ms()),
         (false, true) => {
             p.report_attribute_error(
                 "ask_within",
-                "ask_within goes with mode = \"ask\"; a list that is pushed is not asked for",
+                "ask_within requires mode = \"ask\"; a pushed list is not polled",
             );
             None
         }
@@ -135,7 +135,8 @@
     (source, max_poll_interval)
 }
 
-/// Without the block a batch weighs at most two of the largest requests.
+/// Reads the limits of coalescing. Without the block a batch contains at most the units of two of the largest
+/// requests.
 fn coalescing(part: Option<SettingsBlock<'_>>, max_units: f64) -> magpiewick_coalescing::BatchLimits {
     let defaults = magpiewick_coalescing::BatchLimits {
         max_parts: 8,
@@ -174,7 +175,7 @@
             [("group", deduplication_scope.is_present()), ("memory", deduplication_window.is_present())]
         {
             if given && !has_key {
-                p.report_attribute_error(name, format!("{name} goes with repeats = \"fingerprinted\" only"));
+                p.report_attribute_error(name, format!("{name} requires repeats = \"fingerprinted\""));
             }
         }
         let class = RequestClass {
@@ -190,13 +191,13 @@
             let (objective, timeout) = (class.latency_objective, class.client_timeout);
             p.report_attribute_error(
                 "soft_limit",
-                format!("soft_limit of {objective}ms lies beyond the time_limit of {timeout}ms"),
+                format!("soft_limit of {objective}ms exceeds the time_limit of {timeout}ms"),
             );
         }
         if class.client_timeout <= 4.0 * round && p.attribute("time_limit").is_present() {
             p.report_attribute_error(
                 "time_limit",
-                format!("time_limit leaves no time beside a round of {round}ms"),
+                format!("time_limit must exceed four rounds of {round}ms"),
             );
         }
         class
@@ -223,13 +224,13 @@
             let (reserve, limit) = (plan.reserve, plan.limit_rate);
             p.report_attribute_error(
                 "reserve",
-                format!("a reserve of {reserve} lies beyond the limit_rate of {limit}"),
+                format!("a reserve of {reserve} exceeds the limit_rate of {limit}"),
             );
         }
         if (plan.limit_rate > 0.0) != (plan.limit_burst > 0.0) {
             p.report_attribute_error(
                 "limit_store",
-                "limit_rate and limit_store go together: a rate and what may come at once",
+                "limit_rate and limit_store must be given together: a rate and its burst",
             );
         }
         plan
@@ -245,13 +246,13 @@
         let policy = p.attribute("plan").one_of(&names).unwrap_or(0);
         let shards: Vec<usize> = p.attribute("shards").integers().iter().map(|s| *s as usize).collect();
         if p.attribute("shards").is_present() && shards.is_empty() {
-            p.report_attribute_error("shards", "shards is empty; a volume's data lies on one at least");
+            p.report_attribute_error("shards", "shards is empty; expected at least one shard");
         }
         let volume_hosts = p.attribute("hosts").number_or(hosts);
         if volume_hosts < 1.0 || volume_hosts > hosts {
             p.report_attribute_error(
                 "hosts",
-                format!("a volume comes through 1 to {hosts} hosts, not {volume_hosts}"),
+                format!("hosts of a volume must be 1 to {hosts}, not {volume_hosts}"),
             );
         }
         let volume = Volume { name: p.label().to_string(), policy, shards, host_count: volume_hosts };
@@ -262,8 +263,8 @@
     volumes
 }
 
-/// The gossip addresses of all hosts, so that each can be given the same file. Which host this one is stands in its
-/// number, which may be given at its start.
+/// Reads the gossip addresses of all hosts, so that all hosts can use the same file. The host's own number,
+/// which may be given at start, identifies its entry.
 fn gossip_addresses(root: &SettingsBlock<'_>, hosts: usize) -> BTreeMap<usize, SocketAddr> {
     let mut addresses = BTreeMap::new();
     for p in root.labelled_blocks("peer") {
@@ -299,19 +300,19 @@
     if scheduler.slow_start_share <= 0.0 {
         p.report_attribute_error(
             "share",
-            "a share of 0: a node that can do nothing at its start is never warm",
+            "a share of 0; a node that receives no requests at its start never warms up",
         );
     }
     if scheduler.overload_window <= 0.0 && p.attribute("fall_time").is_present() {
         p.report_attribute_error(
             "fall_time",
-            "a fall_time of 0; expected the time over which a cold node is pushed over",
+            "a fall_time of 0; expected the time over which a cold node becomes overloaded",
         );
     }
     if scheduler.overload_multiple < 1.0 && p.attribute("fall_multiple").is_present() {
         p.report_attribute_error(
             "fall_multiple",
-            "a fall_multiple under 1: a cold node could not be sent what it can do",
+            "a fall_multiple under 1; a cold node could not be used to its capacity",
         );
     }
 }
@@ -344,7 +345,7 @@
     }
     for (shard, reserved) in reserved.into_iter().filter(|(_, reserved)| *reserved > shard_capacity) {
         p.report_error(format!(
-            "the reserves on shard {shard} come to {reserved} units a second; it can do {shard_capacity}"
+            "the reserves on shard {shard} total {reserved} units a second, above its capacity of {shard_capacity}"
         ));
     }
 }
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -1,5 +1,5 @@
-//! The engine's environment: the owners of a host's connections, requests and timers. Does what the engine asks for
-//! and turns what happens on sockets into outcomes.
+//! The engine's environment, which owns a host's connections, requests and timers. It carries out the
+//! engine's calls and converts socket events into outcomes.
 
 use crate::client_connections::ClientConnections;
 use crate::config::HostConfig;
@@ -23,20 +23,20 @@
 mod nodes;
 mod requests;
 
-/// The outcome of an attempt that is to be reported to the engine.
+/// Outcome of an attempt that has not been reported to the engine.
 pub(crate) struct UnreportedOutcome {
     pub request_id: u64,
     pub attempt: u32,
     pub outcome: Outcome,
 }
 
-/// What happened while the engine was calling and is to be handled after the call.
+/// Events that occurred during a call of the engine and are handled after it.
 #[derive(Default)]
 struct PendingEvents {
     poll_failed: bool,
     outcomes: VecDeque<UnreportedOutcome>,
     finished_parts: VecDeque<FinishedPart>,
-    /// Writes that no earlier one holds back any more.
+    /// Writes that are no longer blocked by an earlier one.
     unblocked: VecDeque<u64>,
 }
 
@@ -53,9 +53,9 @@
     clock: Clock,
     poll: Poll,
     timers: Timers<Timer>,
-    /// When the engine is to run again.
+    /// Time at which the engine is to run next.
     engine_wakes_at: Ms,
-    /// What counts for the loop's present turn.
+    /// Time of the current turn of the loop.
     now: Ms,
     events: PendingEvents,
     clients: ClientConnections,
@@ -68,12 +68,12 @@
     extent_map: magpiewick_extents::ExtentMapView,
     overlap_lock: OverlapLock,
     coalescer: Coalescer,
-    /// For how long what was not answered may still take effect.
+    /// Time during which an unanswered request may still take effect.
     late_effect_duration: Ms,
     connect_timeout: Ms,
     frame_timeout: Ms,
     hello: Hello,
-    /// Keys of connections with something to write; may hold one several times.
+    /// Keys of connections with data to write; may contain duplicates.
     to_write: Vec<usize>,
 }
 
@@ -110,37 +110,37 @@
         }
     }
 
-    /// What counts for the loop's present turn.
+    /// Returns the time of the current turn of the loop.
     pub(crate) fn now(&self) -> Ms {
         self.now
     }
 
-    /// The clock as it stands, which may be later than the present turn.
+    /// Returns the current time of the clock, which may be later than the time of the turn.
     pub(crate) fn clock_now(&self) -> Ms {
         self.clock.now()
     }
 
-    /// Lets the present time count from now on.
+    /// Updates the time of the turn to the current time.
     pub(crate) fn update_now(&mut self) {
         self.now = self.clock.now();
     }
 
-    /// When something is due next.
+    /// Returns the time at which the next timer or run of the engine is due.
     pub(crate) fn next_due_at(&self) -> Ms {
         self.timers.next_due_at().unwrap_or(f64::INFINITY).min(self.engine_wakes_at)
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the next timer that is due.
     pub(crate) fn next_due_timer(&mut self) -> Option<Timer> {
         self.timers.pop_due(self.now)
     }
 
-    /// Whether something happened that is to be handled.
+    /// Returns whether events are unhandled.
     pub(crate) fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// Takes the note that the endpoint list could not be polled.
+    /// Returns whether the endpoint list could not be polled, and clears this event.
     pub(crate) fn take_poll_failed(&mut self) -> bool {
         std::mem::take(&mut self.events.poll_failed)
     }
@@ -157,7 +157,7 @@
         self.events.unblocked.pop_front()
     }
 
-    /// Notes that a connection has something to write.
+    /// Records that a connection has data to write.
     pub(crate) fn note_to_write(&mut self, key: usize) {
         self.to_write.push(key);
     }
@@ -166,7 +166,7 @@
         !self.to_write.is_empty()
     }
 
-    /// Takes the keys of the connections with something to write, each once.
+    /// Removes and returns the keys of the connections with data to write, each once.
     pub(crate) fn take_to_write(&mut self) -> Vec<usize> {
         let mut keys = std::mem::take(&mut self.to_write);
         keys.sort_unstable();
@@ -183,33 +183,34 @@
         }
     }
 
-    /// Reads what is there on a connection; the bytes, and why the connection is over where it is.
+    /// Reads the available bytes of a connection; returns all unconsumed bytes, and the reason where the
+    /// connection has ended.
     pub(crate) fn read(&mut self, key: usize) -> Option<(Vec<u8>, Option<StreamEnd>)> {
         let connection = self.connection_mut(key)?;
-        let ended = connection.fill().err();
-        Some((connection.take_input(), ended))
+        let stream_end = connection.fill().err();
+        Some((connection.take_input(), stream_end))
     }
 
-    /// Takes the bytes that were read before and not consumed.
+    /// Removes and returns the bytes that were read before and not consumed.
     pub(crate) fn take_unconsumed(&mut self, key: usize) -> Option<Vec<u8>> {
         self.connection_mut(key).map(Connection::take_input)
     }
 
-    /// Returns what was read; its first `consumed` bytes are dropped.
-    pub(crate) fn give_back(&mut self, key: usize, input: Vec<u8>, consumed: usize) {
+    /// Returns unconsumed bytes to the connection; drops the first `consumed` bytes.
+    pub(crate) fn return_input(&mut self, key: usize, input: Vec<u8>, consumed: usize) {
         if let Some(connection) = self.connection_mut(key) {
             connection.return_input(input, consumed);
         }
     }
 
-    /// Writes what the kernel takes, and pauses a client that does not read its answers.
+    /// Writes as many bytes as the kernel accepts, and pauses a client that does not read its answers.
     pub(crate) fn flush(&mut self, key: usize) -> Result<(), StreamEnd> {
         let Some(connection) = self.connection_mut(key) else { return Ok(()) };
         connection.flush()?;
         self.clients.pause_if_slow(self.now, key)
     }
 
-    /// The next message from another host; `datagrams` counts those read in this turn.
+    /// Returns the next message from another host; `datagrams` counts those read in this turn.
     pub(crate) fn receive_gossip(&mut self, datagrams: &mut usize) -> Option<(usize, Reports)> {
         self.gossip.as_mut()?.receive(datagrams)
     }
--- a/crates/gateway/src/connections/clients.rs
+++ b/crates/gateway/src/connections/clients.rs
@@ -1,4 +1,4 @@
-//! Clients and the answers to them.
+//! Client connections and the answers sent on them.
 
 use super::Connections;
 use crate::client_connections::ClientConnections;
@@ -17,7 +17,7 @@
         &mut self.clients
     }
 
-    /// Takes over an accepted connection and greets its client.
+    /// Registers an accepted connection and sends the greeting.
     pub(crate) fn accept_client(&mut self, stream: TcpStream) {
         if let Some(key) = self.clients.accept(&self.poll, stream) {
             self.send_to_client(key, &Message::Hello(self.hello));
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Connections of clients are accepted again then.
+    /// Schedules accepting of client connections again.
     pub(crate) fn resume_accept_after(&mut self, pause: Ms) {
         self.timers.set(self.now + pause, Timer::ResumeAccept);
     }
@@ -40,14 +40,14 @@
         self.clients.pause_all(self.now);
     }
 
-    /// Notes whether a client's bytes end in a partial frame, and limits the time for the rest of it.
+    /// Records whether a client's bytes end in a partial frame, and sets a timer for its completion.
     pub(crate) fn note_partial_frame(&mut self, key: usize, partial: bool, progress: bool) {
         if let Some(serial) = self.clients.note_partial_frame(key, partial, progress) {
             self.timers.set(self.now + self.frame_timeout, Timer::PartialFrame { client: key, serial });
         }
     }
 
-    /// Forgets a client; returns its requests that had no final answer.
+    /// Removes a client; returns the ids of its requests without a final answer.
     #[must_use]
     pub(crate) fn remove_client(&mut self, key: usize) -> Vec<u64> {
         let request_ids = self.clients.remove(key);
@@ -55,7 +55,7 @@
         request_ids
     }
 
-    /// The client cancels the request of this number; returns its id, where it is pending.
+    /// Cancels the client's request of this number; returns its id, where it is pending.
     #[must_use]
     pub(crate) fn cancel_client_request(&mut self, key: usize, number: u64) -> Option<u64> {
         let request_id = self.clients.remove_request(key, number)?;
@@ -63,7 +63,7 @@
         Some(request_id)
     }
 
-    /// Nobody waits for a request any more.
+    /// Cancels a request that its client no longer waits for.
     pub(crate) fn cancel_request(&mut self, request_id: u64, reason: &str) {
         if self.requests.get_mut(request_id).is_some_and(|request| request.cancel(reason)) {
             self.coalescer.remove(request_id);
--- a/crates/gateway/src/connections/engine_environment.rs
+++ b/crates/gateway/src/connections/engine_environment.rs
@@ -1,4 +1,4 @@
-//! What the engine asks for.
+//! Implementation of the engine's environment.
 
 use super::{Connections, UnreportedOutcome};
 use crate::node_connection::SendPlan;
--- a/crates/gateway/src/connections/list_service.rs
+++ b/crates/gateway/src/connections/list_service.rs
@@ -1,4 +1,4 @@
-//! The endpoint list service, and what it says.
+//! Connection to the endpoint list service, with the endpoint list and extent map.
 
 use super::Connections;
 use crate::endpoint_list::EndpointList;
@@ -25,17 +25,17 @@
         &mut self.extent_map
     }
 
-    /// Extents that are being migrated are looked up again then.
+    /// Schedules a new lookup of the extents in migration.
     pub(crate) fn reroute_at(&mut self, at: Ms) {
         self.timers.set(at, Timer::Reroute);
     }
 
-    /// The poll key of the connection to the list service.
+    /// Returns the poll key of the connection to the list service.
     pub(crate) fn list_key(&self) -> Option<usize> {
         self.list_connection.key()
     }
 
-    /// Watches the endpoint list from the epoch that this host has.
+    /// Watches the endpoint list from this host's epoch on.
     pub(crate) fn watch_endpoints(&mut self) {
         let hello = Message::Hello(self.hello);
         let watched = self.list_connection.watch(&self.poll, &hello, self.endpoint_list.epoch());
@@ -52,19 +52,19 @@
         }
     }
 
-    /// Requests the extent map, where the service serves it.
+    /// Requests the extent map, if the service serves it.
     pub(crate) fn request_extent_map(&mut self) {
         if self.list_connection.watch_map() {
             self.note_to_write(poll_key(Source::ListService, 0));
         }
     }
 
-    /// The list service answered.
+    /// Records an answer of the list service.
     pub(crate) fn on_list_answer(&mut self) {
         self.list_connection.on_answer();
     }
 
-    /// The connection to the list service was lost, or could not be opened.
+    /// Handles the loss of the connection to the list service, or a failure to open it.
     pub(crate) fn on_list_connection_lost(&mut self, reason: &dyn std::error::Error) {
         tracing::warn!(%reason, "endpoint_list_connection_lost");
         match self.list_connection.on_lost(self.now) {
--- a/crates/gateway/src/connections/nodes.rs
+++ b/crates/gateway/src/connections/nodes.rs
@@ -1,4 +1,4 @@
-//! The connections to storage nodes.
+//! Connections to storage nodes.
 
 use super::Connections;
 use crate::endpoint_list::started_at;
@@ -25,34 +25,34 @@
         }
     }
 
-    /// The time for a greeting is over.
+    /// Closes a connection whose greeting did not arrive in time.
     pub(crate) fn on_connect_timeout(&mut self, upstream: usize, connect_attempt: u64) {
         if self.upstreams.is_greeting_late(upstream, connect_attempt) {
             self.close_upstream(upstream, &CloseReason::GreetingTimeout);
         }
     }
 
-    /// Closes the connection to a node; the attempts that were in flight or waited there are to be reported.
+    /// Closes the connection to a node; reports the attempts that were in flight or waiting there.
     pub(crate) fn close_upstream(&mut self, upstream: usize, reason: &CloseReason) {
         for (request_id, outcome) in self.upstreams.close(upstream, reason) {
             self.detach(request_id, outcome, upstream);
         }
-        self.return_waiting(upstream);
+        self.fail_waiting(upstream);
     }
 
-    /// What waits for a greeting was not sent: it is to be reported so.
-    fn return_waiting(&mut self, upstream: usize) {
+    /// Reports the attempts that wait for a greeting as not sent.
+    fn fail_waiting(&mut self, upstream: usize) {
         for (request_id, _) in self.upstreams.take_waiting(upstream) {
             self.detach(request_id, Outcome::ConnectFailed, upstream);
         }
     }
 
-    /// A node sent a message; false where it has not greeted.
+    /// Records a message from a node; returns false where the node has not sent its greeting.
     pub(crate) fn on_node_message(&mut self, key: usize) -> bool {
         self.upstreams.on_message(index_of(key), self.now)
     }
 
-    /// A node sent its greeting: what waited for it is sent, or reported as not sent.
+    /// Handles a node's greeting: sends the attempts that waited for it, or reports them as not sent.
     pub(crate) fn on_node_greeting(&mut self, key: usize, hello: &Hello) -> GreetingCheck {
         let upstream = index_of(key);
         let greeting = Process {
@@ -70,7 +70,7 @@
                     self.send_attempts(upstream, std::iter::once(attempt));
                 }
             }
-            GreetingCheck::Restarted { .. } => self.return_waiting(upstream),
+            GreetingCheck::Restarted { .. } => self.fail_waiting(upstream),
             GreetingCheck::Mismatch => {}
         }
         check
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Brings the connections in line with the endpoint list: to a node that drains or was removed nothing more is
-    /// sent, and a connection to a process that is no longer the listed one is closed.
+    /// Updates the connections to match the endpoint list: stops sending to nodes that drain or were removed,
+    /// and closes connections to processes that are no longer listed.
     pub(crate) fn on_endpoint_list_changed(&mut self) {
         for listed in self.endpoint_list.nodes() {
             self.upstreams.index_of(listed.entry.node, Some(listed));
@@ -108,7 +108,7 @@
     }
 
     fn stop_sending(&mut self, upstream: usize) {
-        self.return_waiting(upstream);
+        self.fail_waiting(upstream);
         let Some(withdrawn) = self.upstreams.withdraw(upstream) else { return };
         for request_id in withdrawn.tokens {
             self.detach(request_id, Outcome::ConnectFailed, upstream);
@@ -116,7 +116,7 @@
         let listed = self.endpoint_list.node(self.upstreams.node(upstream));
         let is_removed = listed.is_none_or(|listed| listed.entry.state == EntryState::Removed);
         if withdrawn.partly_written {
-            // The rest of a frame would reach the node at a time that nobody can tell.
+            // The remainder of a partly written frame would reach the node at an unknown time.
             self.close_upstream(upstream, &CloseReason::PartlyWrittenFrame);
         } else if is_removed && self.upstreams.is_idle(upstream) {
             self.close_upstream(upstream, &CloseReason::Removed);
--- a/crates/gateway/src/connections/requests.rs
+++ b/crates/gateway/src/connections/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their admission to their final answer, and the attempts of each.
+//! Requests from their admission to their final answer, with the attempts of each.
 
 use super::{Connections, UnreportedOutcome};
 use crate::poll_key::{index_of, poll_key, Source};
@@ -10,7 +10,7 @@
 use magpiewick_node_protocol::FinalCode;
 
 impl Connections {
-    /// Keeps a request as its client sent it and gives it an id; none where its client has gone.
+    /// Stores a client's request and assigns an id to it; none where its client has disconnected.
     pub(crate) fn admit(&mut self, admitted: Admitted<'_>) -> Option<u64> {
         let id = self.requests.next_request_id();
         if let Requester::Client(client) = admitted.requester {
@@ -21,15 +21,16 @@
         Some(id)
     }
 
-    /// Offers a write that is not in flight to be coalesced with others.
+    /// Offers a write without an attempt in flight for coalescing with others.
     pub(crate) fn offer_for_coalescing(&mut self, request_id: u64) {
         if let Some(write) = self.requests.get(request_id).and_then(|request| request.as_coalescible()) {
             self.coalescer.insert(request_id, write);
         }
     }
 
-    /// Asks whether a request may go on to the engine; where an earlier write overlaps it, keeps it until then or for
-    /// as long as it may wait. `queue` names the queue in which the scheduler orders it.
+    /// Returns the request if it may proceed to the engine. Where an earlier write overlaps it, stores it
+    /// until that write is done or `waits_until` has passed. `queue` names the queue in which the scheduler
+    /// orders it.
     #[must_use]
     pub(crate) fn acquire_overlap_lock(
         &mut self,
@@ -52,7 +53,7 @@
         None
     }
 
-    /// What the engine gets of a write that waited for others.
+    /// Returns a write that was blocked by others, for the engine.
     #[must_use]
     pub(crate) fn unblock(&mut self, request_id: u64) -> Option<IncomingRequest> {
         let incoming = self.requests.get_mut(request_id)?.unblock(self.now)?;
@@ -60,7 +61,7 @@
         Some(incoming)
     }
 
-    /// A write has waited for as long as it may; returns what the engine gets of it, where it still waits.
+    /// Unblocks a write whose maximum wait has passed; returns it for the engine, where it was still blocked.
     #[must_use]
     pub(crate) fn unblock_late(&mut self, request_id: u64) -> Option<IncomingRequest> {
         if !self.overlap_lock.is_blocked(request_id) {
@@ -70,17 +71,18 @@
         self.unblock(request_id)
     }
 
-    /// Writes that wait for others.
+    /// Returns the number of blocked writes.
     pub(crate) fn blocked_writes(&self) -> usize {
         self.overlap_lock.blocked_count()
     }
 
-    /// A write cannot take effect any more: those that waited for it may go on.
+    /// Releases the lock of a write that can no longer take effect, which unblocks the writes that waited for
+    /// it.
     pub(crate) fn release_overlap_lock(&mut self, request_id: u64) {
         self.events.unblocked.extend(self.overlap_lock.release(request_id));
     }
 
-    /// Passes the first succeeded answer on to the client.
+    /// Sends the first succeeded answer to the client.
     pub(crate) fn succeed(&mut self, request_id: u64, payload: &[u8]) {
         let reason = Reason::After(Outcome::Succeeded).as_str();
         self.finish(request_id, FinalCode::Succeeded, 0.0, payload, reason);
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Forgets a request that is answered and has no attempt in flight.
+    /// Removes a request that has been answered and has no attempt in flight.
     pub(crate) fn release(&mut self, request_id: u64) {
         let Some(removed) = self.requests.remove_if_done(request_id) else { return };
         if removed.may_take_effect_late {
@@ -123,7 +125,7 @@
         &self.requests
     }
 
-    /// A request's data lies elsewhere.
+    /// Updates the location of a request's data.
     pub(crate) fn relocate(&mut self, request_id: u64, location: Location) {
         if let Some(request) = self.requests.get_mut(request_id) {
             request.relocate(location);
@@ -131,11 +133,11 @@
         }
     }
 
-    /// Keeps a read that was split; none where its client has gone.
-    pub(crate) fn admit_split_read(&mut self, new: NewSplitRead<'_>) -> Option<u64> {
+    /// Stores a read that was split; none where its client has disconnected.
+    pub(crate) fn admit_split_read(&mut self, split_read: NewSplitRead<'_>) -> Option<u64> {
         let id = self.requests.next_split_read_id();
-        self.clients.add_request(new.client.key, new.client.request_id, id)?;
-        self.split_reads.insert(id, new);
+        self.clients.add_request(split_read.client.key, split_read.client.request_id, id)?;
+        self.split_reads.insert(id, split_read);
         Some(id)
     }
 
@@ -143,7 +145,7 @@
         &mut self.split_reads
     }
 
-    /// Gives a split read its final answer; its parts in flight are left to the engine.
+    /// Sends the final answer of a split read; its parts in flight remain with the engine.
     pub(crate) fn finish_split_read(&mut self, id: u64, code: FinalCode, retry_after: Ms, payload: &[u8]) {
         if let Some(client) = self.split_reads.finish(id, code) {
             self.answer_client(client, code, retry_after, payload);
@@ -154,25 +156,25 @@
         self.requests.get(request_id).is_some_and(|request| request.has_in_flight(attempt))
     }
 
-    /// Whether an attempt is in flight at the node of this key.
+    /// Returns whether an attempt is in flight at the node of this key.
     pub(crate) fn is_in_flight_at(&self, request_id: u64, attempt: u32, key: usize) -> bool {
         let request = self.requests.get(request_id);
         request.and_then(|request| request.upstream_of(attempt)) == Some(index_of(key))
     }
 
-    /// Removes an attempt; returns when it was sent, where it had not ended before.
+    /// Removes an attempt; returns when it was sent, unless it had already ended.
     #[must_use]
     pub(crate) fn end_attempt(&mut self, request_id: u64, attempt: u32, outcome: Outcome) -> Option<Ms> {
-        let ended = self.requests.get_mut(request_id)?.end_attempt(attempt, outcome)?;
-        if let Some(upstream) = ended.upstream {
+        let attempt_entry = self.requests.get_mut(request_id)?.end_attempt(attempt, outcome)?;
+        if let Some(upstream) = attempt_entry.upstream {
             let is_unanswered = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
-            let unanswered = is_unanswered.then_some(ended.sent_at);
+            let unanswered = is_unanswered.then_some(attempt_entry.sent_at);
             self.upstreams.on_attempt_ended(upstream, (request_id, attempt), unanswered);
         }
-        Some(ended.sent_at)
+        Some(attempt_entry.sent_at)
     }
 
-    /// Tells a node that an attempt is not waited for any more, so that it need not begin it.
+    /// Notifies a node that an attempt was cancelled, so that the node need not start it.
     pub(crate) fn send_cancel(&mut self, request_id: u64, attempt: u32) {
         let request = self.requests.get(request_id);
         let Some(upstream) = request.and_then(|request| request.upstream_of(attempt)) else { return };
@@ -181,7 +183,7 @@
         }
     }
 
-    /// The connection of an attempt is closed: its outcome is to be reported to the engine.
+    /// Removes an attempt whose connection was closed, and reports its outcome to the engine.
     pub(super) fn detach(&mut self, request_id: u64, outcome: Outcome, upstream: usize) {
         let request = self.requests.get_mut(request_id);
         if let Some(attempt) = request.and_then(|request| request.detach(upstream)) {
--- a/crates/gateway/src/event_loop/client_events.rs
+++ b/crates/gateway/src/event_loop/client_events.rs
@@ -48,10 +48,10 @@
         if matches!(stop, Some(ClientStop::AtCapacity)) {
             self.at_capacity = true;
             self.connections.pause_all_clients();
-            return self.connections.give_back(key, input, consumed);
+            return self.connections.return_input(key, input, consumed);
         }
         let partial = consumed < input.len();
-        self.connections.give_back(key, input, consumed);
+        self.connections.return_input(key, input, consumed);
         self.connections.note_partial_frame(key, partial, consumed > 0);
         if let Some(stop) = stop {
             self.on_client_disconnect(key, &stop);
--- a/crates/gateway/src/event_loop/list_events.rs
+++ b/crates/gateway/src/event_loop/list_events.rs
@@ -11,7 +11,7 @@
     pub(super) fn on_list_readable(&mut self, key: usize) {
         let Some((input, ended)) = self.connections.read(key) else { return };
         let (consumed, error) = for_each_frame(&input, |message| self.on_list_message(message));
-        self.connections.give_back(key, input, consumed);
+        self.connections.return_input(key, input, consumed);
         if let Some(error) = error {
             self.connections.on_list_connection_lost(&error);
         } else if let Some(ended) = ended {
--- a/crates/gateway/src/event_loop/node_events.rs
+++ b/crates/gateway/src/event_loop/node_events.rs
@@ -26,7 +26,7 @@
     pub(super) fn on_node_readable(&mut self, key: usize) {
         let Some((input, ended)) = self.connections.read(key) else { return };
         let (consumed, error) = for_each_frame(&input, |message| self.on_node_message(key, message));
-        self.connections.give_back(key, input, consumed);
+        self.connections.return_input(key, input, consumed);
         let reason = error.map(CloseReason::from).or_else(|| ended.map(CloseReason::from));
         if let Some(reason) = reason {
             self.connections.close_upstream(index_of(key), &reason);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,11 @@
-//! The running host: one event loop over clients, storage nodes and the endpoint list service, around the engine.
+//! A running host: one event loop over clients, storage nodes and the endpoint list service, around the
+//! engine.
 //!
-//! The loop hands each event to the engine and does what the scheduler answers. What the host decides by itself (which
-//! connection an attempt is sent on, whether a process is the one that was meant, what a broken connection proves)
-//! stands in state machines free of I/O. A request's way: `listener`, `client_connections`, `request_registry`, the
-//! engine, `upstream_pool`, `node_connection`, and back the same way.
+//! The loop passes each event to the engine and carries out the scheduler's decisions. Decisions that the
+//! host makes itself (the connection for an attempt, whether a process is the expected one, which requests a
+//! broken connection may have run) are in state machines free of I/O. A request passes through `listener`,
+//! `client_connections`, `request_registry`, the engine, `upstream_pool` and `node_connection`; its answer
+//! takes the same path in reverse.
 
 mod client_connections;
 pub mod config;
