--- a/crates/gateway/src/connections/engine_environment.rs
+++ b/crates/gateway/src/connections/engine_environment.rs
@@ -1,7 +1,7 @@
 //! Implementation of the engine's environment.
 
 use super::{Connections, UnreportedOutcome};
-use crate::node_connection::SendPlan;
+use crate::node_connection::SendAction;
 use crate::poll_key::{poll_key, Source};
 use crate::timer::Timer;
 use crate::upstream_pool::CloseReason;
@@ -20,14 +20,14 @@
             self.timers.set(now + timeout, Timer::AttemptTimeout { request_id, attempt });
         }
         let attempts = attempts.iter().map(|attempt| (attempt.request_id, attempt.attempt));
-        match self.upstreams.plan_send(upstream) {
-            SendPlan::Send => self.send_attempts(upstream, attempts),
-            SendPlan::Wait => self.upstreams.wait_for_greeting(upstream, attempts),
-            SendPlan::Connect => {
+        match self.upstreams.send_action(upstream) {
+            SendAction::Send => self.send_attempts(upstream, attempts),
+            SendAction::Wait => self.upstreams.wait_for_greeting(upstream, attempts),
+            SendAction::Connect => {
                 self.upstreams.wait_for_greeting(upstream, attempts);
                 self.connect(upstream);
             }
-            SendPlan::Reconnect => {
+            SendAction::Reconnect => {
                 let waiting = self.upstreams.take_waiting(upstream).into_iter().chain(attempts);
                 self.close_upstream(upstream, &CloseReason::Unresponsive);
                 self.upstreams.wait_for_greeting(upstream, waiting);
--- a/crates/gateway/src/connections/list_service.rs
+++ b/crates/gateway/src/connections/list_service.rs
@@ -2,7 +2,7 @@
 
 use super::Connections;
 use crate::endpoint_list::EndpointList;
-use crate::list_connection::AfterLoss;
+use crate::list_connection::ReconnectAction;
 use crate::poll_key::{poll_key, Source};
 use crate::timer::Timer;
 use magpiewick::Ms;
@@ -68,8 +68,8 @@
     pub(crate) fn on_list_connection_lost(&mut self, reason: &dyn std::error::Error) {
         tracing::warn!(%reason, "endpoint_list_connection_lost");
         match self.list_connection.on_lost(self.now) {
-            AfterLoss::ReportPollFailed => self.events.poll_failed = true,
-            AfterLoss::ReconnectAt(at) => self.timers.set(at, Timer::ReconnectList),
+            ReconnectAction::ReportPollFailed => self.events.poll_failed = true,
+            ReconnectAction::ReconnectAt(at) => self.timers.set(at, Timer::ReconnectList),
         }
     }
 }
--- a/crates/gateway/src/connections/nodes.rs
+++ b/crates/gateway/src/connections/nodes.rs
@@ -2,7 +2,7 @@
 
 use super::Connections;
 use crate::endpoint_list::started_at;
-use crate::node_connection::{GreetingCheck, Process};
+use crate::node_connection::{GreetingCheck, ProcessIdentity};
 use crate::poll_key::{index_of, poll_key, Source};
 use crate::timer::Timer;
 use crate::upstream_pool::{AttemptId, CloseReason};
@@ -55,7 +55,7 @@
     /// Handles a node's greeting: sends the attempts that waited for it, or reports them as not sent.
     pub(crate) fn on_node_greeting(&mut self, key: usize, hello: &Hello) -> GreetingCheck {
         let upstream = index_of(key);
-        let greeting = Process {
+        let greeting = ProcessIdentity {
             node: hello.number,
             incarnation: hello.incarnation,
             started_at: started_at(self.now, hello.age_us),
--- a/crates/gateway/src/connections/requests.rs
+++ b/crates/gateway/src/connections/requests.rs
@@ -2,7 +2,7 @@
 
 use super::{Connections, UnreportedOutcome};
 use crate::poll_key::{index_of, poll_key, Source};
-use crate::request_registry::{Admitted, Location, PartRef, RequestRegistry, Requester};
+use crate::request_registry::{AdmittedRequest, Location, PartRef, RequestRegistry, Requester};
 use crate::split_reads::{FinishedPart, NewSplitRead, SplitReads};
 use crate::timer::Timer;
 use magpiewick::{Ms, Outcome};
@@ -11,7 +11,7 @@
 
 impl Connections {
     /// Stores a client's request and assigns an id to it; none where its client has disconnected.
-    pub(crate) fn admit(&mut self, admitted: Admitted<'_>) -> Option<u64> {
+    pub(crate) fn admit(&mut self, admitted: AdmittedRequest<'_>) -> Option<u64> {
         let id = self.requests.next_request_id();
         if let Requester::Client(client) = admitted.requester {
             self.clients.add_request(client.key, client.request_id, id)?;
@@ -63,7 +63,7 @@
 
     /// Unblocks a write whose maximum wait has passed; returns it for the engine, where it was still blocked.
     #[must_use]
-    pub(crate) fn unblock_late(&mut self, request_id: u64) -> Option<IncomingRequest> {
+    pub(crate) fn unblock_on_timeout(&mut self, request_id: u64) -> Option<IncomingRequest> {
         if !self.overlap_lock.is_blocked(request_id) {
             return None;
         }
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -1,7 +1,7 @@
-//! The endpoint list as this host knows it: applies updates in order, finds gaps, and keeps the time at which each
-//! process started on this host's clock. Free of I/O.
+//! The host's copy of the endpoint list: applies updates in order, detects gaps, and records the start time
+//! of each process on this host's clock. Free of I/O.
 
-use crate::node_connection::Process;
+use crate::node_connection::ProcessIdentity;
 use magpiewick::{Endpoint, EndpointState, EndpointUpdate, Ms};
 use magpiewick_node_protocol::{EndpointEntry, EndpointListUpdate, EntryState, AGE_LONG_RUNNING};
 use std::collections::BTreeMap;
@@ -11,8 +11,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ListedNode {
     pub entry: EndpointEntry,
-    /// When its process started. It is fixed when this incarnation is first seen: two ages of one process, received at
-    /// different times, must not make two starts.
+    /// Start time of the node's process. It is set when this incarnation is first listed: two ages of one
+    /// process, received at different times, must not result in two start times.
     pub started_at: Option<Ms>,
 }
 
@@ -37,31 +37,31 @@
     }
 }
 
-/// The list.
+/// The endpoint list.
 #[derive(Default)]
 pub(crate) struct EndpointList {
     epoch: u64,
     nodes: BTreeMap<u32, ListedNode>,
 }
 
-/// What an update changed.
+/// Result of an update.
 #[derive(Debug)]
 pub(crate) enum ListChange {
-    /// For the scheduler: the kind of update and the endpoints.
+    /// Kind of update and endpoints, for the scheduler.
     Updated(EndpointUpdate, Vec<(u32, Endpoint)>),
-    /// An update before this one is missing: the whole list must be requested.
+    /// An earlier update is missing, so the whole list must be requested.
     Gap,
-    /// An update that was applied before.
+    /// The update has already been applied.
     Stale,
 }
 
-/// When a process of this age started; none where it no longer matters.
+/// Returns the start time of a process of this age; none where the process started long ago.
 pub(crate) fn started_at(now: Ms, age_us: u64) -> Option<Ms> {
     (age_us != AGE_LONG_RUNNING).then(|| now - age_us as f64 / 1000.0)
 }
 
 impl EndpointList {
-    /// The epoch of the last update; 0 before any.
+    /// Returns the epoch of the last update; 0 before the first.
     pub(crate) fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -74,9 +74,9 @@
         self.nodes.get(&node)
     }
 
-    /// The process of a node, as the list names it.
-    pub(crate) fn process(&self, node: u32) -> Option<Process> {
-        self.nodes.get(&node).map(|listed| Process {
+    /// Returns the process of a node according to the list.
+    pub(crate) fn process(&self, node: u32) -> Option<ProcessIdentity> {
+        self.nodes.get(&node).map(|listed| ProcessIdentity {
             node,
             incarnation: listed.entry.incarnation,
             started_at: listed.started_at,
@@ -86,7 +86,7 @@
     /// Applies an update.
     #[must_use]
     pub(crate) fn apply(&mut self, now: Ms, update: &EndpointListUpdate) -> ListChange {
-        // A restarted service counts its epochs anew; only a snapshot can tell.
+        // A restarted service counts its epochs from the start again; only a snapshot reveals this.
         if !update.snapshot {
             if update.epoch <= self.epoch {
                 return ListChange::Stale;
@@ -95,14 +95,14 @@
                 return ListChange::Gap;
             }
         } else {
-            let named: Vec<u32> = update.entries.iter().map(|entry| entry.node).collect();
-            self.nodes.retain(|node, _| named.contains(node));
+            let listed_nodes: Vec<u32> = update.entries.iter().map(|entry| entry.node).collect();
+            self.nodes.retain(|node, _| listed_nodes.contains(node));
         }
         self.epoch = update.epoch;
         let kind = if update.snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
         let endpoints = self.insert_all(now, update);
         if !update.snapshot {
-            // The scheduler keeps what is still in flight at removed nodes.
+            // The scheduler keeps the attempts that are still in flight at removed nodes.
             self.nodes.retain(|_, listed| listed.entry.state != EntryState::Removed);
         }
         ListChange::Updated(kind, endpoints)
@@ -113,15 +113,18 @@
     }
 
     fn insert(&mut self, now: Ms, entry: &EndpointEntry) -> Endpoint {
-        let known = self.nodes.get(&entry.node).filter(|l| l.entry.incarnation == entry.incarnation);
-        let started_at = known.map_or_else(|| started_at(now, entry.age_us), |listed| listed.started_at);
+        let same_incarnation =
+            self.nodes.get(&entry.node).filter(|l| l.entry.incarnation == entry.incarnation);
+        let started_at =
+            same_incarnation.map_or_else(|| started_at(now, entry.age_us), |listed| listed.started_at);
         let listed = ListedNode { entry: *entry, started_at };
         let endpoint = listed.endpoint();
         self.nodes.insert(entry.node, listed);
         endpoint
     }
 
-    /// A greeting showed that a node's process is a later one than the listed one; returns the node's new endpoint.
+    /// Records that a node's greeting came from a later process than the listed one; returns the node's new
+    /// endpoint.
     pub(crate) fn on_restart(
         &mut self,
         node: u32,
@@ -134,18 +137,20 @@
         Some((node, listed.endpoint()))
     }
 
-    /// The list to cache over a restart of this host, with the ages as of now.
+    /// Returns the list to be cached across a restart of this host, with the current ages.
     pub(crate) fn snapshot(&self, now: Ms) -> EndpointListUpdate {
         let age_us = |started_at: Option<Ms>| {
             started_at.map_or(AGE_LONG_RUNNING, |started_at| ((now - started_at).max(0.0) * 1000.0) as u64)
         };
-        let aged = |listed: &ListedNode| EndpointEntry { age_us: age_us(listed.started_at), ..listed.entry };
-        let entries = self.nodes.values().map(aged).collect();
+        let with_age =
+            |listed: &ListedNode| EndpointEntry { age_us: age_us(listed.started_at), ..listed.entry };
+        let entries = self.nodes.values().map(with_age).collect();
         EndpointListUpdate { snapshot: true, epoch: self.epoch, entries }
     }
 
-    /// Takes over what this host cached when it last ran. How long it was down is not known, so nodes count as
-    /// younger than they are: the safe side. The epoch is not taken over, so that the whole list is requested.
+    /// Restores the list that this host cached when it last ran. The downtime is unknown, so nodes are
+    /// treated as having started later than they did, which is the safe side. The epoch is not restored, so
+    /// that the whole list is requested.
     pub(crate) fn restore(&mut self, now: Ms, cached: &EndpointListUpdate) -> Vec<(u32, Endpoint)> {
         self.insert_all(now, cached)
     }
--- a/crates/gateway/src/endpoint_list/tests.rs
+++ b/crates/gateway/src/endpoint_list/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn two_ages_of_one_incarnation_make_one_start() {
+fn two_ages_of_one_incarnation_give_one_start_time() {
     let mut list = EndpointList::default();
     _ = list.apply(1000.0, &update(true, 1, &[entry(1, EntryState::Ready, 7, 500_000)]));
     _ = list.apply(1300.7, &update(true, 2, &[entry(1, EntryState::Ready, 7, 800_000)]));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn gaps_and_stale_updates_are_found() {
+fn gaps_and_stale_updates_are_detected() {
     let mut list = EndpointList::default();
     _ = list.apply(0.0, &update(true, 4, &[entry(1, EntryState::Ready, 7, 0)]));
     let draining = [entry(1, EntryState::Draining, 7, 0)];
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_restored_list_makes_no_node_older() {
+fn restored_nodes_are_not_older_than_cached() {
     let mut list = EndpointList::default();
     _ = list.apply(
         0.0,
@@ -61,8 +61,9 @@
 }
 
 quickcheck! {
-    /// A plain model: the states as a map, deltas applied one by one, snapshots replacing all.
-    fn the_list_is_the_result_of_its_updates(updates: Vec<(bool, Vec<(u8, u8)>)>) -> bool {
+    /// Compares the list with a map of states, to which deltas are applied one by one and which each snapshot
+    /// replaces.
+    fn list_equals_the_result_of_its_updates(updates: Vec<(bool, Vec<(u8, u8)>)>) -> bool {
         let (mut list, mut model) = (EndpointList::default(), BTreeMap::new());
         for (epoch, (snapshot, entries)) in (1..).zip(updates) {
             let state = |s: u8| [EntryState::Ready, EntryState::Draining, EntryState::Removed][usize::from(s % 3)];
@@ -77,7 +78,7 @@
             }
             _ = list.apply(0.0, &update(snapshot, epoch, &entries));
         }
-        let found: BTreeMap<u32, EntryState> = list.nodes().map(|k| (k.entry.node, k.entry.state)).collect();
-        found == model
+        let listed_states: BTreeMap<u32, EntryState> = list.nodes().map(|k| (k.entry.node, k.entry.state)).collect();
+        listed_states == model
     }
 }
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop: waits for readiness and timers, dispatches them in a fixed order, and writes what came of them.
+//! The event loop: waits for readiness and timers, dispatches events in a fixed order, and writes the
+//! resulting messages.
 
 mod admission;
 mod client_events;
@@ -22,16 +23,17 @@
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 
-/// The loop never sleeps longer: what came while the process stalled is told from what just came by it.
+/// Maximum sleep of the loop, so that events that waited while the process was stalled can be distinguished from
+/// new ones.
 const MAX_SLEEP: Ms = 20.0;
 
-/// A turn that took longer is logged: what was answered in it may be late.
-const SLOW_TURN: Ms = 50.0;
+/// Duration above which a turn is logged: answers sent in a longer turn may be late.
+const SLOW_TURN_THRESHOLD: Ms = 50.0;
 
-/// How a host ended.
+/// Reason why a host exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostExit {
-    /// A shutdown was requested, and everything pending got its final answer.
+    /// A shutdown was requested, and all pending requests have been answered.
     Stopped,
     /// A second shutdown was requested.
     Abandoned,
@@ -45,25 +47,25 @@
     poll: Poll,
     listener: Listener,
     shutdown: GracefulShutdown,
-    /// Set while no more is read from clients, as enough is pending.
+    /// Set while the host does not read from clients, as the maximum number of requests is pending.
     at_capacity: bool,
     stall_detector: StallDetector,
     delay: LoopDelay,
 }
 
-/// What came of an attempt, besides its outcome.
+/// Details of an attempt's end, in addition to its outcome.
 #[derive(Clone, Copy, Default)]
 struct OutcomeDetails<'a> {
-    /// The volume's service, as a part of its policy's rate; none where unknown.
+    /// Service that the volume received, as a fraction of its policy's rate; none where unknown.
     used: Option<f64>,
-    /// Units that the node served the volume through other hosts.
+    /// Units that the node served for the volume through other hosts.
     remote_units: f64,
     payload: &'a [u8],
 }
 
 impl Gateway {
-    /// Binds the listener. A byte on `shutdown_signal` requests a graceful shutdown, a second one an end at once;
-    /// `incarnation` names this start of the process and must differ from all others.
+    /// Binds the listener. A byte on `shutdown_signal` requests a graceful shutdown, and a second byte an
+    /// immediate exit. `incarnation` identifies this start of the process and must differ from all others.
     pub fn bind(
         mut config: HostConfig,
         shutdown_signal: UnixStream,
@@ -93,12 +95,12 @@
         })
     }
 
-    /// Where clients reach it.
+    /// Returns the listening address for clients.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Serves until a shutdown is requested and done.
+    /// Serves until a requested shutdown is complete.
     pub fn run(mut self) -> io::Result<HostExit> {
         self.restore_endpoint_list();
         if !self.config.list_service.polled {
@@ -126,17 +128,17 @@
         }
     }
 
-    /// The turn is over and the loop sleeps for `max_sleep` at most.
+    /// Records the end of a turn; the loop sleeps for at most `max_sleep`.
     fn note_sleep(&mut self, max_sleep: Ms) {
         let now = self.connections.clock_now();
         self.stall_detector.on_sleep(now, max_sleep);
         let turn_ms = self.delay.on_sleep(now, now + max_sleep);
-        if turn_ms > SLOW_TURN {
+        if turn_ms > SLOW_TURN_THRESHOLD {
             tracing::warn!(turn_ms, pending = self.pending(), "slow_turn");
         }
     }
 
-    /// Requests without their final answer, wherever they wait.
+    /// Returns the number of requests without a final answer, including blocked writes.
     fn pending(&self) -> usize {
         self.engine.pending() + self.connections.blocked_writes()
     }
@@ -145,8 +147,8 @@
         (self.connections.next_due_at() - self.connections.clock_now()).clamp(0.0, MAX_SLEEP)
     }
 
-    /// One turn. Endpoint updates come first, so that nothing is decided on old ones; then outcomes, which free
-    /// slots; then new requests; then what is due.
+    /// Runs one turn. Endpoint updates are processed first, so that no decision is based on an old list; then
+    /// outcomes, which free slots; then new requests; then timers that are due.
     fn turn(&mut self, poll_events: &PollEvents) {
         let readable = |source: Source| {
             poll_events.readable.iter().copied().filter(move |key| source_of(*key) == source)
@@ -159,8 +161,8 @@
         readable(Source::Listener).for_each(|_| self.listener.accept_all(&mut self.connections));
         readable(Source::ShutdownSignal).for_each(|_| self.on_shutdown_signal());
         self.run_engine();
-        // A turn that took long, or was stopped in its middle, may have decided on an old endpoint list: updates that
-        // came meanwhile are applied before anything is sent.
+        // A long or interrupted turn may have based decisions on an old endpoint list. Updates that arrived
+        // during the turn are applied before anything is sent.
         if self.connections.clock_now() - self.connections.now() > self.config.scheduler.round {
             self.connections.update_now();
             if let Some(key) = self.connections.list_key() {
@@ -172,7 +174,7 @@
         self.write();
     }
 
-    /// Runs the engine until nothing is due and no event is unhandled.
+    /// Runs the engine until no timer is due and no event is unhandled.
     fn run_engine(&mut self) {
         loop {
             self.handle_events();
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Handles what happened while the engine was calling.
+    /// Handles the events that occurred during a call of the engine.
     fn handle_events(&mut self) {
         if self.connections.take_poll_failed() {
             self.engine.on_endpoint_update(self.connections.now(), EndpointUpdate::PollFailed, &[]);
@@ -201,7 +203,8 @@
         }
     }
 
-    /// Writes what is to be written. Connections that break at it bring outcomes, and these bring new attempts.
+    /// Writes all pending output. Connections that fail while writing produce outcomes, and these may start
+    /// new attempts.
     fn write(&mut self) {
         loop {
             for key in self.connections.take_to_write() {
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Ends an attempt; what comes for one that has ended before is ignored.
+    /// Ends an attempt; the outcome of an attempt that has already ended is ignored.
     fn on_outcome(&mut self, request_id: u64, attempt: u32, outcome: Outcome, details: OutcomeDetails<'_>) {
         let Some(sent_at) = self.connections.end_attempt(request_id, attempt, outcome) else { return };
         let OutcomeDetails { used, remote_units, payload } = details;
@@ -250,7 +253,7 @@
             Answer { outcome, latency: now - sent_at, request_over, volume_usage: used, remote_units };
         self.engine.on_outcome(now, request_id, answer, &mut self.connections);
         if outcome == Outcome::ShardMoved {
-            self.follow_moved_shard(request_id);
+            self.reroute_request(request_id);
         }
         self.connections.offer_for_coalescing(request_id);
         self.connections.release(request_id);
--- a/crates/gateway/src/event_loop/admission.rs
+++ b/crates/gateway/src/event_loop/admission.rs
@@ -1,8 +1,8 @@
-//! Admits clients' requests to the engine, or rejects them at once.
+//! Admits clients' requests to the engine, or rejects them immediately.
 
 use super::Gateway;
 use crate::request_log::RequestLog;
-use crate::request_registry::{Admitted, ClientRef, PartRef, Requester};
+use crate::request_registry::{AdmittedRequest, ClientRef, PartRef, Requester};
 use crate::split_reads::NewSplitRead;
 use magpiewick::{Idempotency, Ms, Request};
 use magpiewick_coalescing::split_range;
@@ -10,7 +10,7 @@
 use magpiewick_node_protocol::{ClientRequest, FinalAnswer, FinalCode, Message};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Why a request is rejected before the engine gets it: nothing ran, so trying again is harmless.
+/// Reason why a request is rejected before it reaches the engine. Nothing has run, so a retry is safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rejection {
     UnknownVolume,
@@ -19,13 +19,13 @@
     ShuttingDown,
     NumberInUse,
     ImpossibleRange,
-    /// Without the map of a volume on several shards nobody knows where a range lies.
+    /// Without an extent map, the location of a range is unknown for a volume on several shards.
     UnmappedRange,
     CrossesExtents,
 }
 
 impl Rejection {
-    /// The word that the client gets.
+    /// Returns the reason as sent to the client.
     fn as_str(self) -> &'static str {
         match self {
             Rejection::UnknownVolume => "unknown-volume",
@@ -41,7 +41,7 @@
 }
 
 impl Gateway {
-    /// A client's request.
+    /// Admits a client's request, or answers it with a rejection.
     pub(super) fn on_client_request(&mut self, key: usize, request: &ClientRequest<'_>) {
         if let Err(rejection) = self.check_and_admit(key, request) {
             let answer = FinalAnswer {
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    /// The parts in which a request must travel, none where it travels whole.
+    /// Returns the parts into which a request must be split; none where it is sent as a whole.
     fn split(&self, request: &ClientRequest<'_>) -> Result<Option<Vec<(u64, u64)>>, Rejection> {
         let start = request.key;
         let end = start.saturating_add(u64::from(request.blocks.max(1)));
@@ -108,8 +108,8 @@
             return if shards > 1 { Err(Rejection::UnmappedRange) } else { Ok(None) };
         };
         let class = &self.config.scheduler.classes[usize::from(request.class)];
-        // Half of a write cannot be undone, and parts of an ordered request or one with an idempotency key would be
-        // taken for repetitions of each other.
+        // Half of a write cannot be undone, and parts of an ordered request, or of one with an idempotency
+        // key, would be taken for repetitions of each other.
         let may_split = !request.write && class.idempotency == Idempotency::Idempotent && !class.ordered;
         let max_blocks = if may_split { self.config.split_reads.max_blocks } else { u64::MAX };
         let parts = split_range(start, end, extent_starts.into_iter(), max_blocks);
@@ -128,29 +128,30 @@
         log: RequestLog,
     ) -> Option<u64> {
         let volume = self.config.volumes.get(&request.volume)?;
-        let (plan, hosts, class) = (volume.policy, volume.host_count, usize::from(request.class));
+        let (policy_index, hosts, class) = (volume.policy, volume.host_count, usize::from(request.class));
         let location = self.locate(request.volume, request.key);
-        let admitted = Admitted { requester, request, location, client_timeout, log };
+        let admitted = AdmittedRequest { requester, request, location, client_timeout, log };
         let id = self.connections.admit(admitted)?;
         // The parts of a split read count as one request.
-        let counts = !matches!(requester, Requester::SplitRead(PartRef { index, .. }) if index > 0);
+        let counts_as_request =
+            !matches!(requester, Requester::SplitRead(PartRef { index, .. }) if index > 0);
         let engine_request = Request {
             class,
-            policy: plan,
+            policy: policy_index,
             volume: 0,
             key: None,
             units: f64::from(request.units),
             shard: location.shard,
             hosts,
             client_timeout,
-            budget_weight: f64::from(counts),
+            budget_weight: f64::from(counts_as_request),
             coalesce_with: None,
         };
         let key = engine_key(request.volume, request.key);
         let queue = Some(key).filter(|_| self.config.scheduler.classes[class].ordered);
         let incoming = IncomingRequest { id, key, volume: request.volume, request: engine_request };
-        // Past its latency objective it would not be sent, so that nothing is lost by ending it then; its answer must
-        // reach the client before its deadline.
+        // After its latency objective the request would not be sent, so ending it then loses nothing; its
+        // answer must reach the client before its deadline.
         let max_wait = client_timeout - 2.0 * self.config.scheduler.round;
         let latency_objective = self.config.scheduler.classes[class].latency_objective;
         let waits_until = self.connections.now() + latency_objective.min(max_wait);
@@ -161,16 +162,18 @@
         Some(id)
     }
 
-    /// A write that still waits for an earlier one is the scheduler's to end: no time is left to send it.
+    /// Passes a write that is still blocked to the scheduler without remaining time, so that the scheduler
+    /// ends it.
     pub(super) fn on_overlap_timeout(&mut self, request_id: u64) {
-        if let Some(mut incoming) = self.connections.unblock_late(request_id) {
+        if let Some(mut incoming) = self.connections.unblock_on_timeout(request_id) {
             incoming.request.client_timeout = 0.0;
             self.engine.submit(self.connections.now(), incoming, &mut self.connections);
         }
     }
 }
 
-/// The engine's key of a piece of data: a key is unique within its volume only. 0 stands for none.
+/// Returns the engine's key of a piece of data, as a client's key is unique only within its volume. 0 means
+/// no key.
 fn engine_key(volume: u64, key: u64) -> u64 {
     if key == 0 {
         return 0;
--- a/crates/gateway/src/event_loop/client_events.rs
+++ b/crates/gateway/src/event_loop/client_events.rs
@@ -1,38 +1,38 @@
-//! What clients send.
+//! Handling of clients' messages and disconnects.
 
 use super::Gateway;
 use crate::protocol_error::{for_each_frame, ProtocolError};
 use crate::request_registry::is_split_read;
 use magpiewick_node_protocol::{DecodeError, Message, Role, VERSION};
 
-/// Why no more of a client's messages can be used.
+/// Reason why no further messages of a client are processed.
 #[derive(Debug, thiserror::Error)]
-enum ClientStop {
-    /// Its next request must wait, as enough is pending.
+enum InputStopReason {
+    /// The next request must wait, as the maximum number of requests is pending.
     #[error("full")]
     AtCapacity,
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
 }
 
-impl From<DecodeError> for ClientStop {
-    fn from(error: DecodeError) -> ClientStop {
-        ClientStop::Protocol(error.into())
+impl From<DecodeError> for InputStopReason {
+    fn from(error: DecodeError) -> InputStopReason {
+        InputStopReason::Protocol(error.into())
     }
 }
 
 impl Gateway {
     pub(super) fn on_client_readable(&mut self, key: usize) {
-        let Some((input, ended)) = self.connections.read(key) else { return };
+        let Some((input, stream_end)) = self.connections.read(key) else { return };
         if !self.shutdown.is_lingering() {
             self.handle_client_input(key, input);
         }
-        if let Some(ended) = ended {
-            self.on_client_disconnect(key, &ended);
+        if let Some(stream_end) = stream_end {
+            self.on_client_disconnect(key, &stream_end);
         }
     }
 
-    /// Handles what a client sent before it was paused, and reads on.
+    /// Handles the input that a client sent before it was paused, and resumes reading from it.
     pub(super) fn resume_client(&mut self, key: usize) {
         if let Some(input) = self.connections.take_unconsumed(key) {
             self.handle_client_input(key, input);
@@ -42,10 +42,10 @@
         }
     }
 
-    /// Handles the frames that a client sent, until the host has as many requests as it may.
+    /// Handles a client's frames until the host has its maximum number of requests.
     fn handle_client_input(&mut self, key: usize, input: Vec<u8>) {
         let (consumed, stop) = for_each_frame(&input, |message| self.on_client_message(key, message));
-        if matches!(stop, Some(ClientStop::AtCapacity)) {
+        if matches!(stop, Some(InputStopReason::AtCapacity)) {
             self.at_capacity = true;
             self.connections.pause_all_clients();
             return self.connections.return_input(key, input, consumed);
@@ -58,10 +58,10 @@
         }
     }
 
-    fn on_client_message(&mut self, key: usize, message: Message<'_>) -> Result<(), ClientStop> {
+    fn on_client_message(&mut self, key: usize, message: Message<'_>) -> Result<(), InputStopReason> {
         match message {
             Message::Request(_) if self.pending() >= self.config.limits.max_pending_requests => {
-                return Err(ClientStop::AtCapacity);
+                return Err(InputStopReason::AtCapacity);
             }
             Message::Request(request) => self.on_client_request(key, &request),
             Message::CancelRequest { request_id } => {
@@ -79,18 +79,18 @@
         Ok(())
     }
 
-    /// A client left a frame incomplete for as long as it may.
+    /// Disconnects a client that left a frame incomplete for the maximum time.
     pub(super) fn on_partial_frame_timeout(&mut self, key: usize, serial: u64) {
-        // The rest of it may have come in this very moment.
+        // The remainder of the frame may have just arrived.
         if self.connections.clients().is_partial_frame_late(key, serial) {
             self.on_client_readable(key);
         }
         if self.connections.clients().is_partial_frame_late(key, serial) {
-            self.on_client_disconnect(key, &"left a frame half sent");
+            self.on_client_disconnect(key, &"frame not completed in time");
         }
     }
 
-    /// A client's connection is over.
+    /// Handles the end of a client's connection.
     pub(super) fn on_client_disconnect(&mut self, key: usize, reason: &dyn std::fmt::Display) {
         tracing::debug!(client = key, %reason, "client_disconnected");
         for request_id in self.connections.remove_client(key) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Nobody waits for a request any more, or for a split read.
+    /// Cancels a request or split read that its client no longer waits for.
     fn on_request_cancelled(&mut self, request_id: u64) {
         if is_split_read(request_id) {
             self.cancel_parts(request_id);
--- a/crates/gateway/src/event_loop/list_events.rs
+++ b/crates/gateway/src/event_loop/list_events.rs
@@ -1,4 +1,5 @@
-//! What the endpoint list service sends, and the endpoint list that is cached over a restart.
+//! Handling of messages from the endpoint list service, and of the endpoint list that is cached across
+//! restarts.
 
 use super::Gateway;
 use crate::endpoint_list::ListChange;
@@ -9,13 +10,13 @@
 
 impl Gateway {
     pub(super) fn on_list_readable(&mut self, key: usize) {
-        let Some((input, ended)) = self.connections.read(key) else { return };
+        let Some((input, stream_end)) = self.connections.read(key) else { return };
         let (consumed, error) = for_each_frame(&input, |message| self.on_list_message(message));
         self.connections.return_input(key, input, consumed);
         if let Some(error) = error {
             self.connections.on_list_connection_lost(&error);
-        } else if let Some(ended) = ended {
-            self.connections.on_list_connection_lost(&ended);
+        } else if let Some(stream_end) = stream_end {
+            self.connections.on_list_connection_lost(&stream_end);
         }
     }
 
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Takes over the endpoint list that was cached when this host last ran.
+    /// Restores the endpoint list that was cached when this host last ran.
     pub(super) fn restore_endpoint_list(&mut self) {
         let Some(path) = &self.config.list_service.cache_path else { return };
         let bytes = match std::fs::read(path) {
--- a/crates/gateway/src/event_loop/map_events.rs
+++ b/crates/gateway/src/event_loop/map_events.rs
@@ -1,4 +1,4 @@
-//! The extent map: where requests' data lies, and what follows from its changes.
+//! Locations of requests' data according to the extent map, and rerouting of requests when it changes.
 
 use super::Gateway;
 use crate::extent_map;
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Where a piece of data lies. Without a map of its volume it lies on the shard of the settings that its key
-    /// hashes to; without a key, anywhere.
+    /// Returns the location of a piece of data. Without a map of its volume, the data is on the shard of the
+    /// settings that its key hashes to; without a key, on any shard.
     pub(super) fn locate(&self, volume: u64, key: u64) -> Location {
         match self.connections.extent_map().locate(self.connections.now(), volume, key) {
             ExtentLocation::At { shard, version } => Location { shard: Some(shard as usize), version },
-            ExtentLocation::InTransition => Location { shard: Some(extent_map::NO_SHARD), version: 0 },
+            ExtentLocation::InTransition => Location { shard: Some(extent_map::UNASSIGNED), version: 0 },
             ExtentLocation::Unknown if key == 0 => Location { shard: None, version: 0 },
             ExtentLocation::Unknown => {
                 let shards = self.config.volumes.get(&volume).map_or(&[][..], |volume| &volume.shards);
@@ -38,20 +38,20 @@
         }
     }
 
-    /// Pending requests follow the map before they are sent.
+    /// Updates the locations of pending requests to match the map, before they are sent.
     pub(super) fn reroute(&mut self) {
-        for placed in self.connections.requests().placed() {
-            let location = self.locate(placed.volume, placed.key);
-            if location.wire_shard() != placed.wire_shard || location.version != placed.version {
-                self.relocate(placed.request_id, location);
+        for request in self.connections.requests().unanswered() {
+            let location = self.locate(request.volume, request.key);
+            if location.wire_shard() != request.wire_shard || location.version != request.version {
+                self.relocate(request.request_id, location);
             }
         }
     }
 
-    /// A request whose node no longer holds its data goes where the map says now.
-    pub(super) fn follow_moved_shard(&mut self, request_id: u64) {
+    /// Updates the location of a request whose node no longer holds its data, according to the current map.
+    pub(super) fn reroute_request(&mut self, request_id: u64) {
         let request = self.connections.requests().get(request_id);
-        let Some((volume, key)) = request.and_then(|request| request.unanswered_piece()) else { return };
+        let Some((volume, key)) = request.and_then(|request| request.unanswered_data_key()) else { return };
         let location = self.locate(volume, key);
         self.relocate(request_id, location);
     }
@@ -63,16 +63,18 @@
         }
     }
 
-    /// A node does not hold a request's data. The request goes to the owner that the node names, or waits until the
-    /// map is known.
+    /// Handles an outcome from a node that does not hold a request's data. The request is sent to the owner
+    /// that the node names, or waits until the map is known.
     pub(super) fn on_shard_moved(&mut self, request_id: u64, attempt: u32, owner: Option<(u32, u32)>) {
         let Some(request) = self.connections.requests().get(request_id) else { return };
-        let Some(piece) = request.unanswered_piece() else { return };
+        let Some(piece) = request.unanswered_data_key() else { return };
         let version = request.version_sent(attempt).unwrap_or(0);
         tracing::debug!(request_id, version, ?owner, "stale_extent_map_used");
         let now = self.connections.now();
-        if let Some(at) = self.connections.extent_map_mut().on_shard_moved(now, piece, version, owner) {
-            self.connections.reroute_at(at);
+        if let Some(reroute_time) =
+            self.connections.extent_map_mut().on_shard_moved(now, piece, version, owner)
+        {
+            self.connections.reroute_at(reroute_time);
         }
     }
 }
--- a/crates/gateway/src/event_loop/node_events.rs
+++ b/crates/gateway/src/event_loop/node_events.rs
@@ -1,4 +1,4 @@
-//! What storage nodes send.
+//! Handling of messages from storage nodes.
 
 use super::{Gateway, OutcomeDetails};
 use crate::node_connection::GreetingCheck;
@@ -8,7 +8,8 @@
 use magpiewick::{EndpointUpdate, Outcome};
 use magpiewick_node_protocol::{self as wire, Hello, Message, OutcomeCode, Role, VERSION};
 
-/// The outcome that a node reports; it cannot know the others.
+/// Returns the outcome that a node reports. The other outcomes are determined by the host, so a node cannot
+/// report them.
 fn reported_outcome(code: OutcomeCode) -> Result<Outcome, ProtocolError> {
     match code {
         OutcomeCode::Succeeded => Ok(Outcome::Succeeded),
@@ -24,10 +25,10 @@
 
 impl Gateway {
     pub(super) fn on_node_readable(&mut self, key: usize) {
-        let Some((input, ended)) = self.connections.read(key) else { return };
+        let Some((input, stream_end)) = self.connections.read(key) else { return };
         let (consumed, error) = for_each_frame(&input, |message| self.on_node_message(key, message));
         self.connections.return_input(key, input, consumed);
-        let reason = error.map(CloseReason::from).or_else(|| ended.map(CloseReason::from));
+        let reason = error.map(CloseReason::from).or_else(|| stream_end.map(CloseReason::from));
         if let Some(reason) = reason {
             self.connections.close_upstream(index_of(key), &reason);
         }
@@ -51,7 +52,7 @@
     fn on_outcome_report(&mut self, key: usize, report: &wire::Outcome<'_>) -> Result<(), ProtocolError> {
         let outcome = reported_outcome(report.code)?;
         let (request_id, attempt) = (report.request_id, u32::from(report.attempt));
-        // Only the node that an attempt was sent to can end it.
+        // An attempt can be ended only by the node that it was sent to.
         if !self.connections.is_in_flight_at(request_id, attempt, key) {
             tracing::debug!(request_id, attempt, "late_outcome_ignored");
             return Ok(());
--- a/crates/gateway/src/event_loop/split_read_events.rs
+++ b/crates/gateway/src/event_loop/split_read_events.rs
@@ -1,4 +1,4 @@
-//! Reads that travel as several requests.
+//! Handling of reads that are sent as several requests.
 
 use super::Gateway;
 use crate::request_registry::{PartRef, Requester};
@@ -7,13 +7,13 @@
 use magpiewick_node_protocol::FinalCode;
 
 impl Gateway {
-    pub(super) fn admit_split_read(&mut self, new: NewSplitRead<'_>) {
-        if let Some(id) = self.connections.admit_split_read(new) {
+    pub(super) fn admit_split_read(&mut self, split_read: NewSplitRead<'_>) {
+        if let Some(id) = self.connections.admit_split_read(split_read) {
             self.request_parts(id);
         }
     }
 
-    /// Requests as many parts of a read as may be in flight.
+    /// Admits as many parts of a read as may be in flight.
     fn request_parts(&mut self, id: u64) {
         while let Some(part) = self.connections.split_reads_mut().next_part(id) {
             let requester = Requester::SplitRead(PartRef { read: id, index: part.index });
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A part has its final answer.
+    /// Handles the final answer of a part.
     pub(super) fn on_part_finished(&mut self, part: FinishedPart) {
         let FinishedPart { read: id, index, code, retry_after, payload } = part;
         if !self.connections.split_reads_mut().contains(id) {
@@ -36,8 +36,8 @@
         match self.connections.split_reads_mut().on_part_read(id, index, payload) {
             None => {}
             Some(Progress::Pending) => self.request_parts(id),
-            Some(Progress::Complete(all)) => {
-                self.connections.finish_split_read(id, FinalCode::Succeeded, 0.0, &all);
+            Some(Progress::Complete(payload_of_all)) => {
+                self.connections.finish_split_read(id, FinalCode::Succeeded, 0.0, &payload_of_all);
             }
             Some(Progress::TooLarge) => {
                 self.cancel_parts(id);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Stops waiting for the parts of a read that are in flight.
+    /// Cancels the parts of a read that are in flight.
     pub(super) fn cancel_parts(&mut self, id: u64) {
         for request_id in self.connections.split_reads_mut().cancel_parts(id) {
             self.connections.cancel_request(request_id, "piece-not-wanted");
--- a/crates/gateway/src/extent_map.rs
+++ b/crates/gateway/src/extent_map.rs
@@ -1,12 +1,12 @@
-//! Applies the wire's extent map updates to the map that a host follows.
+//! Applies extent map updates from the wire to the host's map.
 
 use magpiewick_extents::{Change, Changes, ExtentMapView, MapEntry, MapError};
 use magpiewick_node_protocol::{self as wire, MapEntryKind, MapUpdate};
 
-/// Stands for a shard that no node holds: requests whose data is being migrated wait there, outside all queues.
-pub(crate) const NO_SHARD: usize = usize::MAX;
+/// Placeholder for a shard that no node holds: requests for data in migration wait there, outside all queues.
+pub(crate) const UNASSIGNED: usize = usize::MAX;
 
-/// Applies an update; true where the places of requests may have changed by it.
+/// Applies an update; returns whether the locations of requests may have changed.
 pub(crate) fn apply(view: &mut ExtentMapView, update: &MapUpdate) -> Result<bool, MapError> {
     if update.snapshot {
         let extent = |e: &wire::MapEntry| MapEntry {
@@ -26,7 +26,7 @@
 fn change(entry: &wire::MapEntry) -> Option<Change> {
     let wire::MapEntry { volume, start, position, shard, version, .. } = *entry;
     Some(match entry.kind {
-        // An entry of a snapshot says nothing about a change.
+        // Entries of snapshots do not occur among changes.
         MapEntryKind::Extent => return None,
         MapEntryKind::Create => Change::Create { volume, size: position, shard },
         MapEntryKind::Remove => Change::Remove { volume },
--- a/crates/gateway/src/graceful_shutdown.rs
+++ b/crates/gateway/src/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! The end of a host: it takes nothing new, answers what it has, and then closes its clients' connections.
+//! Graceful shutdown of a host: accepts no new requests, answers the pending ones, and then closes the client
+//! connections.
 
 use crate::connections::Connections;
 use crate::poll_key::{poll_key, Source};
@@ -7,28 +8,29 @@
 use std::io::{self, ErrorKind, Read};
 use std::os::unix::net::UnixStream;
 
-/// How long clients are still read from once all answers are written.
-const LINGER: Ms = 300.0;
+/// Time for which the host still reads from clients after all answers have been written.
+const LINGER_TIME: Ms = 300.0;
 
 /// The state of the shutdown.
 pub(crate) struct GracefulShutdown {
     signal: Registered<UnixStream>,
     requests: usize,
-    /// When answers must be written: a client that does not read them cannot keep the host from ending.
-    write_by: Option<Ms>,
-    /// Set once nothing more is written to clients: until when they are read from.
-    lingers_until: Option<Ms>,
+    /// Deadline for writing answers, so that a client that does not read them cannot prevent the host from
+    /// exiting.
+    write_deadline: Option<Ms>,
+    /// Time until which the host still reads from clients; set once writing to them has ended.
+    linger_deadline: Option<Ms>,
 }
 
 impl GracefulShutdown {
-    /// Each byte on `signal` requests the shutdown once.
+    /// Creates the state; each byte on `signal` requests the shutdown once.
     pub(crate) fn new(signal: UnixStream, poll: &Poll) -> io::Result<GracefulShutdown> {
         signal.set_nonblocking(true)?;
         let signal = poll.register(signal, poll_key(Source::ShutdownSignal, 0))?;
-        Ok(GracefulShutdown { signal, requests: 0, write_by: None, lingers_until: None })
+        Ok(GracefulShutdown { signal, requests: 0, write_deadline: None, linger_deadline: None })
     }
 
-    /// The signal is readable.
+    /// Reads the bytes from the signal.
     pub(crate) fn on_signal(&mut self) {
         let mut bytes = [0; 16];
         match self.signal.read(&mut bytes) {
@@ -38,33 +40,34 @@
         }
     }
 
-    /// Whether the host is to end.
+    /// Returns whether a shutdown was requested.
     pub(crate) fn is_requested(&self) -> bool {
         self.requests > 0
     }
 
-    /// Whether the host is to end at once.
+    /// Returns whether an immediate exit was requested.
     pub(crate) fn is_forced(&self) -> bool {
         self.requests > 1
     }
 
-    /// Whether what clients send is ignored.
+    /// Returns whether input from clients is ignored.
     pub(crate) fn is_lingering(&self) -> bool {
-        self.lingers_until.is_some()
+        self.linger_deadline.is_some()
     }
 
-    /// Closes the clients' connections once all answers are written; whether all clients have gone, or had their time.
-    /// What they still send is read and ignored: closing a connection with unread bytes would reset it, and answers
-    /// that its client has not read yet would be lost.
+    /// Closes the client connections once all answers are written; returns whether all clients have
+    /// disconnected or the time for this has passed. Input from clients is still read and ignored: closing a
+    /// connection with unread bytes would reset it, and the client would lose answers that it has not read
+    /// yet.
     pub(crate) fn has_closed_clients(&mut self, connections: &mut Connections, write_timeout: Ms) -> bool {
         let now = connections.now();
-        if let Some(until) = self.lingers_until {
-            return connections.clients().is_empty() || now >= until;
+        if let Some(deadline) = self.linger_deadline {
+            return connections.clients().is_empty() || now >= deadline;
         }
-        let write_by = *self.write_by.get_or_insert(now + write_timeout);
-        if connections.clients().all_written() || now >= write_by {
+        let write_deadline = *self.write_deadline.get_or_insert(now + write_timeout);
+        if connections.clients().all_written() || now >= write_deadline {
             connections.clients_mut().end_writing();
-            self.lingers_until = Some(now + LINGER);
+            self.linger_deadline = Some(now + LINGER_TIME);
         }
         false
     }
--- a/crates/gateway/src/list_connection.rs
+++ b/crates/gateway/src/list_connection.rs
@@ -1,4 +1,4 @@
-//! The connection to the endpoint list service.
+//! Connection to the endpoint list service.
 
 use crate::config::ListServiceConfig;
 use crate::poll_key::{poll_key, Source};
@@ -9,41 +9,41 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What to do after the connection was lost.
+/// Action after the connection was lost.
 #[must_use]
-pub(crate) enum AfterLoss {
-    /// The scheduler decides when to poll again.
+pub(crate) enum ReconnectAction {
+    /// Report a failed poll; the scheduler decides when to poll again.
     ReportPollFailed,
-    /// Connect again then.
+    /// Connect again at the given time.
     ReconnectAt(Ms),
 }
 
-/// The connection, and whether the service owes an answer on it.
+/// The connection, and whether an answer of the service is outstanding on it.
 pub(crate) struct ListConnection {
     address: SocketAddr,
-    /// The service is polled; else it pushes.
+    /// Whether the service must be polled; otherwise it pushes updates.
     is_polled: bool,
-    /// The service serves the extent map too.
+    /// Whether the service also serves the extent map.
     serves_map: bool,
     connection: Option<Connection>,
-    /// The service was asked and has not answered.
+    /// Whether a request for the list has not been answered.
     unanswered: bool,
     backoff: ReconnectBackoff,
 }
 
 impl ListConnection {
-    pub(crate) fn new(source: &ListServiceConfig, seed: u64) -> ListConnection {
+    pub(crate) fn new(config: &ListServiceConfig, seed: u64) -> ListConnection {
         ListConnection {
-            address: source.address,
-            is_polled: source.polled,
-            serves_map: source.serves_map,
+            address: config.address,
+            is_polled: config.polled,
+            serves_map: config.serves_map,
             connection: None,
             unanswered: false,
             backoff: ReconnectBackoff::new(seed),
         }
     }
 
-    /// The poll key of the open connection.
+    /// Returns the poll key of the open connection.
     pub(crate) fn key(&self) -> Option<usize> {
         self.connection.as_ref().map(Connection::key)
     }
@@ -52,8 +52,8 @@
         self.connection.as_mut()
     }
 
-    /// Watches the list from an epoch on, over a new connection where there is none or where the last watch was not
-    /// answered: a service that stalled would be asked for ever.
+    /// Watches the list from an epoch on. Opens a new connection where there is none, or where the last watch
+    /// was not answered: otherwise a stalled service would be polled forever on the same connection.
     pub(crate) fn watch(&mut self, poll: &Poll, hello: &Message<'_>, epoch: u64) -> io::Result<()> {
         if self.unanswered && self.connection.take().is_some() {
             tracing::warn!("endpoint_list_watch_unanswered");
@@ -66,12 +66,12 @@
         connection.queue(hello, UNTRACKED);
         self.connection = Some(connection);
         self.watch_map();
-        // Another process may serve the list by now, whose epochs mean something else.
+        // The list may be served by another process now, whose epochs are not comparable.
         self.watch_endpoints(0);
         Ok(())
     }
 
-    /// Requests the list from an epoch on; false where there is no connection.
+    /// Requests the list from an epoch on; returns false where there is no connection.
     pub(crate) fn watch_endpoints(&mut self, epoch: u64) -> bool {
         let Some(connection) = &mut self.connection else { return false };
         connection.queue(&Message::WatchEndpoints { epoch }, UNTRACKED);
@@ -79,7 +79,7 @@
         true
     }
 
-    /// Requests the extent map; false where there is no connection, or the service serves none.
+    /// Requests the extent map; returns false where there is no connection, or the service serves no map.
     pub(crate) fn watch_map(&mut self) -> bool {
         let serves_map = self.serves_map;
         let Some(connection) = self.connection.as_mut().filter(|_| serves_map) else { return false };
@@ -87,19 +87,19 @@
         true
     }
 
-    /// The service answered.
+    /// Records an answer of the service.
     pub(crate) fn on_answer(&mut self) {
         self.unanswered = false;
         self.backoff.on_success();
     }
 
-    /// The connection was lost, or could not be opened.
-    pub(crate) fn on_lost(&mut self, now: Ms) -> AfterLoss {
+    /// Handles the loss of the connection, or a failure to open it.
+    pub(crate) fn on_lost(&mut self, now: Ms) -> ReconnectAction {
         self.connection = None;
         self.unanswered = false;
         if self.is_polled {
-            return AfterLoss::ReportPollFailed;
+            return ReconnectAction::ReportPollFailed;
         }
-        AfterLoss::ReconnectAt(self.backoff.on_failure(now))
+        ReconnectAction::ReconnectAt(self.backoff.on_failure(now))
     }
 }
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of clients.
+//! Accepts client connections.
 
 use crate::connections::Connections;
 use crate::poll_key::{poll_key, Source};
@@ -16,7 +16,7 @@
 }
 
 impl Listener {
-    /// Listens on an address.
+    /// Binds the listener to an address.
     pub(crate) fn bind(address: SocketAddr, poll: &Poll) -> io::Result<Listener> {
         let socket = magpiewick_transport::listen(address)?;
         let address = socket.local_addr()?;
@@ -24,13 +24,13 @@
         Ok(Listener { socket, address, backoff: AcceptBackoff::default() })
     }
 
-    /// Where clients reach it.
+    /// Returns the listening address for clients.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Accepts all connections that wait, or pauses where the system refuses several times in a row: the poller goes on
-    /// to report them, and the loop would spin.
+    /// Accepts all waiting connections, or pauses after several consecutive failures of the system: the
+    /// poller would continue to report the connections, and the loop would spin.
     pub(crate) fn accept_all(&mut self, connections: &mut Connections) {
         while let Some(socket) = &self.socket {
             let error = match socket.accept() {
@@ -55,13 +55,13 @@
 
     fn pause(&mut self, pause: Ms, connections: &mut Connections) {
         if let Some(socket) = &mut self.socket {
-            // One that cannot be paused is reported at once again.
+            // A listener that cannot be paused is reported as readable again immediately.
             _ = socket.set_interest(false, false);
         }
         connections.resume_accept_after(pause);
     }
 
-    /// A pause is over.
+    /// Resumes accepting after a pause.
     pub(crate) fn resume(&mut self, connections: &mut Connections) {
         if let Some(socket) = &mut self.socket {
             _ = socket.set_interest(true, false);
@@ -69,8 +69,8 @@
         self.accept_all(connections);
     }
 
-    /// Closes the listener; false where it was closed before. Connections that the kernel has completed are accepted
-    /// first.
+    /// Closes the listener; returns false where it was already closed. Connections that the kernel has
+    /// completed are accepted first.
     pub(crate) fn close(&mut self, connections: &mut Connections) -> bool {
         self.accept_all(connections);
         self.socket.take().is_some()
--- a/crates/gateway/src/node_connection.rs
+++ b/crates/gateway/src/node_connection.rs
@@ -1,8 +1,8 @@
-//! The state of the connection to one node: whether to use it, open one, or replace it, and whose process answers.
-//! Free of I/O.
+//! State of the connection to one node: whether to use it, open a new one or replace it, and whether the
+//! expected process responds on it. Free of I/O.
 //!
-//! The scheduler decides whether and when a node is tried; this state machine only keeps an attempt from being lost on
-//! a dead connection, or from reaching another process than the one that it was meant for.
+//! The scheduler decides whether and when a node is used. This state machine only prevents attempts from
+//! being lost on a broken connection, or from reaching a process other than the intended one.
 
 use magpiewick::Ms;
 
@@ -14,10 +14,10 @@
     Established,
 }
 
-/// What to do for an attempt that is to be sent now.
+/// Action for an attempt that is to be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SendPlan {
-    /// Send it on the connection.
+pub(crate) enum SendAction {
+    /// Send the attempt on the connection.
     Send,
     /// Wait for the greeting.
     Wait,
@@ -27,29 +27,29 @@
     Reconnect,
 }
 
-/// What a greeting shows.
+/// Result of checking a greeting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum GreetingCheck {
-    /// The process that the list names.
+    /// The greeting is from the listed process.
     Expected,
-    /// A process that started later than the one that the list names: the node restarted, and the list is late.
-    /// What waits was meant for the old process and must be routed again.
+    /// The greeting is from a process that started later than the listed one: the node restarted, and the
+    /// list is out of date. Waiting attempts were intended for the old process and must be routed again.
     Restarted { started_at: Option<Ms> },
-    /// Another node, or a process that started before the one that the list names.
+    /// The greeting is from another node, or from a process that started before the listed one.
     Mismatch,
 }
 
-/// A process as the list or a greeting names it.
+/// A node's process according to the list or a greeting.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Process {
+pub(crate) struct ProcessIdentity {
     pub node: u32,
     pub incarnation: u64,
-    /// On this host's clock; none: long ago.
+    /// Start time on this host's clock; none for a process that started long ago.
     pub started_at: Option<Ms>,
 }
 
-impl Process {
-    fn started_after(&self, other: &Process) -> bool {
+impl ProcessIdentity {
+    fn started_after(&self, other: &ProcessIdentity) -> bool {
         match (other.started_at, self.started_at) {
             (_, None) => false,
             (None, Some(_)) => true,
@@ -79,35 +79,40 @@
 }
 
 impl NodeConnection {
-    /// Whether the node has sent the expected greeting.
+    /// Returns whether the node has sent the expected greeting.
     pub(crate) fn is_established(&self) -> bool {
         self.stage == Stage::Established
     }
 
-    /// Whether the greeting is still to come.
+    /// Returns whether the greeting has not arrived yet.
     pub(crate) fn is_connecting(&self) -> bool {
         self.stage == Stage::Connecting
     }
 
-    /// What to do for an attempt. A connection whose other end vanished silently is replaced where the last attempt
-    /// got no answer and no other is in flight. A node that merely stalls is greeted again for each attempt, which
-    /// costs one small exchange.
-    pub(crate) fn plan_send(&self) -> SendPlan {
+    /// Returns the action for an attempt. A connection is replaced where the last attempt received no answer
+    /// and no other is in flight, as the peer may have vanished without closing it. With a node that only
+    /// stalls, this costs one greeting per attempt.
+    pub(crate) fn send_action(&self) -> SendAction {
         match self.stage {
-            Stage::Closed => SendPlan::Connect,
-            Stage::Connecting => SendPlan::Wait,
-            Stage::Established if self.unresponsive && self.in_flight == 0 => SendPlan::Reconnect,
-            Stage::Established => SendPlan::Send,
+            Stage::Closed => SendAction::Connect,
+            Stage::Connecting => SendAction::Wait,
+            Stage::Established if self.unresponsive && self.in_flight == 0 => SendAction::Reconnect,
+            Stage::Established => SendAction::Send,
         }
     }
 
-    /// A connect was started.
+    /// Records the start of a connect.
     pub(crate) fn on_connect_started(&mut self) {
         *self = NodeConnection { stage: Stage::Connecting, ..NodeConnection::default() };
     }
 
-    /// A greeting came.
-    pub(crate) fn on_greeting(&mut self, now: Ms, listed: Process, greeting: Process) -> GreetingCheck {
+    /// Checks a greeting against the listed process.
+    pub(crate) fn on_greeting(
+        &mut self,
+        now: Ms,
+        listed: ProcessIdentity,
+        greeting: ProcessIdentity,
+    ) -> GreetingCheck {
         let same_incarnation = listed.incarnation == greeting.incarnation;
         if listed.node != greeting.node || (!same_incarnation && !greeting.started_after(&listed)) {
             return GreetingCheck::Mismatch;
@@ -120,18 +125,19 @@
         GreetingCheck::Restarted { started_at: greeting.started_at }
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub(crate) fn on_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A message came.
+    /// Records a message from the node.
     pub(crate) fn on_message(&mut self, now: Ms) {
         self.last_message_at = now;
         self.unresponsive = false;
     }
 
-    /// An attempt ended; `unanswered` tells when it was sent, where no answer came for it.
+    /// Records the end of an attempt; `unanswered` is the time at which it was sent, where it received no
+    /// answer.
     pub(crate) fn on_attempt_ended(&mut self, unanswered: Option<Ms>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.unresponsive |= unanswered.is_some_and(|sent_at| self.last_message_at <= sent_at);
--- a/crates/gateway/src/poll_key.rs
+++ b/crates/gateway/src/poll_key.rs
@@ -1,6 +1,7 @@
-//! The keys under which sources are registered at the poller: what a source is, and its index among its kind.
+//! Keys under which sources are registered at the poller: the kind of source, and its index among sources of
+//! that kind.
 
-/// What a registered source is.
+/// Kind of a registered source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
     Listener,
@@ -20,20 +21,20 @@
     Source::Gossip,
 ];
 
-/// Bits of a key that hold the index; the source stands above them.
+/// Number of bits of a key that contain the index; the source is in the bits above.
 const INDEX_BITS: u32 = 32;
 
-/// The key of a source.
+/// Returns the key of a source.
 pub(crate) fn poll_key(source: Source, index: usize) -> usize {
     (source as usize) << INDEX_BITS | index
 }
 
-/// What the source of a key is.
+/// Returns the kind of a key's source.
 pub(crate) fn source_of(key: usize) -> Source {
     SOURCES[(key >> INDEX_BITS) % SOURCES.len()]
 }
 
-/// The index of a key's source among its kind.
+/// Returns the index of a key's source among sources of its kind.
 pub(crate) fn index_of(key: usize) -> usize {
     key & ((1 << INDEX_BITS) - 1)
 }
--- a/crates/gateway/src/protocol_error.rs
+++ b/crates/gateway/src/protocol_error.rs
@@ -1,35 +1,35 @@
-//! What a peer did against the protocol; its connection is closed for it.
+//! Protocol violations of peers; each closes the peer's connection.
 
 use magpiewick_node_protocol::{DecodeError, Frames, Message};
 
-/// Why a peer's connection cannot be read on.
+/// Reason why the input of a peer's connection cannot be processed further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ProtocolError {
     /// Bytes that are not a frame.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    #[error("a message that a client does not send")]
+    #[error("unexpected message from a client")]
     UnexpectedFromClient,
-    #[error("a message that a node does not send")]
+    #[error("unexpected message from a node")]
     UnexpectedFromNode,
-    #[error("a message that a list service does not send")]
+    #[error("unexpected message from the list service")]
     UnexpectedFromListService,
-    #[error("a greeting that this host cannot answer")]
+    #[error("the client's greeting has an unsupported version or role")]
     UnusableClientGreeting,
     #[error("a message before the greeting")]
     MessageBeforeGreeting,
-    #[error("it speaks versions {min_version} to {max_version}")]
+    #[error("unsupported protocol versions {min_version} to {max_version}")]
     UnsupportedVersion { min_version: u16, max_version: u16 },
-    #[error("it is no storage node")]
+    #[error("the peer is not a storage node")]
     NotANode,
-    #[error("another process than the listed one answers")]
+    #[error("the peer is not the listed process of the node")]
     WrongProcess,
-    #[error("an outcome that a node cannot know")]
+    #[error("a node reported an outcome that only a host can determine")]
     ImpossibleOutcome,
 }
 
-/// Calls `handle` for each whole frame until it fails; returns the bytes consumed, and the error. The frame that
-/// `handle` fails at is not consumed.
+/// Calls `handle` for each complete frame until a call fails; returns the number of bytes consumed, and the
+/// error. The frame that `handle` fails on is not consumed.
 pub(crate) fn for_each_frame<E: From<DecodeError>>(
     bytes: &[u8],
     mut handle: impl FnMut(Message<'_>) -> Result<(), E>,
--- a/crates/gateway/src/reconnect_backoff.rs
+++ b/crates/gateway/src/reconnect_backoff.rs
@@ -1,11 +1,12 @@
-//! When to connect again to a service that pushes: after doubling waits, spread so that hosts do not come together.
+//! Delays between connects to a service that pushes updates: they double, and are randomized so that hosts do
+//! not connect at the same time.
 
 use magpiewick::{Backoff, Ms, RandomSource};
 
-const INITIAL_WAIT: Ms = 50.0;
-const MAX_WAIT: Ms = 2000.0;
+const INITIAL_DELAY: Ms = 50.0;
+const MAX_DELAY: Ms = 2000.0;
 
-/// The waits between connects to one service.
+/// Delays between connects to one service.
 pub(crate) struct ReconnectBackoff {
     backoff: Backoff,
     rng: RandomSource,
@@ -13,16 +14,16 @@
 
 impl ReconnectBackoff {
     pub(crate) fn new(seed: u64) -> ReconnectBackoff {
-        ReconnectBackoff { backoff: Backoff::new(INITIAL_WAIT, MAX_WAIT), rng: RandomSource::new(seed) }
+        ReconnectBackoff { backoff: Backoff::new(INITIAL_DELAY, MAX_DELAY), rng: RandomSource::new(seed) }
     }
 
-    /// The connection failed; returns when to connect again.
+    /// Records a failed connect; returns the time of the next one.
     #[must_use]
     pub(crate) fn on_failure(&mut self, now: Ms) -> Ms {
         now + self.backoff.failed(&mut self.rng)
     }
 
-    /// The service answered: the next wait is the first again.
+    /// Records an answer of the service: the next delay is the initial one again.
     pub(crate) fn on_success(&mut self) {
         self.backoff.reset();
     }
--- a/crates/gateway/src/request_log.rs
+++ b/crates/gateway/src/request_log.rs
@@ -1,10 +1,10 @@
-//! The log of requests: one span and one final line each, under the target `request`.
+//! Log of requests: one span and one final line per request, under the target `request`.
 
 use magpiewick::Ms;
 use magpiewick_node_protocol::FinalCode;
 use tracing::Span;
 
-/// The log of one request.
+/// Log of one request.
 pub(crate) struct RequestLog {
     span: Span,
 }
@@ -17,12 +17,12 @@
         }
     }
 
-    /// The log of a part of the same request.
+    /// Returns the log for a part of the same request.
     pub(crate) fn for_part(&self) -> RequestLog {
         RequestLog { span: self.span.clone() }
     }
 
-    /// The request got its final answer.
+    /// Logs the final answer of a request.
     pub(crate) fn finished(
         &self,
         code: FinalCode,
@@ -31,27 +31,27 @@
         endpoint: Option<u32>,
         elapsed_ms: Ms,
     ) {
-        let answer = answer_word(code);
+        let answer = answer_name(code);
         self.span.in_scope(|| {
             tracing::info!(target: "request", answer, reason, attempts, endpoint, elapsed_ms, "request_finished");
         });
     }
 
-    /// Nobody waits for the request any more.
+    /// Logs a request that its client no longer waits for.
     pub(crate) fn cancelled(&self, reason: &str, attempts: u32, endpoint: Option<u32>) {
         self.span.in_scope(|| {
             tracing::info!(target: "request", reason, attempts, endpoint, "request_cancelled");
         });
     }
 
-    /// A read that was split got its final answer.
+    /// Logs the final answer of a split read.
     pub(crate) fn split_read_finished(&self, code: FinalCode) {
-        let answer = answer_word(code);
+        let answer = answer_name(code);
         self.span.in_scope(|| tracing::info!(target: "request", answer, "split_read_finished"));
     }
 }
 
-fn answer_word(code: FinalCode) -> &'static str {
+fn answer_name(code: FinalCode) -> &'static str {
     match code {
         FinalCode::Succeeded => "succeeded",
         FinalCode::Rejected => "rejected",
--- a/crates/gateway/src/request_registry.rs
+++ b/crates/gateway/src/request_registry.rs
@@ -1,5 +1,5 @@
-//! The requests of a host as its clients sent them, each until its final answer is given and none of its attempts is
-//! in flight.
+//! Requests of a host, as received from clients. Each is kept until it has its final answer and none of its
+//! attempts is in flight.
 
 use crate::request_log::RequestLog;
 use magpiewick::{Ms, Outcome};
@@ -8,12 +8,12 @@
 use magpiewick_node_protocol::{Attempt, ClientRequest, FinalCode};
 use slab::Slab;
 
-/// Bits of an id that name the request's slot; a serial number stands above them.
+/// Number of bits of an id that contain the request's slot; a serial number is in the bits above.
 const SLOT_BITS: u32 = 24;
-/// Marks the id of a split read among those of requests.
+/// Bit that distinguishes ids of split reads from those of requests.
 const SPLIT_READ_FLAG: u64 = 1 << 63;
 
-/// Whether an id is that of a split read.
+/// Returns whether an id is that of a split read.
 pub(crate) fn is_split_read(id: u64) -> bool {
     id & SPLIT_READ_FLAG != 0
 }
@@ -22,7 +22,7 @@
     (request_id & ((1 << SLOT_BITS) - 1)) as usize
 }
 
-/// A request as its client names it.
+/// Identification of a request by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClientRef {
     /// The client's poll key.
@@ -34,37 +34,37 @@
 /// A part of a split read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PartRef {
-    /// The id of the split read.
+    /// Id of the split read.
     pub read: u64,
-    /// Which part.
+    /// Index of the part.
     pub index: usize,
 }
 
-/// Who waits for a request.
+/// Recipient of a request's final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Requester {
     Client(ClientRef),
     SplitRead(PartRef),
 }
 
-/// Where a request's data lies.
+/// Location of a request's data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Location {
-    /// The shard; none for any.
+    /// Shard that holds the data; none for any shard.
     pub shard: Option<usize>,
-    /// The version of the extent; 0 where no map is followed.
+    /// Version of the extent; 0 where no map is used.
     pub version: u32,
 }
 
 impl Location {
-    /// The shard as it stands on the wire: all bits set for any.
+    /// Returns the shard as sent on the wire: all bits set for any shard.
     pub(crate) fn wire_shard(&self) -> u32 {
         self.shard.map_or(u32::MAX, |shard| shard as u32)
     }
 }
 
-/// A request as it is admitted.
-pub(crate) struct Admitted<'a> {
+/// A request at its admission.
+pub(crate) struct AdmittedRequest<'a> {
     pub requester: Requester,
     pub request: &'a ClientRequest<'a>,
     pub location: Location,
@@ -72,30 +72,30 @@
     pub log: RequestLog,
 }
 
-/// An attempt whose outcome is to be reported to the engine.
+/// An attempt whose outcome has not been reported to the engine.
 struct InFlightAttempt {
     attempt: u32,
-    /// The upstream that it was sent to; none once its connection is closed.
+    /// Upstream that it was sent to; none after its connection was closed.
     upstream: Option<usize>,
     sent_at: Ms,
-    /// The version of the extent that it was sent under.
+    /// Version of the extent under which the attempt was sent.
     version: u32,
 }
 
-/// An attempt that ended.
+/// An attempt that has ended.
 pub(crate) struct EndedAttempt {
-    /// The upstream that it was sent to; none where its connection was closed before.
+    /// Upstream that it was sent to; none where the connection was closed before the end.
     pub upstream: Option<usize>,
     pub sent_at: Ms,
 }
 
-/// What becomes of a request that has got its final answer.
+/// Result of giving a request its final answer.
 pub(crate) struct FinishedRequest {
-    /// Who waits for the answer; none where the client has gone.
+    /// Recipient of the answer; none where the client has disconnected.
     pub requester: Option<Requester>,
 }
 
-/// One request.
+/// A request that is pending or has attempts in flight.
 pub(crate) struct OpenRequest {
     id: u64,
     requester: Option<Requester>,
@@ -111,9 +111,9 @@
     wire_shard: u32,
     version: u32,
     blocks: u32,
-    /// What the engine gets once no earlier write overlaps it.
+    /// The engine's form of the request, until no earlier write overlaps it.
     blocked: Option<IncomingRequest>,
-    /// An attempt ended without an answer: its effect may come late.
+    /// Whether an attempt ended without an answer and may still take effect.
     may_take_effect_late: bool,
     payload: Vec<u8>,
     in_flight: Vec<InFlightAttempt>,
@@ -122,8 +122,8 @@
     log: RequestLog,
 }
 
-/// A request without its final answer, and where it is placed.
-pub(crate) struct PlacedRequest {
+/// A request without a final answer, with the location of its data.
+pub(crate) struct UnansweredRequest {
     pub request_id: u64,
     pub volume: u64,
     pub key: u64,
@@ -132,20 +132,21 @@
 }
 
 impl OpenRequest {
-    /// The blocks that it reads or writes; a key that is a piece by itself is one.
+    /// Returns the range of blocks that the request reads or writes; a key that names a whole piece of data
+    /// counts as one block.
     fn range(&self) -> (u64, u64) {
         (self.key, self.key + u64::from(self.blocks.max(1)))
     }
 
-    /// The write as the overlap lock knows it; none for a read, and where it has no key. `queue` names the queue in
-    /// which the scheduler orders it.
+    /// Returns the write as required by the overlap lock; none for a read, and for a write without a key.
+    /// `queue` names the queue in which the scheduler orders it.
     pub(crate) fn as_write(&self, queue: Option<u64>) -> Option<WriteRange> {
         let (start, end) = self.range();
         let is_write = self.write && self.key != 0;
         is_write.then_some(WriteRange { volume: self.volume, start, end, ordering_key: queue })
     }
 
-    /// The write as the coalescer knows it; none where it may not be coalesced now.
+    /// Returns the write as required by the coalescer; none where it cannot be coalesced now.
     pub(crate) fn as_coalescible(&self) -> Option<PendingWrite> {
         let is_write = self.write && self.key != 0;
         let is_pending = !self.answered && self.in_flight.is_empty() && self.blocked.is_none();
@@ -161,7 +162,7 @@
         })
     }
 
-    /// The request as one attempt on the wire.
+    /// Returns the request as one attempt on the wire.
     pub(crate) fn as_attempt(&self, attempt: u32, now: Ms) -> Attempt<'_> {
         Attempt {
             request_id: self.id,
@@ -180,12 +181,13 @@
         }
     }
 
-    /// Holds it back from the engine.
+    /// Stores the engine's form of the request while it is blocked.
     pub(crate) fn block(&mut self, incoming: IncomingRequest) {
         self.blocked = Some(incoming);
     }
 
-    /// What the engine gets now that nothing holds it back, with the time that its client still waits.
+    /// Returns the engine's form of the request once it is no longer blocked, with the client's remaining
+    /// time.
     pub(crate) fn unblock(&mut self, now: Ms) -> Option<IncomingRequest> {
         if self.answered {
             return None;
@@ -195,7 +197,7 @@
         Some(incoming)
     }
 
-    /// An attempt is sent to a node.
+    /// Records an attempt that is sent to a node.
     pub(crate) fn begin_attempt(&mut self, attempt: u32, endpoint: u32, upstream: usize, now: Ms) {
         self.attempts = attempt + 1;
         self.last_endpoint = Some(endpoint);
@@ -203,16 +205,17 @@
         self.in_flight.push(InFlightAttempt { attempt, upstream: Some(upstream), sent_at: now, version });
     }
 
-    /// Removes an attempt; none where it has ended before.
+    /// Removes an attempt; none where it has already ended.
     pub(crate) fn end_attempt(&mut self, attempt: u32, outcome: Outcome) -> Option<EndedAttempt> {
         let position = self.in_flight.iter().position(|a| a.attempt == attempt)?;
-        let ended = self.in_flight.remove(position);
+        let removed_attempt = self.in_flight.remove(position);
         self.may_take_effect_late |=
             matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset);
-        Some(EndedAttempt { upstream: ended.upstream, sent_at: ended.sent_at })
+        Some(EndedAttempt { upstream: removed_attempt.upstream, sent_at: removed_attempt.sent_at })
     }
 
-    /// The upstream's connection is closed: returns the attempt that was in flight there, which remains to be ended.
+    /// Records that the upstream's connection is closed; returns the attempt that was in flight there, which
+    /// is still to be ended.
     pub(crate) fn detach(&mut self, upstream: usize) -> Option<u32> {
         let attempt = self.in_flight.iter_mut().find(|a| a.upstream == Some(upstream))?;
         attempt.upstream = None;
@@ -223,33 +226,33 @@
         self.in_flight.iter().find(|a| a.attempt == attempt)
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether an attempt is in flight.
     pub(crate) fn has_in_flight(&self, attempt: u32) -> bool {
         self.attempt_in_flight(attempt).is_some()
     }
 
-    /// The upstream where an attempt is in flight.
+    /// Returns the upstream at which an attempt is in flight.
     pub(crate) fn upstream_of(&self, attempt: u32) -> Option<usize> {
         self.attempt_in_flight(attempt)?.upstream
     }
 
-    /// The version of the extent that an attempt in flight was sent under.
+    /// Returns the version of the extent under which an attempt in flight was sent.
     pub(crate) fn version_sent(&self, attempt: u32) -> Option<u32> {
         self.attempt_in_flight(attempt).map(|a| a.version)
     }
 
-    /// Its volume and key; none once it has its final answer.
-    pub(crate) fn unanswered_piece(&self) -> Option<(u64, u64)> {
+    /// Returns the volume and key of the request's data; none after the final answer.
+    pub(crate) fn unanswered_data_key(&self) -> Option<(u64, u64)> {
         (!self.answered).then_some((self.volume, self.key))
     }
 
-    /// Its data lies elsewhere.
+    /// Updates the location of the request's data.
     pub(crate) fn relocate(&mut self, location: Location) {
         self.wire_shard = location.wire_shard();
         self.version = location.version;
     }
 
-    /// Marks that it has its final answer; none where it had one before.
+    /// Marks the request as answered; none where it was already answered.
     pub(crate) fn finish(&mut self, now: Ms, code: FinalCode, reason: &str) -> Option<FinishedRequest> {
         if self.answered {
             return None;
@@ -260,7 +263,7 @@
         Some(FinishedRequest { requester: self.requester.take() })
     }
 
-    /// Marks that nobody waits for it any more; false where it had its final answer before.
+    /// Marks the request as cancelled; returns false where it was already answered.
     pub(crate) fn cancel(&mut self, reason: &str) -> bool {
         if self.answered {
             return false;
@@ -277,8 +280,8 @@
 }
 
 /// A request that was removed.
-pub(crate) struct Removed {
-    /// What may have run of it may still take effect.
+pub(crate) struct RemovedRequest {
+    /// Whether an attempt of the request may still take effect.
     pub may_take_effect_late: bool,
 }
 
@@ -290,21 +293,21 @@
 }
 
 impl RequestRegistry {
-    /// The id that the next request gets; never used before.
+    /// Returns the id of the next request, which no other request has had.
     pub(crate) fn next_request_id(&mut self) -> u64 {
         self.serial += 1;
         self.serial << SLOT_BITS | self.requests.vacant_key() as u64
     }
 
-    /// The id of the next split read.
+    /// Returns the id of the next split read.
     pub(crate) fn next_split_read_id(&mut self) -> u64 {
         self.serial += 1;
         SPLIT_READ_FLAG | self.serial
     }
 
     /// Adds a request under the id from [`RequestRegistry::next_request_id`].
-    pub(crate) fn insert(&mut self, id: u64, now: Ms, admitted: Admitted<'_>) {
-        let Admitted { requester, request, location, client_timeout, log } = admitted;
+    pub(crate) fn insert(&mut self, id: u64, now: Ms, admitted: AdmittedRequest<'_>) {
+        let AdmittedRequest { requester, request, location, client_timeout, log } = admitted;
         let slot = self.requests.insert(OpenRequest {
             id,
             requester: Some(requester),
@@ -339,18 +342,18 @@
         self.requests.get_mut(slot_of(request_id)).filter(|request| request.id == request_id)
     }
 
-    /// Removes a request that has its final answer and no attempt in flight.
-    pub(crate) fn remove_if_done(&mut self, request_id: u64) -> Option<Removed> {
+    /// Removes a request that has been answered and has no attempt in flight.
+    pub(crate) fn remove_if_done(&mut self, request_id: u64) -> Option<RemovedRequest> {
         self.get(request_id).filter(|request| request.is_done())?;
         let request = self.requests.remove(slot_of(request_id));
-        Some(Removed { may_take_effect_late: request.may_take_effect_late })
+        Some(RemovedRequest { may_take_effect_late: request.may_take_effect_late })
     }
 
-    /// Requests without their final answer, in the order of their admission.
-    pub(crate) fn placed(&self) -> Vec<PlacedRequest> {
+    /// Returns the requests without a final answer, in order of admission.
+    pub(crate) fn unanswered(&self) -> Vec<UnansweredRequest> {
         let unanswered = self.requests.iter().map(|(_, request)| request).filter(|r| !r.answered);
-        let mut placed: Vec<PlacedRequest> = unanswered
-            .map(|r| PlacedRequest {
+        let mut placements: Vec<UnansweredRequest> = unanswered
+            .map(|r| UnansweredRequest {
                 request_id: r.id,
                 volume: r.volume,
                 key: r.key,
@@ -358,7 +361,7 @@
                 version: r.version,
             })
             .collect();
-        placed.sort_unstable_by_key(|p| p.request_id);
-        placed
+        placements.sort_unstable_by_key(|p| p.request_id);
+        placements
     }
 }
--- a/crates/gateway/src/split_reads.rs
+++ b/crates/gateway/src/split_reads.rs
@@ -1,4 +1,4 @@
-//! Reads that travel as several requests, as they cross extents or are large.
+//! Reads that are sent as several requests, as they cross extents or are large.
 
 use crate::request_log::RequestLog;
 use crate::request_registry::ClientRef;
@@ -7,24 +7,24 @@
 use magpiewick_node_protocol::{ClientRequest, FinalCode, MAX_PAYLOAD_LENGTH};
 use std::collections::HashMap;
 
-/// A split read as it is admitted.
+/// A split read at its admission.
 pub(crate) struct NewSplitRead<'a> {
     pub client: ClientRef,
     pub request: &'a ClientRequest<'a>,
-    /// Where each part starts and ends, in blocks.
+    /// Start and end of each part, in blocks.
     pub parts: Vec<(u64, u64)>,
-    /// The most parts in flight at once.
+    /// Maximum number of parts in flight at the same time.
     pub max_in_flight: usize,
     pub deadline: Ms,
     pub log: RequestLog,
 }
 
-/// A read that was split; what each part is requested with.
+/// A read that was split, with the fields for the requests of its parts.
 struct OpenSplitRead {
     client: ClientRef,
     read: SplitRead,
     parts: Vec<(u64, u64)>,
-    /// The request of each part, once it has one.
+    /// Request id of each part; none before the part is requested.
     request_ids: Vec<Option<u64>>,
     class: u16,
     volume: u64,
@@ -58,8 +58,8 @@
 }
 
 impl SplitReads {
-    pub(crate) fn insert(&mut self, id: u64, new: NewSplitRead<'_>) {
-        let NewSplitRead { client, request, parts, max_in_flight, deadline, log } = new;
+    pub(crate) fn insert(&mut self, id: u64, split_read: NewSplitRead<'_>) {
+        let NewSplitRead { client, request, parts, max_in_flight, deadline, log } = split_read;
         let blocks = parts.iter().map(|(start, end)| end - start).sum::<u64>().max(1);
         self.reads.insert(
             id,
@@ -78,7 +78,7 @@
         );
     }
 
-    /// The next part, where another one may be in flight.
+    /// Returns the next part, if another part may be in flight.
     #[must_use]
     pub(crate) fn next_part(&mut self, id: u64) -> Option<NextPart> {
         let split = self.reads.get_mut(&id)?;
@@ -99,14 +99,14 @@
         Some(NextPart { index, request, deadline: split.deadline, log: split.log.for_part() })
     }
 
-    /// Notes the request of a part.
+    /// Records the request of a part.
     pub(crate) fn set_request(&mut self, id: u64, index: usize, request_id: Option<u64>) {
         if let Some(split) = self.reads.get_mut(&id) {
             split.request_ids[index] = request_id;
         }
     }
 
-    /// A part succeeded; returns how far the read is, none where it is over.
+    /// Records a succeeded part; returns the progress of the read, or none where the read has ended.
     pub(crate) fn on_part_read(&mut self, id: u64, index: usize, payload: Vec<u8>) -> Option<Progress> {
         Some(self.reads.get_mut(&id)?.read.on_received(index, payload))
     }
@@ -115,7 +115,7 @@
         self.reads.contains_key(&id)
     }
 
-    /// Ends a read early; returns the requests of its parts in flight, which nobody waits for any more.
+    /// Cancels the parts of a read; returns the requests of those in flight.
     #[must_use]
     pub(crate) fn cancel_parts(&mut self, id: u64) -> Vec<u64> {
         let Some(split) = self.reads.get_mut(&id) else { return Vec::new() };
@@ -123,14 +123,14 @@
         in_flight.into_iter().filter_map(|index| split.request_ids[index]).collect()
     }
 
-    /// Forgets a read that has its final answer; returns its client.
+    /// Removes a read that has its final answer; returns its client.
     pub(crate) fn finish(&mut self, id: u64, code: FinalCode) -> Option<ClientRef> {
         let split = self.reads.remove(&id)?;
         split.log.split_read_finished(code);
         Some(split.client)
     }
 
-    /// Forgets a read that nobody waits for.
+    /// Removes a read that its client no longer waits for.
     pub(crate) fn remove(&mut self, id: u64) {
         self.reads.remove(&id);
     }
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -1,22 +1,22 @@
-//! What a gateway's timers are set for.
+//! Timers of a gateway.
 
-/// What is due. A timer that is no longer wanted is recognized by its numbers and ignored.
+/// Event that is due at a time. A timer that is no longer needed is identified by its numbers and ignored.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// An attempt's time is over.
+    /// The timeout of an attempt.
     AttemptTimeout { request_id: u64, attempt: u32 },
-    /// A node should have sent its greeting.
+    /// The timeout of a node's greeting.
     Connect { upstream: usize, connect_attempt: u64 },
-    /// A client should have sent the rest of a frame.
+    /// The timeout of a partial frame from a client.
     PartialFrame { client: usize, serial: u64 },
-    /// Connections of clients are accepted again.
+    /// The end of a pause in accepting client connections.
     ResumeAccept,
-    /// The list service is connected to again.
+    /// The next connect to the list service.
     ReconnectList,
-    /// Extents that were being migrated are looked up again.
+    /// The next lookup of extents in migration.
     Reroute,
-    /// A write has waited for an earlier one that it overlaps for as long as it may.
+    /// The end of the maximum wait of a write for an earlier overlapping write.
     OverlapTimeout { request_id: u64 },
-    /// What may have run of a write that is over cannot take effect any more.
+    /// The time after which a finished write can no longer take effect.
     OverlapRelease { request_id: u64 },
 }
--- a/crates/gateway/src/upstream_pool.rs
+++ b/crates/gateway/src/upstream_pool.rs
@@ -1,7 +1,7 @@
-//! The storage nodes, with one connection to each.
+//! Storage nodes, with one connection to each.
 
 use crate::endpoint_list::ListedNode;
-use crate::node_connection::{GreetingCheck, NodeConnection, Process, SendPlan};
+use crate::node_connection::{GreetingCheck, NodeConnection, ProcessIdentity, SendAction};
 use crate::poll_key::{poll_key, Source};
 use crate::protocol_error::ProtocolError;
 use magpiewick::{Ms, Outcome};
@@ -11,7 +11,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the connection to a node is closed.
+/// Reason why the connection to a node is closed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CloseReason {
     #[error(transparent)]
@@ -20,19 +20,19 @@
     Connect(#[from] io::Error),
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    #[error("no greeting in time")]
+    #[error("no greeting within the connect timeout")]
     GreetingTimeout,
-    #[error("the list names a later process")]
+    #[error("the endpoint list contains a later process of this node")]
     LaterProcessListed,
-    #[error("it takes nothing more, and a frame is half written")]
+    #[error("the node accepts no more requests, and a frame is partly written")]
     PartlyWrittenFrame,
-    #[error("it has gone")]
+    #[error("the node was removed from the endpoint list")]
     Removed,
-    #[error("it is unresponsive; connecting again")]
+    #[error("the node is unresponsive; reconnecting")]
     Unresponsive,
 }
 
-/// An attempt by its request and number.
+/// Request id and number of an attempt.
 pub(crate) type AttemptId = (u64, u32);
 
 /// A node and the connection to it.
@@ -41,16 +41,16 @@
     address: SocketAddr,
     state: NodeConnection,
     connection: Option<Connection>,
-    /// The incarnation that greeted on this connection.
+    /// Incarnation stated by the greeting on this connection.
     incarnation: Option<u64>,
     /// Attempts that wait for the greeting.
     waiting: Vec<AttemptId>,
-    /// Requests whose attempt was sent on the connection.
+    /// Requests with an attempt in flight on the connection.
     in_flight: Vec<u64>,
     connect_attempts: u64,
 }
 
-/// All nodes that were ever addressed, by index.
+/// All nodes that have ever been addressed, by index.
 #[derive(Default)]
 pub(crate) struct UpstreamPool {
     upstreams: Vec<Upstream>,
@@ -58,7 +58,7 @@
 }
 
 impl UpstreamPool {
-    /// The index of a node, with its address where the list names it.
+    /// Returns the index of a node, and updates its address where the list contains the node.
     pub(crate) fn index_of(&mut self, node: u32, listed: Option<&ListedNode>) -> usize {
         let address = listed.map(ListedNode::address);
         let next = self.upstreams.len();
@@ -96,12 +96,12 @@
         self.upstreams.get_mut(index)?.connection.as_mut()
     }
 
-    /// What to do for an attempt that is to be sent now.
-    pub(crate) fn plan_send(&self, index: usize) -> SendPlan {
-        self.upstreams[index].state.plan_send()
+    /// Returns the action for an attempt that is to be sent now.
+    pub(crate) fn send_action(&self, index: usize) -> SendAction {
+        self.upstreams[index].state.send_action()
     }
 
-    /// Starts to connect; returns the number of this connect, for its timer.
+    /// Starts to connect; returns the serial number of this connect, for its timer.
     pub(crate) fn connect(&mut self, index: usize, poll: &Poll, hello: &Message<'_>) -> io::Result<u64> {
         let upstream = &mut self.upstreams[index];
         upstream.connect_attempts += 1;
@@ -112,35 +112,35 @@
         Ok(upstream.connect_attempts)
     }
 
-    /// Whether this connect is the latest one and its greeting has not come.
+    /// Returns whether this connect is the latest one and its greeting has not arrived.
     pub(crate) fn is_greeting_late(&self, index: usize, connect_attempt: u64) -> bool {
         let upstream = &self.upstreams[index];
         upstream.connect_attempts == connect_attempt && upstream.state.is_connecting()
     }
 
-    /// Attempts wait for the greeting.
+    /// Adds attempts to those that wait for the greeting.
     pub(crate) fn wait_for_greeting(&mut self, index: usize, attempts: impl Iterator<Item = AttemptId>) {
         self.upstreams[index].waiting.extend(attempts);
     }
 
-    /// Takes the attempts that wait for the greeting.
+    /// Removes and returns the attempts that wait for the greeting.
     #[must_use]
     pub(crate) fn take_waiting(&mut self, index: usize) -> Vec<AttemptId> {
         std::mem::take(&mut self.upstreams[index].waiting)
     }
 
-    /// Whether an attempt waits for a greeting, at whatever node.
+    /// Returns whether an attempt waits for the greeting of any node.
     pub(crate) fn is_waiting(&self, attempt: AttemptId) -> bool {
         self.upstreams.iter().any(|upstream| upstream.waiting.contains(&attempt))
     }
 
-    /// A greeting came; `listed` is the process that the list names.
+    /// Handles a greeting; `listed` is the process according to the list.
     pub(crate) fn on_greeting(
         &mut self,
         index: usize,
         now: Ms,
-        listed: Process,
-        greeting: Process,
+        listed: ProcessIdentity,
+        greeting: ProcessIdentity,
     ) -> GreetingCheck {
         let upstream = &mut self.upstreams[index];
         let check = upstream.state.on_greeting(now, listed, greeting);
@@ -150,14 +150,14 @@
         check
     }
 
-    /// A message came; false where the node has not sent the expected greeting.
+    /// Records a message; returns false where the node has not sent the expected greeting.
     pub(crate) fn on_message(&mut self, index: usize, now: Ms) -> bool {
         let state = &mut self.upstreams[index].state;
         state.on_message(now);
         state.is_established()
     }
 
-    /// Sends attempts as one frame; false where nothing was queued.
+    /// Sends attempts as one frame; returns false where nothing was queued.
     pub(crate) fn send<'a>(&mut self, index: usize, mut attempts: impl Iterator<Item = Attempt<'a>>) -> bool {
         let Upstream { connection, state, in_flight, .. } = &mut self.upstreams[index];
         let Some(connection) = connection else { return false };
@@ -180,7 +180,7 @@
         true
     }
 
-    /// Tells a node that nobody waits for an attempt any more; false where nothing was queued.
+    /// Notifies a node that an attempt was cancelled; returns false where nothing was queued.
     pub(crate) fn send_cancel(&mut self, index: usize, (request_id, attempt): AttemptId) -> bool {
         let upstream = &mut self.upstreams[index];
         let was_sent = upstream.in_flight.contains(&request_id);
@@ -189,7 +189,7 @@
         true
     }
 
-    /// Checks a node's health on an established connection; false where there is none.
+    /// Requests a health report from a node on an established connection; returns false where there is none.
     pub(crate) fn send_health_check(&mut self, index: usize) -> bool {
         let upstream = &mut self.upstreams[index];
         let is_established = upstream.state.is_established();
@@ -198,7 +198,8 @@
         true
     }
 
-    /// An attempt ended; `unanswered` tells when it was sent, where no answer came for it.
+    /// Records the end of an attempt; `unanswered` is the time at which it was sent, where it received no
+    /// answer.
     pub(crate) fn on_attempt_ended(&mut self, index: usize, ended: AttemptId, unanswered: Option<Ms>) {
         let upstream = &mut self.upstreams[index];
         let waiting_before = upstream.waiting.len();
@@ -209,8 +210,9 @@
         }
     }
 
-    /// Closes the connection; returns the requests whose attempts were in flight, each with its outcome. What was not
-    /// written whole never ran: a frame that is not whole fails its checksum. What was written may have run.
+    /// Closes the connection; returns the requests whose attempts were in flight, each with its outcome. An
+    /// attempt that was not written completely did not run, as a partial frame fails its checksum. An attempt
+    /// that was written may have run.
     #[must_use]
     pub(crate) fn close(&mut self, index: usize, reason: &CloseReason) -> Vec<(u64, Outcome)> {
         let upstream = &mut self.upstreams[index];
@@ -236,7 +238,7 @@
         Some(withdrawn)
     }
 
-    /// Whether no attempt is in flight on the connection.
+    /// Returns whether no attempt is in flight on the connection.
     pub(crate) fn is_idle(&self, index: usize) -> bool {
         self.upstreams[index].in_flight.is_empty()
     }
