--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -102,7 +102,7 @@
             extent_map: magpiewick_extents::ExtentMapView::default(),
             overlap_lock: OverlapLock::default(),
             coalescer: Coalescer::new(config.coalescing.clone()),
-            late_effect_duration: config.scheduler.ordering_quiet_period + config.scheduler.round,
+            late_effect_duration: config.scheduler.ordering_quiet_period + config.scheduler.action_interval,
             connect_timeout: config.limits.connect_timeout,
             frame_timeout: config.limits.partial_frame_timeout,
             hello: Hello::new(Role::Host, config.number, incarnation, AGE_LONG_RUNNING),
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -80,7 +80,7 @@
             let own_number = config.number as usize;
             gossip =
                 Some(GossipSocket::bind(own_number, std::mem::take(&mut config.gossip_addresses), &poll)?);
-            config.scheduler.peer = Some(own_number);
+            config.scheduler.host_number = Some(own_number);
         }
         Ok(Gateway {
             engine: Engine::new(config.scheduler.clone(), now),
@@ -89,7 +89,7 @@
             shutdown: GracefulShutdown::new(shutdown_signal, &poll)?,
             poll,
             at_capacity: false,
-            stall_detector: StallDetector::new(now, config.scheduler.round),
+            stall_detector: StallDetector::new(now, config.scheduler.action_interval),
             delay: LoopDelay::start(now),
             config,
         })
@@ -163,7 +163,7 @@
         self.run_engine();
         // A long or interrupted turn may have based decisions on an old endpoint list. Updates that arrived
         // during the turn are applied before anything is sent.
-        if self.connections.clock_now() - self.connections.now() > self.config.scheduler.round {
+        if self.connections.clock_now() - self.connections.now() > self.config.scheduler.action_interval {
             self.connections.update_now();
             if let Some(key) = self.connections.list_key() {
                 self.on_list_readable(key);
@@ -244,13 +244,13 @@
     fn on_outcome(&mut self, request_id: u64, attempt: u32, outcome: Outcome, details: OutcomeDetails<'_>) {
         let Some(sent_at) = self.connections.end_attempt(request_id, attempt, outcome) else { return };
         let OutcomeDetails { used, remote_units, payload } = details;
-        let request_over = outcome == Outcome::Succeeded;
-        if request_over {
+        let request_finished = outcome == Outcome::Succeeded;
+        if request_finished {
             self.connections.succeed(request_id, payload);
         }
         let now = self.connections.now();
         let answer =
-            Answer { outcome, latency: now - sent_at, request_over, volume_usage: used, remote_units };
+            Answer { outcome, latency: now - sent_at, request_finished, volume_usage: used, remote_units };
         self.engine.on_outcome(now, request_id, answer, &mut self.connections);
         if outcome == Outcome::ShardMoved {
             self.reroute_request(request_id);
--- a/crates/gateway/src/event_loop/admission.rs
+++ b/crates/gateway/src/event_loop/admission.rs
@@ -152,7 +152,7 @@
         let incoming = IncomingRequest { id, key, volume: request.volume, request: engine_request };
         // After its latency objective the request would not be sent, so ending it then loses nothing; its
         // answer must reach the client before its deadline.
-        let max_wait = client_timeout - 2.0 * self.config.scheduler.round;
+        let max_wait = client_timeout - 2.0 * self.config.scheduler.action_interval;
         let latency_objective = self.config.scheduler.classes[class].latency_objective;
         let waits_until = self.connections.now() + latency_objective.min(max_wait);
         if let Some(incoming) = self.connections.acquire_overlap_lock(incoming, queue, waits_until) {
