--- a/crates/gateway/tests/sockets/clients.rs
+++ b/crates/gateway/tests/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that misbehave, vanish or do not read.
+//! Clients that send partial frames, disconnect or do not read.
 
 use crate::harness::{Peer, TestHost};
 use magpiewick_gateway::HostExit;
@@ -7,66 +7,70 @@
 use std::time::Duration;
 
 #[test]
-fn a_client_with_a_partial_frame_is_closed_and_idle_clients_disturb_nobody() {
+fn client_with_a_partial_frame_is_closed_and_others_are_served_among_idle_clients() {
     let host = TestHost::start(AGE_LONG_RUNNING);
     let idle: Vec<Peer> = (0..1000).map(|_| host.client()).collect();
-    let mut partial_client = host.client();
-    partial_client.stream.write_all(&[9, 0, 0, 0, 9]).unwrap();
+    let mut partial_frame_client = host.client();
+    partial_frame_client.stream.write_all(&[9, 0, 0, 0, 9]).unwrap();
     let mut client = host.client();
     client.send_request(1, 0, &[]);
     let mut node = host.accept_node();
-    let out = node.receive_attempt().unwrap();
-    node.succeed(out, &[]);
+    let attempt = node.receive_attempt().unwrap();
+    node.succeed(attempt, &[]);
     assert_eq!(client.receive_answer().map(|a| a.1), Some(FinalCode::Succeeded));
-    assert_eq!(partial_client.receive_answer(), None, "the client with the partial frame was kept");
+    assert_eq!(
+        partial_frame_client.receive_answer(),
+        None,
+        "the client with the partial frame was not disconnected"
+    );
     drop(idle);
     host.shut_down();
 }
 
 #[test]
-fn a_non_idempotent_write_completes_after_its_client_disconnects() {
+fn non_idempotent_write_completes_after_its_client_disconnects() {
     let host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_request(1, 1, b"paid");
     let mut node = host.accept_node();
-    let out = node.receive_attempt().unwrap();
+    let attempt = node.receive_attempt().unwrap();
     drop(client);
     let mut other = host.client();
     other.send_request(1, 0, &[]);
     let second = node.receive_attempt().unwrap();
-    node.succeed(out, &[]);
+    node.succeed(attempt, &[]);
     node.succeed(second, b"other");
     assert_eq!(other.receive_answer(), Some((1, FinalCode::Succeeded, "other".to_string())));
     assert_eq!(host.shut_down(), HostExit::Stopped);
 }
 
 #[test]
-fn a_client_that_never_reads_is_paused_and_others_are_served() {
+fn client_that_never_reads_is_paused_and_others_are_served() {
     let host = TestHost::start(AGE_LONG_RUNNING);
     let mut slow_client = host.client();
     slow_client.send_request(1, 0, &[]);
     let mut node = host.accept_node();
-    let big = vec![1; 1 << 20];
-    let out = node.receive_attempt().unwrap();
-    node.succeed(out, &big);
-    // Its answers fill what the kernel takes and then what the host keeps for it.
+    let large_payload = vec![1; 1 << 20];
+    let attempt = node.receive_attempt().unwrap();
+    node.succeed(attempt, &large_payload);
+    // The answers fill the kernel's buffers and then the host's buffer for the client.
     for request_id in 2..60 {
         slow_client.send_request(request_id, 0, &[]);
     }
     let mut served = 1;
     node.stream.set_read_timeout(Some(Duration::from_millis(700))).unwrap();
-    while let Ok(Some(out)) =
+    while let Ok(Some(attempt)) =
         std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| node.receive_attempt()))
     {
-        node.succeed(out, &big);
+        node.succeed(attempt, &large_payload);
         served += 1;
     }
-    assert!(served < 60, "all was read from a client that does not read");
+    assert!(served < 60, "the host did not pause a client that does not read");
     node.stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let mut client = host.client();
     client.send_request(1, 0, &[]);
-    let out = node.receive_attempt().unwrap();
-    node.succeed(out, b"here");
+    let attempt = node.receive_attempt().unwrap();
+    node.succeed(attempt, b"here");
     assert_eq!(client.receive_answer(), Some((1, FinalCode::Succeeded, "here".to_string())));
     host.shut_down();
 }
--- a/crates/gateway/tests/sockets/gossip.rs
+++ b/crates/gateway/tests/sockets/gossip.rs
@@ -7,14 +7,14 @@
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::time::Duration;
 
-/// A free port of this machine, and a socket of another host that knows it.
+/// Returns a free address of this machine, and the socket of another host that sends to it.
 fn two_hosts() -> (SocketAddr, UdpSocket) {
     let other = UdpSocket::bind("127.0.0.1:0").unwrap();
     other.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     (UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap(), other)
 }
 
-/// Lets a host gossip with the other.
+/// Enables gossip of a host with the other.
 fn enable_gossip(config: &mut HostConfig, own: SocketAddr, other: &UdpSocket) {
     config.scheduler.hosts = 2.0;
     config.gossip_addresses = [(0, own), (1, other.local_addr().unwrap())].into();
@@ -40,53 +40,55 @@
             break (*tag, magpiewick::GossipReport { in_flight: 7, has_queued: true, ..*received });
         }
     };
-    // Of no length, of an odd one, too long, from a later version; and a valid one from an unknown sender.
+    // Invalid datagrams: empty, of an odd length, too long, of a later version; and a valid one from an
+    // unknown sender.
     let message: Vec<u8> = magpiewick_gossip::encode(&[report]).flatten().collect();
-    for bad in [&[][..], &message[..4], &[1; 300], &[2, 0, 0, 0, 0]] {
-        other.send_to(bad, own).unwrap();
+    for invalid in [&[][..], &message[..4], &[1; 300], &[2, 0, 0, 0, 0]] {
+        other.send_to(invalid, own).unwrap();
     }
     UdpSocket::bind("127.0.0.1:0").unwrap().send_to(&message, own).unwrap();
     client.send_request(2, 0, &[]);
     let second = node.receive_attempt().unwrap();
-    // Seven attempts of another host are more than the window: the next request waits until that report expires.
+    // Seven attempts of another host exceed the window: the next request waits until that report expires.
     other.send_to(&message, own).unwrap();
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     std::thread::sleep(Duration::from_millis(20));
     client.send_request(3, 0, &[]);
     let third = node.receive_attempt().unwrap();
-    assert!(began.elapsed() >= Duration::from_millis(200), "{:?}", began.elapsed());
-    for out in [first, second, third] {
-        node.succeed(out, b"done");
+    assert!(started.elapsed() >= Duration::from_millis(200), "{:?}", started.elapsed());
+    for attempt in [first, second, third] {
+        node.succeed(attempt, b"done");
         assert_eq!(client.receive_answer().map(|a| a.1), Some(FinalCode::Succeeded));
     }
     host.shut_down();
 }
 
 #[test]
-fn a_restarted_host_serves_from_the_cached_list_while_old_builds_gossip() {
+fn restarted_host_serves_from_the_cached_list_despite_gossip_of_another_version() {
     let (own, other) = two_hosts();
     let cache = std::env::temp_dir().join(format!("magpiewick-cache-{}", std::process::id()));
-    let caches_list = |config: &mut HostConfig| config.list_service.cache_path = Some(cache.clone());
-    let mut before = TestHost::without_endpoints(TcpListener::bind("127.0.0.1:0").unwrap(), caches_list);
+    let enable_list_cache = |config: &mut HostConfig| config.list_service.cache_path = Some(cache.clone());
+    let mut before =
+        TestHost::without_endpoints(TcpListener::bind("127.0.0.1:0").unwrap(), enable_list_cache);
     before.send_endpoint(true, 1, EntryState::Ready, 1, AGE_LONG_RUNNING);
     let mut client = before.client();
     client.send_request(1, 0, &[]);
     let mut node = before.accept_node();
-    let out = node.receive_attempt().unwrap();
-    node.succeed(out, &[]);
+    let attempt = node.receive_attempt().unwrap();
+    node.succeed(attempt, &[]);
     client.receive_answer();
     let listener = before.node.try_clone().unwrap();
     assert_eq!(before.shut_down(), HostExit::Stopped);
     let after = TestHost::without_endpoints(listener, |config| {
-        caches_list(config);
+        enable_list_cache(config);
         enable_gossip(config, own, &other);
     });
     other.send_to(&[0, 1, 2, 3], own).unwrap();
     let mut client = after.client();
     client.send_request(1, 0, &[]);
     let mut node = after.accept_node();
-    let out = node.receive_attempt().unwrap();
-    node.succeed(out, b"at once");
+    let attempt = node.receive_attempt().unwrap();
+    node.succeed(attempt, b"at once");
     assert_eq!(client.receive_answer(), Some((1, FinalCode::Succeeded, "at once".to_string())));
     after.shut_down();
     std::fs::remove_file(cache).unwrap();
--- a/crates/gateway/tests/sockets/harness.rs
+++ b/crates/gateway/tests/sockets/harness.rs
@@ -1,4 +1,4 @@
-//! A host on sockets, and the ends of its connections that a test holds.
+//! A host on sockets, with the test's ends of its connections.
 
 use magpiewick_gateway::config::{read_host_config, HostConfig};
 use magpiewick_gateway::{Gateway, HostExit};
@@ -60,7 +60,7 @@
         self.stream.write_all(&bytes).unwrap();
     }
 
-    /// The next message that `pick` accepts; others are skipped; none at the connection's end.
+    /// Returns the next message that `pick` accepts, and skips others; none at the connection's end.
     pub(crate) fn receive<T>(&mut self, pick: impl Fn(&Message<'_>) -> Option<T>) -> Option<T> {
         loop {
             let (mut found, mut used) = (None, 0);
@@ -78,7 +78,9 @@
             let mut piece = [0; 65536];
             match self.stream.read(&mut piece) {
                 Ok(n) if n > 0 => self.bytes.extend_from_slice(&piece[..n]),
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => panic!("nothing came"),
+                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
+                    panic!("timed out")
+                }
                 _ => return None,
             }
         }
@@ -87,8 +89,8 @@
     pub(crate) fn receive_answer(&mut self) -> Option<(u64, FinalCode, String)> {
         self.receive(|m| match m {
             Message::FinalAnswer(f) => {
-                let why = f.payload.get(..f.payload.len().min(40)).unwrap_or_default();
-                Some((f.request_id, f.code, String::from_utf8_lossy(why).into_owned()))
+                let reason = f.payload.get(..f.payload.len().min(40)).unwrap_or_default();
+                Some((f.request_id, f.code, String::from_utf8_lossy(reason).into_owned()))
             }
             _ => None,
         })
@@ -154,27 +156,27 @@
 }
 
 impl TestHost {
-    /// A host whose endpoint list names one node, of incarnation 1 and this age.
+    /// Starts a host whose endpoint list contains one node, of incarnation 1 and this age.
     pub(crate) fn start(age_us: u64) -> TestHost {
         let mut host = TestHost::without_endpoints(TcpListener::bind("127.0.0.1:0").unwrap(), |_| ());
         host.send_endpoint(true, 1, EntryState::Ready, 1, age_us);
         host
     }
 
-    /// A host without an endpoint list, with changed settings.
+    /// Starts a host without an endpoint list, with changed settings.
     pub(crate) fn without_endpoints(node: TcpListener, change: impl FnOnce(&mut HostConfig)) -> TestHost {
         let list = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut config: HostConfig =
             read_text("test", SETTINGS, |r| read_host_config(r, 1)).unwrap().unwrap();
         change(&mut config);
         (config.list_service.address, config.list_service.serves_map) = (list.local_addr().unwrap(), true);
-        let (stop, other) = UnixStream::pair().unwrap();
+        let (shutdown_signal, other) = UnixStream::pair().unwrap();
         let gateway = Gateway::bind(config, other, 99).unwrap();
         let address = gateway.address();
         let thread = std::thread::spawn(move || gateway.run().unwrap());
         let mut list = Peer::new(list.accept().unwrap().0);
         list.receive(|m| matches!(m, Message::WatchEndpoints { .. }).then_some(()));
-        TestHost { address, list_service: list, node, shutdown_signal: stop, thread }
+        TestHost { address, list_service: list, node, shutdown_signal, thread }
     }
 
     pub(crate) fn send_endpoint(
@@ -217,14 +219,14 @@
         Peer::new(self.node.accept().unwrap().0)
     }
 
-    /// The node's end of the host's connection, after the greeting of the listed process.
+    /// Returns the node's end of the host's connection, after the greeting of the listed process.
     pub(crate) fn accept_node(&self) -> Peer {
         let mut node = self.accept();
         node.send_hello(1, AGE_LONG_RUNNING);
         node
     }
 
-    /// Ends the host at once, with requests pending.
+    /// Stops the host immediately, with requests pending.
     pub(crate) fn abort(mut self) {
         self.shutdown_signal.write_all(&[1, 1]).unwrap();
         self.thread.join().unwrap();
@@ -278,5 +280,5 @@
     }
 }
 
-/// A request's id and attempt.
+/// A request's id and attempt number.
 pub(crate) type AttemptId = (u64, u16);
--- a/crates/gateway/tests/sockets/list_service.rs
+++ b/crates/gateway/tests/sockets/list_service.rs
@@ -10,11 +10,11 @@
 use std::os::unix::net::UnixStream;
 
 #[test]
-fn a_request_whose_shard_moved_waits_for_the_map_and_is_sent_again() {
+fn request_whose_shard_moved_waits_for_the_map_and_is_sent_again() {
     let mut host = TestHost::start(AGE_LONG_RUNNING);
     host.send_map(true, 1, MapEntryKind::Extent, 1000, 1);
     let mut client = host.client();
-    // Non-idempotent: sent again only as the node's answer proves that nothing ran.
+    // A non-idempotent request is sent again only as the node's answer proves that nothing ran.
     client.send_request(1, 1, b"paid");
     let mut node = host.accept_node();
     let sent = |m: &Message<'_>| match m {
@@ -32,21 +32,21 @@
 }
 
 #[test]
-fn an_unresponsive_list_service_is_reconnected() {
+fn unresponsive_list_service_is_reconnected() {
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config: HostConfig = read_text("test", SETTINGS, |r| read_host_config(r, 1)).unwrap().unwrap();
     (config.list_service.address, config.list_service.polled) = (list.local_addr().unwrap(), true);
     config.scheduler.max_poll_interval = Some(1000.0);
-    let (mut stop, other) = UnixStream::pair().unwrap();
+    let (mut shutdown_signal, other) = UnixStream::pair().unwrap();
     let gateway = Gateway::bind(config, other, 99).unwrap();
     let host = std::thread::spawn(move || gateway.run().unwrap());
     let watch = |m: &Message<'_>| matches!(m, Message::WatchEndpoints { .. }).then_some(());
-    // It is asked and does not answer: the next watch comes over another connection.
+    // The service receives a watch and does not answer: the next watch arrives on another connection.
     let mut unresponsive = Peer::new(list.accept().unwrap().0);
     unresponsive.receive(watch).expect("a watch");
     assert!(unresponsive.receive(watch).is_none(), "the unresponsive connection is still used");
     let mut next = Peer::new(list.accept().unwrap().0);
-    next.receive(watch).expect("the watch again");
-    stop.write_all(&[1, 1]).unwrap();
+    next.receive(watch).expect("a watch on the second connection");
+    shutdown_signal.write_all(&[1, 1]).unwrap();
     host.join().unwrap();
 }
--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! A host on sockets whose other ends are held by the test: what it does when they misbehave.
+//! Tests of a host on sockets, whose clients, nodes and list service are played by the test.
 
 mod clients;
 mod coalescing;
--- a/crates/gateway/tests/sockets/nodes.rs
+++ b/crates/gateway/tests/sockets/nodes.rs
@@ -1,4 +1,4 @@
-//! Storage nodes that misbehave, restart, drain or are unreachable.
+//! Storage nodes that repeat or truncate outcomes, restart, drain or are unreachable.
 
 use crate::harness::{outcome, TestHost};
 use magpiewick_gateway::HostExit;
@@ -8,26 +8,26 @@
 use std::time::Duration;
 
 #[test]
-fn a_request_gets_one_answer_though_its_node_repeats_outcomes() {
+fn request_gets_one_answer_when_its_node_repeats_outcomes() {
     let host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_request(1, 0, &[]);
     let mut node = host.accept_node();
-    let out = node.receive_attempt().unwrap();
-    node.succeed(out, b"first");
-    node.succeed(out, b"second");
-    node.send(&outcome(out.0, 9, OutcomeCode::Error, &[]));
+    let attempt = node.receive_attempt().unwrap();
+    node.succeed(attempt, b"first");
+    node.succeed(attempt, b"second");
+    node.send(&outcome(attempt.0, 9, OutcomeCode::Error, &[]));
     node.send(&outcome(12345, 0, OutcomeCode::Succeeded, &[]));
     client.send_request(2, 0, &[]);
-    let next = node.receive_attempt().unwrap();
-    node.succeed(next, b"third");
+    let next_attempt = node.receive_attempt().unwrap();
+    node.succeed(next_attempt, b"third");
     assert_eq!(client.receive_answer(), Some((1, FinalCode::Succeeded, "first".to_string())));
     assert_eq!(client.receive_answer(), Some((2, FinalCode::Succeeded, "third".to_string())));
     assert_eq!(host.shut_down(), HostExit::Stopped);
 }
 
 #[test]
-fn a_request_whose_outcome_was_truncated_may_have_run() {
+fn request_with_a_truncated_outcome_may_have_run() {
     let host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_request(1, 1, b"paid");
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn a_request_to_an_unreachable_node_never_ran() {
+fn request_to_an_unreachable_node_is_rejected() {
     let mut host = TestHost::start(AGE_LONG_RUNNING);
-    // The port is free again: connections to it are refused.
+    // The port of the listed node is free again, so connections to it are refused.
     host.node = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = host.client();
     client.send_request(1, 1, b"paid");
@@ -61,25 +61,25 @@
     for _ in 0..2 {
         let mut node = host.accept();
         node.send_hello(2, 60_000_000);
-        assert_eq!(node.receive_attempt(), None, "an attempt reached an old process");
+        assert_eq!(node.receive_attempt(), None, "an attempt reached a process older than the listed one");
     }
     let mut node = host.accept();
     node.send_hello(1, 1_100_000);
-    let out = node.receive_attempt().unwrap();
-    node.succeed(out, &[]);
+    let attempt = node.receive_attempt().unwrap();
+    node.succeed(attempt, &[]);
     assert_eq!(client.receive_answer().map(|a| a.1), Some(FinalCode::Succeeded));
     host.shut_down();
 }
 
 #[test]
-fn attempts_that_waited_for_a_process_are_routed_again_after_its_restart() {
+fn attempts_waiting_for_a_greeting_are_rerouted_after_a_restart() {
     let host = TestHost::start(60_000_000);
     let mut client = host.client();
     client.send_request(1, 1, b"paid");
     let mut node = host.accept();
     node.send_hello(2, 5_000);
     let (_, attempt) = node.receive_attempt().unwrap();
-    assert_eq!(attempt, 1, "the attempt that was meant for the old process was counted as ended");
+    assert_eq!(attempt, 1, "the attempt for the old process ended and its retry has number 1");
     host.shut_down();
 }
 
@@ -87,7 +87,7 @@
 fn unwritten_attempts_are_withdrawn_from_a_draining_node() {
     let mut host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
-    // More than the kernel takes while the node does not read.
+    // More data than the kernel accepts while the node does not read.
     let (payload, count) = (vec![5; 1 << 20], 40);
     client.send_request(100, 0, &[]);
     let mut node = host.accept_node();
@@ -97,31 +97,32 @@
         client
     });
     node.succeed(first, &[]);
-    // Reads now and then, so that the window opens, and never all.
-    let mut whole = Vec::new();
+    // Reads only some of the attempts, so that the window grows.
+    let mut complete_attempts = Vec::new();
     for _ in 0..6 {
-        let out = node.receive_attempt().unwrap();
-        whole.push(out.0);
-        node.succeed(out, &[]);
+        let attempt = node.receive_attempt().unwrap();
+        complete_attempts.push(attempt.0);
+        node.succeed(attempt, &[]);
     }
     std::thread::sleep(Duration::from_millis(100));
     host.send_endpoint(false, 2, EntryState::Draining, 1, AGE_LONG_RUNNING);
     let mut client = writer.join().unwrap();
     std::thread::sleep(Duration::from_millis(300));
-    // What is read from here on was written before the update, or the connection broke in the middle of it.
+    // Attempts read from here on were written before the update, or the connection broke within one.
     node.stream.set_read_timeout(Some(Duration::from_millis(1500))).unwrap();
-    let late =
+    let late_attempts =
         std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| while node.receive_attempt().is_some() {}));
-    drop(late);
-    let mut ended = [0; 3];
+    drop(late_attempts);
+    let mut answers_by_code = [0; 3];
     for _ in 0..=count {
         let (_, code, _) = client.receive_answer().unwrap();
-        ended[code as usize] += 1;
+        answers_by_code[code as usize] += 1;
     }
-    assert_eq!(ended.iter().sum::<u64>(), count + 1);
+    assert_eq!(answers_by_code.iter().sum::<u64>(), count + 1);
     assert!(
-        ended[FinalCode::Succeeded as usize] >= 7 && ended[FinalCode::Rejected as usize] > 0,
-        "{ended:?}"
+        answers_by_code[FinalCode::Succeeded as usize] >= 7
+            && answers_by_code[FinalCode::Rejected as usize] > 0,
+        "{answers_by_code:?}"
     );
     host.shut_down();
 }
--- a/crates/gateway/tests/sockets/shutdown.rs
+++ b/crates/gateway/tests/sockets/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown.
+//! Graceful shutdown.
 
 use crate::harness::{Peer, TestHost};
 use magpiewick_gateway::HostExit;
@@ -10,33 +10,33 @@
 use std::time::Duration;
 
 #[test]
-fn a_shutdown_answers_pending_requests_and_rejects_new_ones() {
+fn shutdown_answers_pending_requests_and_rejects_new_ones() {
     let mut host = TestHost::start(AGE_LONG_RUNNING);
     let mut client = host.client();
     client.send_request(1, 0, &[]);
     let mut node = host.accept_node();
-    let out = node.receive_attempt().unwrap();
+    let in_flight = node.receive_attempt().unwrap();
     host.shutdown_signal.write_all(&[1]).unwrap();
     std::thread::sleep(Duration::from_millis(100));
     client.send_request(2, 0, &[]);
     assert_eq!(client.receive_answer(), Some((2, FinalCode::Rejected, "stopping".to_string())));
-    node.succeed(out, b"last");
+    node.succeed(in_flight, b"last");
     assert_eq!(client.receive_answer(), Some((1, FinalCode::Succeeded, "last".to_string())));
     assert_eq!(host.thread.join().unwrap(), HostExit::Stopped);
 }
 
 #[test]
-fn a_shutdown_answers_requests_of_paused_clients() {
+fn shutdown_answers_requests_of_paused_clients() {
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut host = TestHost::without_endpoints(node, |config| config.limits.max_pending_requests = 2);
     host.send_endpoint(true, 1, EntryState::Ready, 1, AGE_LONG_RUNNING);
     let mut client = host.client();
     (1..=6).for_each(|request_id| client.send_request(request_id, 1, b"block"));
     let mut node = host.accept_node();
-    let out = [node.receive_attempt().unwrap(), node.receive_attempt().unwrap()];
+    let in_flight = [node.receive_attempt().unwrap(), node.receive_attempt().unwrap()];
     host.shutdown_signal.write_all(&[1]).unwrap();
     std::thread::sleep(Duration::from_millis(100));
-    out.into_iter().for_each(|attempt| node.succeed(attempt, b"done"));
+    in_flight.into_iter().for_each(|attempt| node.succeed(attempt, b"done"));
     let mut answers: Vec<(u64, FinalCode)> =
         (0..6).map_while(|_| client.receive_answer()).map(|a| (a.0, a.1)).collect();
     answers.sort_unstable_by_key(|answer| answer.0);
@@ -47,11 +47,11 @@
     assert_eq!(host.thread.join().unwrap(), HostExit::Stopped);
 }
 
-/// Sends requests until the host closes the connection. Returns how it ended for the client, the highest number of an
-/// answered request, and how many were answered.
+/// Sends requests until the host closes the connection. Returns the result of the last read, the highest
+/// number of an answered request, and the number of answers.
 fn send_until_closed(mut client: Peer) -> (std::io::Result<usize>, u64, u64) {
-    let mut sends = client.stream.try_clone().unwrap();
-    let sending = std::thread::spawn(move || {
+    let mut send_stream = client.stream.try_clone().unwrap();
+    let sender = std::thread::spawn(move || {
         for request_id in 1.. {
             let (volume, key, idempotency_key, units, client_timeout_us, blocks) =
                 (1, 7 + request_id, request_id, 1.0, 4_000_000, 1);
@@ -70,7 +70,7 @@
             };
             let mut bytes = Vec::new();
             encode(&Message::Request(request), &mut bytes);
-            if sends.write_all(&bytes).is_err() {
+            if send_stream.write_all(&bytes).is_err() {
                 return;
             }
             std::thread::sleep(Duration::from_micros(200));
@@ -86,41 +86,41 @@
             }
         }
         client.bytes.drain(..used);
-        let mut piece = [0; 65536];
-        match client.stream.read(&mut piece) {
-            Ok(n) if n > 0 => client.bytes.extend_from_slice(&piece[..n]),
+        let mut chunk = [0; 65536];
+        match client.stream.read(&mut chunk) {
+            Ok(n) if n > 0 => client.bytes.extend_from_slice(&chunk[..n]),
             end => break end,
         }
     };
     drop(client);
-    sending.join().unwrap();
+    sender.join().unwrap();
     (end, highest, count)
 }
 
 #[test]
-fn a_shutdown_resets_no_connection_and_answers_every_request_read() {
+fn shutdown_resets_no_connection_and_answers_every_request_read() {
     for _ in 0..10 {
         let host = TestHost::start(AGE_LONG_RUNNING);
         let clients: Vec<_> = (0..6).map(|_| host.client()).collect();
         let clients: Vec<_> =
             clients.into_iter().map(|client| std::thread::spawn(move || send_until_closed(client))).collect();
         let mut node = host.accept_node();
-        let (mut ends, at) = (node.stream.try_clone().unwrap(), std::time::Instant::now());
-        let serving = std::thread::spawn(move || {
+        let (mut node_stream, started) = (node.stream.try_clone().unwrap(), std::time::Instant::now());
+        let node_thread = std::thread::spawn(move || {
             while let Some(attempt) = node.receive_attempt() {
                 node.succeed(attempt, b"done");
             }
         });
         std::thread::sleep(Duration::from_millis(60));
         assert_eq!(host.shut_down(), HostExit::Stopped);
-        assert!(at.elapsed() < Duration::from_secs(3), "{:?}", at.elapsed());
+        assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
         for client in clients {
             let (end, highest, count) = client.join().unwrap();
-            assert!(matches!(end, Ok(0)), "a reset: {end:?}");
-            assert_eq!(highest, count, "some of what came before the last answer has none");
+            assert!(matches!(end, Ok(0)), "the connection was reset: {end:?}");
+            assert_eq!(highest, count, "a request before the last answered one has no answer");
         }
-        _ = ends.flush();
-        _ = ends.shutdown(std::net::Shutdown::Both);
-        serving.join().unwrap();
+        _ = node_stream.flush();
+        _ = node_stream.shutdown(std::net::Shutdown::Both);
+        node_thread.join().unwrap();
     }
 }
