--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -14,9 +14,9 @@
 pub struct ListServiceConfig {
     /// Listening address.
     pub address: SocketAddr,
-    /// Whether the list must be polled; otherwise the service pushes updates to each connection.
+    /// True if the list must be polled; otherwise the service pushes updates to each connection.
     pub polled: bool,
-    /// Whether the service also serves the extent map.
+    /// True if the service also serves the extent map.
     pub serves_map: bool,
     /// File that caches the list across restarts.
     pub cache_path: Option<PathBuf>,
@@ -66,7 +66,7 @@
     pub level: String,
     /// Format of log lines.
     pub format: LogFormat,
-    /// Whether each request is logged.
+    /// True if each request is logged.
     pub requests: bool,
 }
 
--- a/crates/gateway/src/list_connection.rs
+++ b/crates/gateway/src/list_connection.rs
@@ -21,12 +21,12 @@
 /// The connection, and whether an answer of the service is outstanding on it.
 pub(crate) struct ListConnection {
     address: SocketAddr,
-    /// Whether the service must be polled; otherwise it pushes updates.
+    /// True if the service must be polled; otherwise it pushes updates.
     is_polled: bool,
-    /// Whether the service also serves the extent map.
+    /// True if the service also serves the extent map.
     serves_map: bool,
     connection: Option<Connection>,
-    /// Whether a request for the list has not been answered.
+    /// True if a request for the list has not been answered.
     unanswered: bool,
     backoff: ReconnectBackoff,
 }
--- a/crates/gateway/src/request_registry.rs
+++ b/crates/gateway/src/request_registry.rs
@@ -113,7 +113,7 @@
     blocks: u32,
     /// The engine's form of the request, until no earlier write overlaps it.
     blocked: Option<IncomingRequest>,
-    /// Whether an attempt ended without an answer and may still take effect.
+    /// True if an attempt ended without an answer and may still take effect.
     may_take_effect_late: bool,
     payload: Vec<u8>,
     in_flight: Vec<InFlightAttempt>,
@@ -281,7 +281,7 @@
 
 /// A request that was removed.
 pub(crate) struct RemovedRequest {
-    /// Whether an attempt of the request may still take effect.
+    /// True if an attempt of the request may still take effect.
     pub may_take_effect_late: bool,
 }
 
--- a/crates/http1/src/chunked_body.rs
+++ b/crates/http1/src/chunked_body.rs
@@ -1,43 +1,44 @@
-//! A body in chunks, as its bytes arrive.
+//! Incremental reader of chunked bodies.
 
 use crate::response::MalformedResponse;
 use crate::MAX_HEAD_BYTES;
 
-/// The longest line that states the size of a chunk.
+/// Maximum length of the line that states a chunk's size.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// Reads one body. The caller removes what was used of the input.
+/// Reader of one body. The caller removes the used bytes from the input.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChunkedBodyReader {
-    /// The data so far.
+    /// Data received so far.
     pub body: Vec<u8>,
-    /// After the last chunk: how many bytes of trailers have arrived.
+    /// Number of trailer bytes received; none before the last chunk.
     trailer: Option<usize>,
 }
 
 impl ChunkedBodyReader {
-    /// How many bytes of the input were used, and whether the body is complete. It has `limit` bytes at most.
+    /// Returns the number of input bytes used, and whether the body is complete. Rejects a body of more than
+    /// `limit` bytes.
     pub(crate) fn read(&mut self, input: &[u8], limit: usize) -> Result<(usize, bool), MalformedResponse> {
         let mut used = 0;
         loop {
-            let rest = &input[used..];
+            let unread = &input[used..];
             match self.trailer {
                 None => {
-                    let Some((line, data)) = chunk(rest, limit - self.body.len())? else {
+                    let Some((line_length, data)) = read_chunk(unread, limit - self.body.len())? else {
                         return Ok((used, false));
                     };
                     self.body.extend_from_slice(data);
-                    used += line;
+                    used += line_length;
                     match data {
                         [] => self.trailer = Some(0),
                         _ => used += data.len() + 2,
                     }
                 }
-                Some(before) => match line(rest, MAX_HEAD_BYTES - before)? {
+                Some(trailer_bytes) => match read_line_length(unread, MAX_HEAD_BYTES - trailer_bytes)? {
                     Some(0) => return Ok((used + 2, true)),
                     Some(length) => {
                         used += length + 2;
-                        self.trailer = Some((before + length + 2).min(MAX_HEAD_BYTES));
+                        self.trailer = Some((trailer_bytes + length + 2).min(MAX_HEAD_BYTES));
                     }
                     None => return Ok((used, false)),
                 },
@@ -46,19 +47,19 @@
     }
 }
 
-/// The length of a line without its end; none where that has not arrived.
-fn line(input: &[u8], limit: usize) -> Result<Option<usize>, MalformedResponse> {
+/// Returns the length of a line without its line break; none where the line is incomplete.
+fn read_line_length(input: &[u8], limit: usize) -> Result<Option<usize>, MalformedResponse> {
     match input.iter().take(limit + 2).position(|b| *b == b'\n') {
-        Some(at) if at > 0 && input[at - 1] == b'\r' => Ok(Some(at - 1)),
+        Some(position) if position > 0 && input[position - 1] == b'\r' => Ok(Some(position - 1)),
         Some(_) => Err(MalformedResponse),
         None if input.len() >= limit + 2 => Err(MalformedResponse),
         None => Ok(None),
     }
 }
 
-/// A complete chunk: the length of its line with the end, and its data.
-fn chunk(input: &[u8], limit: usize) -> Result<Option<(usize, &[u8])>, MalformedResponse> {
-    let Some(end) = line(input, MAX_CHUNK_LINE_BYTES)? else { return Ok(None) };
+/// Returns a complete chunk: the length of its size line with the line break, and its data.
+fn read_chunk(input: &[u8], limit: usize) -> Result<Option<(usize, &[u8])>, MalformedResponse> {
+    let Some(end) = read_line_length(input, MAX_CHUNK_LINE_BYTES)? else { return Ok(None) };
     let digits = input[..end].split(|b| *b == b';').next().unwrap_or_default().trim_ascii_end();
     let text = std::str::from_utf8(digits).map_err(|_| MalformedResponse)?;
     if text.is_empty() || text.len() > 8 || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 framing without I/O.
 //!
-//! Readers are given a slice of all bytes that were not used yet. Every limit is hard, and no memory is allocated for
-//! what a message merely announces. Messages that two readers could frame differently are rejected, so that nothing in
-//! a body is ever read as a message of its own (request smuggling).
+//! Readers receive a slice of all unconsumed bytes. Every limit is strict, and no memory is allocated for a
+//! length that a message only announces. Messages that two readers could frame differently are rejected, so
+//! that no part of a body is ever parsed as a message of its own (request smuggling).
 
 mod chunked_body;
 mod head;
@@ -18,9 +18,9 @@
 pub use response::{MalformedResponse, Response, ResponseReader};
 pub use write::{write_request_head, write_response, OutgoingResponse, CONTINUE_RESPONSE};
 
-/// The longest head of a message.
+/// Maximum length of a message head.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The longest body of a request; the platform says so.
+/// Maximum length of a request body, as specified by the platform.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 << 10;
-/// The longest body of a response. Some endpoints send 260 KB.
+/// Maximum length of a response body. Some endpoints send 260 KB.
 pub const MAX_RESPONSE_BODY_BYTES: usize = 1 << 20;
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests as their bytes arrive, and their heads.
+//! Incremental reader of requests, and parser of their heads.
 
 use crate::chunked_body::ChunkedBodyReader;
 use crate::head::{HeadError, HeadReader, Headers, MAX_HEADERS};
@@ -6,52 +6,52 @@
 use crate::MAX_REQUEST_BODY_BYTES;
 use thiserror::Error;
 
-/// Why a request is not accepted, and the status of the response that says so.
+/// Reason why a request is rejected, with the status of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{status}: {reason}")]
 pub struct Rejection {
-    /// The status.
+    /// Status code of the response.
     pub status: u16,
-    /// The reason, which is the body of the response.
+    /// Reason, sent as the body of the response.
     pub reason: &'static str,
 }
 
 impl From<HeadError> for Rejection {
-    fn from(bad: HeadError) -> Rejection {
-        match bad {
+    fn from(error: HeadError) -> Rejection {
+        match error {
             HeadError::Malformed => Rejection { status: 400, reason: "the head is malformed" },
             HeadError::TooLong => Rejection { status: 431, reason: "the head is too long" },
         }
     }
 }
 
-/// How the body after a head is framed.
+/// Framing of the body that follows a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// So many bytes, within the limit; 0 where the head states none.
+    /// A body of this length, within the limit; 0 where the head states none.
     Length(usize),
-    /// In chunks.
+    /// A chunked body.
     Chunked,
 }
 
-/// The head of a request.
+/// Head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead<'a> {
-    /// The method.
+    /// Request method.
     pub method: &'a str,
-    /// The request target.
+    /// Request target.
     pub target: &'a str,
-    /// The headers.
+    /// Headers.
     pub headers: Headers<'a>,
-    /// How the body is framed.
+    /// Framing of the body.
     pub framing: BodyFraming,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// True if the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// The connection is to be closed after the response.
+    /// True if the connection is to be closed after the response.
     pub close: bool,
 }
 
-/// Reads a complete head, as [`crate::HeadReader`] found it.
+/// Parses a complete head, as delimited by [`crate::HeadReader`].
 pub fn parse_request_head(head: &[u8]) -> Result<RequestHead<'_>, Rejection> {
     let reject = |status, reason| Err(Rejection { status, reason });
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -83,14 +83,14 @@
             return reject(411, "the body needs a length")
         }
         ([], None) => BodyFraming::Length(0),
-        // Two readers could frame it differently, and one of them would find a request in the body.
+        // Two readers could frame the body differently, and one of them would parse part of it as a request.
         (_, Some(_)) => return reject(400, "the body has a length and a coding"),
         ([coding], None) if coding.eq_ignore_ascii_case(b"chunked") => BodyFraming::Chunked,
         _ => return reject(501, "the body has a coding that is not known here"),
     };
     let expects_continue = match headers.single("expect") {
         Ok(None) => false,
-        Ok(Some(word)) if word.eq_ignore_ascii_case(b"100-continue") => true,
+        Ok(Some(expectation)) if expectation.eq_ignore_ascii_case(b"100-continue") => true,
         _ => return reject(417, "no such expectation is met here"),
     };
     let close = headers.has_token("connection", "close");
@@ -100,9 +100,9 @@
 /// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompleteRequest {
-    /// Its head, which [`parse_request_head`] reads.
+    /// Head, as parsed by [`parse_request_head`].
     pub head: Vec<u8>,
-    /// Its body, without framing.
+    /// Body without its framing.
     pub body: Vec<u8>,
 }
 
@@ -114,27 +114,27 @@
     ChunkedBodyReader(Vec<u8>, ChunkedBodyReader),
 }
 
-/// Reads the requests of one connection, one at a time.
+/// Reader of the requests of one connection, one at a time.
 #[derive(Clone, Debug, Default)]
 pub struct RequestReader {
-    heads: HeadReader,
+    head_reader: HeadReader,
     stage: Stage,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// True if the client waits for `100 Continue` before it sends the body.
     expects_continue: bool,
 }
 
 impl RequestReader {
-    /// Whether a head was read whose body is incomplete.
+    /// Returns whether a head was read whose body is incomplete.
     pub fn in_progress(&self) -> bool {
         !matches!(self.stage, Stage::Head)
     }
 
-    /// Whether the client waits for `100 Continue` before it sends the body; true once.
+    /// Returns whether the client waits for `100 Continue` before it sends the body; true once per request.
     pub fn expects_continue(&mut self) -> bool {
         std::mem::take(&mut self.expects_continue)
     }
 
-    /// The memory that an incomplete request takes.
+    /// Returns the memory that an incomplete request takes.
     pub fn memory_bytes(&self) -> usize {
         match &self.stage {
             Stage::Head => 0,
@@ -143,39 +143,39 @@
         }
     }
 
-    /// Uses what it can of the input: how many bytes, and a request if one is complete.
+    /// Parses the input; returns the number of bytes used, and a request if one is complete.
     pub fn read(&mut self, input: &[u8]) -> Result<(usize, Option<CompleteRequest>), Rejection> {
         let mut used = 0;
         if !self.in_progress() {
-            // Some clients end a body with a line break that belongs to nothing.
+            // Some clients send a line break after a body that belongs to neither request.
             while input[used..].starts_with(b"\r\n") {
-                (used, self.heads) = (used + 2, HeadReader::default());
+                (used, self.head_reader) = (used + 2, HeadReader::default());
             }
-            let rest = &input[used..];
-            let Some(length) = self.heads.find_end(rest)? else { return Ok((used, None)) };
+            let unread = &input[used..];
+            let Some(length) = self.head_reader.find_end(unread)? else { return Ok((used, None)) };
             used += length;
-            let read = parse_request_head(&rest[..length])?;
-            let head = rest[..length].to_vec();
-            self.expects_continue = read.expects_continue;
-            self.stage = match read.framing {
+            let parsed_head = parse_request_head(&unread[..length])?;
+            let head = unread[..length].to_vec();
+            self.expects_continue = parsed_head.expects_continue;
+            self.stage = match parsed_head.framing {
                 BodyFraming::Length(length) => Stage::SizedBody(head, length),
                 BodyFraming::Chunked => Stage::ChunkedBodyReader(head, ChunkedBodyReader::default()),
             };
         }
-        let rest = &input[used..];
+        let unread = &input[used..];
         let (head, body) = match std::mem::take(&mut self.stage) {
-            Stage::SizedBody(head, length) if rest.len() >= length => {
+            Stage::SizedBody(head, length) if unread.len() >= length => {
                 used += length;
-                (head, rest[..length].to_vec())
+                (head, unread[..length].to_vec())
             }
             Stage::ChunkedBodyReader(head, mut chunks) => {
                 let malformed = |_: MalformedResponse| Rejection {
                     status: 400,
                     reason: "the body's chunks are malformed",
                 };
-                let (consumed, whole) = chunks.read(rest, MAX_REQUEST_BODY_BYTES).map_err(malformed)?;
+                let (consumed, complete) = chunks.read(unread, MAX_REQUEST_BODY_BYTES).map_err(malformed)?;
                 used += consumed;
-                if !whole {
+                if !complete {
                     self.stage = Stage::ChunkedBodyReader(head, chunks);
                     return Ok((used, None));
                 }
@@ -191,17 +191,18 @@
     }
 }
 
-/// Whether bytes after a request may begin another one, as far as they go. If not, the length before them was wrong.
+/// Returns whether the bytes after a request may be the start of another one. If not, the stated length of
+/// the request's body was wrong.
 pub fn may_begin_request(bytes: &[u8]) -> bool {
     let bytes = match bytes {
         b"\r" => &[],
         _ => bytes.strip_prefix(b"\r\n").unwrap_or(bytes),
     };
-    let word = bytes.iter().position(|b| !b.is_ascii_uppercase()).unwrap_or(bytes.len());
-    match &bytes[word..] {
-        [] => word <= 16,
-        [b' '] => word > 0,
-        [b' ', next, ..] => word > 0 && *next == b'/',
+    let method_length = bytes.iter().position(|b| !b.is_ascii_uppercase()).unwrap_or(bytes.len());
+    match &bytes[method_length..] {
+        [] => method_length <= 16,
+        [b' '] => method_length > 0,
+        [b' ', next, ..] => method_length > 0 && *next == b'/',
         _ => false,
     }
 }
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -1,28 +1,29 @@
-//! Responses as their bytes arrive. Interim responses (1xx) are skipped; a response counts when its body is complete.
+//! Incremental reader of responses. Interim responses (1xx) are skipped; a response is returned when its body
+//! is complete.
 
 use crate::chunked_body::ChunkedBodyReader;
 use crate::head::{HeadError, HeadReader, Headers, MAX_HEADERS};
 use crate::MAX_RESPONSE_BODY_BYTES;
 use thiserror::Error;
 
-/// How many interim responses may precede a response.
+/// Maximum number of interim responses before a response.
 const MAX_INTERIM_RESPONSES: u32 = 16;
 
 /// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its headers, in their order.
+    /// Headers, in order.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Its body, without framing.
+    /// Body without its framing.
     pub body: Vec<u8>,
-    /// The connection carries no further request.
+    /// True if the connection carries no further request.
     pub close: bool,
 }
 
 impl Response {
-    /// A header's value as text; none where it is absent, repeated or not text.
+    /// Returns a header's value as text; none where the header is absent, repeated or not text.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut all = self.headers.iter().filter(|header| header.0.eq_ignore_ascii_case(name));
         let first = all.next()?;
@@ -33,7 +34,7 @@
     }
 }
 
-/// Bytes that are no response, however they go on.
+/// Error for bytes that are not a response, whatever bytes follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the bytes are no HTTP/1.1 response")]
 pub struct MalformedResponse;
@@ -50,20 +51,20 @@
     Head,
     SizedBody(Response, usize),
     ChunkedBodyReader(Response, ChunkedBodyReader),
-    /// A body that ends with its connection.
+    /// A body that ends with the connection.
     UntilClose(Response),
 }
 
-/// Reads the responses of one connection, one at a time.
+/// Reader of the responses of one connection, one at a time.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseReader {
-    heads: HeadReader,
+    head_reader: HeadReader,
     interim: u32,
     stage: Stage,
 }
 
 impl ResponseReader {
-    /// The memory that an incomplete response takes.
+    /// Returns the memory that an incomplete response takes.
     pub fn memory_bytes(&self) -> usize {
         match &self.stage {
             Stage::ChunkedBodyReader(_, chunks) => chunks.body.capacity(),
@@ -72,13 +73,14 @@
         }
     }
 
-    /// Whether a head was read whose body is incomplete.
+    /// Returns whether a head was read whose body is incomplete.
     pub fn in_progress(&self) -> bool {
         !matches!(self.stage, Stage::Head)
     }
 
-    /// The peer has ended its side in order, and everything was read: the response whose body ends with that. It must
-    /// not be called for a connection that broke, which says nothing of how much was to come.
+    /// Returns the response whose body ends with the connection. Must be called only after the peer closed
+    /// its side in order and all input was read: after a broken connection, the number of missing bytes is
+    /// unknown.
     pub fn on_end_of_stream(&mut self) -> Option<Response> {
         match std::mem::take(&mut self.stage) {
             Stage::UntilClose(response) => Some(response),
@@ -86,30 +88,30 @@
         }
     }
 
-    /// Uses what it can of the input: how many bytes, and a response if one is complete.
+    /// Parses the input; returns the number of bytes used, and a response if one is complete.
     pub fn read(&mut self, input: &[u8]) -> Result<(usize, Option<Response>), MalformedResponse> {
         let mut used = 0;
         loop {
-            let rest = &input[used..];
+            let unread = &input[used..];
             match std::mem::take(&mut self.stage) {
                 Stage::Head => {
-                    let Some(length) = self.heads.find_end(rest)? else { return Ok((used, None)) };
+                    let Some(length) = self.head_reader.find_end(unread)? else { return Ok((used, None)) };
                     used += length;
-                    match head(&rest[..length])? {
+                    match parse_head(&unread[..length])? {
                         None if self.interim == MAX_INTERIM_RESPONSES => return Err(MalformedResponse),
                         None => self.interim += 1,
                         Some(stage) => self.stage = stage,
                     }
                 }
-                Stage::SizedBody(mut response, length) if rest.len() >= length => {
-                    response.body = rest[..length].to_vec();
+                Stage::SizedBody(mut response, length) if unread.len() >= length => {
+                    response.body = unread[..length].to_vec();
                     self.interim = 0;
                     return Ok((used + length, Some(response)));
                 }
                 Stage::ChunkedBodyReader(mut response, mut chunks) => {
-                    let (consumed, whole) = chunks.read(rest, MAX_RESPONSE_BODY_BYTES)?;
+                    let (consumed, complete) = chunks.read(unread, MAX_RESPONSE_BODY_BYTES)?;
                     used += consumed;
-                    if whole {
+                    if complete {
                         response.body = chunks.body;
                         self.interim = 0;
                         return Ok((used, Some(response)));
@@ -118,10 +120,10 @@
                     return Ok((used, None));
                 }
                 Stage::UntilClose(mut response) => {
-                    if response.body.len() + rest.len() > MAX_RESPONSE_BODY_BYTES {
+                    if response.body.len() + unread.len() > MAX_RESPONSE_BODY_BYTES {
                         return Err(MalformedResponse);
                     }
-                    response.body.extend_from_slice(rest);
+                    response.body.extend_from_slice(unread);
                     self.stage = Stage::UntilClose(response);
                     return Ok((input.len(), None));
                 }
@@ -134,8 +136,8 @@
     }
 }
 
-/// How the body behind a head is framed; none for a 1xx.
-fn head(head: &[u8]) -> Result<Option<Stage>, MalformedResponse> {
+/// Parses a head and returns the framing of the body that follows; none for a 1xx response.
+fn parse_head(head: &[u8]) -> Result<Option<Stage>, MalformedResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     match parsed.parse(head) {
@@ -144,7 +146,7 @@
     }
     let (Some(status), Some(1)) = (parsed.code, parsed.version) else { return Err(MalformedResponse) };
     let headers = Headers::from_parsed(parsed.headers);
-    // No request asks to change protocols.
+    // No request of this host asks to switch protocols.
     if !(100..=599).contains(&status) || status == 101 {
         return Err(MalformedResponse);
     }
--- a/crates/http1/src/write.rs
+++ b/crates/http1/src/write.rs
@@ -1,6 +1,7 @@
-//! Messages as bytes. The caller has checked their parts: a line break in a header would change the framing.
+//! Serialization of messages. The caller has validated the parts: a line break in a header would change the
+//! framing.
 
-/// The reason phrase of a status.
+/// Returns the reason phrase of a status.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -37,13 +38,13 @@
 /// A response to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingResponse<'a> {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its headers, apart from those of the framing.
+    /// Headers, without those of the framing.
     pub headers: &'a [(&'a str, &'a [u8])],
-    /// Its body.
+    /// Body.
     pub body: &'a [u8],
-    /// It says that the connection is closed after it.
+    /// True if the response announces that the connection is closed after it.
     pub close: bool,
 }
 
@@ -62,11 +63,12 @@
     append(out, &[b"\r\n", body]);
 }
 
-/// Writes the request line and headers. More headers may follow, then an empty line and the body.
+/// Writes the request line and headers. The caller may append further headers, and then appends an empty line
+/// and the body.
 pub fn write_request_head(out: &mut Vec<u8>, method: &str, target: &str, headers: &[(&str, &[u8])]) {
     append(out, &[method.as_bytes(), b" ", target.as_bytes(), b" HTTP/1.1\r\n"]);
     append_headers(out, headers);
 }
 
-/// Tells a client to send the body that it holds back.
+/// Response that asks a client to send the body that it holds back.
 pub const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -1,5 +1,5 @@
-//! Framing against a plain model and on hostile bytes: any split of the bytes gives the same result, and no bytes
-//! cause a panic or make the reader keep more than its limits.
+//! Framing of valid, changed and arbitrary bytes: every split of the bytes gives the same result, and no
+//! bytes cause a panic or make a reader exceed its limits.
 
 use magpiewick_http1::{
     may_begin_request, parse_request_head, write_request_head, write_response, BodyFraming, CompleteRequest,
@@ -8,23 +8,23 @@
 };
 use quickcheck::quickcheck;
 
-/// The status that a request's head is rejected with; 0: it is good.
-fn refused(head: &str) -> u16 {
+/// Returns the status with which a request's head is rejected; 0 where it is accepted.
+fn rejection_status(head: &str) -> u16 {
     let end = match HeadReader::default().find_end(head.as_bytes()) {
         Ok(Some(end)) => end,
         Ok(None) => panic!("{head:?} has no end"),
-        Err(bad) => return magpiewick_http1::Rejection::from(bad).status,
+        Err(error) => return magpiewick_http1::Rejection::from(error).status,
     };
     assert_eq!(end, head.len());
     parse_request_head(head.as_bytes()).map_or_else(|r| r.status, |_| 0)
 }
 
-fn put(fields: &str) -> String {
+fn put_request_head(fields: &str) -> String {
     format!("PUT /a HTTP/1.1\r\nHost: h\r\n{fields}\r\n")
 }
 
 #[test]
-fn a_body_has_one_length_or_is_chunked_or_is_rejected() {
+fn body_without_one_length_or_chunks_is_rejected() {
     for (fields, status) in [
         ("Content-Length: 5\r\n", 0),
         ("Content-Length: 0\r\n", 0),
@@ -51,12 +51,12 @@
         ("Content-Length: 5\r\nExpect: a-miracle\r\n", 417),
         ("Content-Length: 5\r\nExpect: 100-continue\r\nExpect: 100-continue\r\n", 417),
     ] {
-        assert_eq!(refused(&put(fields)), status, "{fields:?}");
+        assert_eq!(rejection_status(&put_request_head(fields)), status, "{fields:?}");
     }
 }
 
 #[test]
-fn an_ambiguous_head_is_rejected() {
+fn ambiguous_head_is_rejected() {
     for head in [
         "GET /a HTTP/1.1\r\n\r\n",
         "GET /a HTTP/1.1\r\nHost: a\r\nHost: a\r\n\r\n",
@@ -69,26 +69,26 @@
         "GET /a HTTP/1.1\r\nHost: a\r\nX: \u{1}\r\n\r\n",
         "nonsense\r\n\r\n",
     ] {
-        assert_eq!(refused(head), 400, "{head:?}");
+        assert_eq!(rejection_status(head), 400, "{head:?}");
     }
     for head in ["GET /a HTTP/1.0\r\nHost: a\r\n\r\n", "GET /a b HTTP/1.1\r\nHost: a\r\n\r\n"] {
-        assert_eq!(refused(head), 505, "{head:?}");
+        assert_eq!(rejection_status(head), 505, "{head:?}");
     }
     let many: String = (0..65).map(|i| format!("X{i}: y\r\n")).collect();
-    assert_eq!(refused(&put(&format!("Content-Length: 0\r\n{many}"))), 431);
+    assert_eq!(rejection_status(&put_request_head(&format!("Content-Length: 0\r\n{many}"))), 431);
 }
 
 #[test]
-fn a_head_without_end_is_rejected_at_its_limit() {
-    let mut heads = HeadReader::default();
+fn head_without_end_is_rejected_at_the_limit() {
+    let mut head_reader = HeadReader::default();
     let endless = vec![b'a'; MAX_HEAD_BYTES + 1];
-    assert!(heads.find_end(&endless[..MAX_HEAD_BYTES - 1]).unwrap().is_none());
-    assert!(heads.find_end(&endless).is_err());
+    assert!(head_reader.find_end(&endless[..MAX_HEAD_BYTES - 1]).unwrap().is_none());
+    assert!(head_reader.find_end(&endless).is_err());
 }
 
 #[test]
-fn bytes_after_a_request_begin_another_or_show_a_wrong_length() {
-    for (bytes, good) in [
+fn bytes_after_a_request_reveal_a_wrong_length() {
+    for (bytes, may_begin) in [
         ("", true),
         ("G", true),
         ("GET", true),
@@ -106,76 +106,76 @@
         ("\r\n\0", false),
         ("\rGET /x", false),
     ] {
-        assert_eq!(may_begin_request(bytes.as_bytes()), good, "{bytes:?}");
+        assert_eq!(may_begin_request(bytes.as_bytes()), may_begin, "{bytes:?}");
     }
 }
 
-/// All responses in bytes that arrive in pieces, and whether they ended in a malformed one.
-fn answers(pieces: &[&[u8]]) -> (Vec<Response>, bool) {
-    let (mut reader, mut input, mut found) = (ResponseReader::default(), Vec::new(), Vec::new());
+/// Returns all responses in bytes that arrive in pieces, and whether a malformed response ended them.
+fn read_responses(pieces: &[&[u8]]) -> (Vec<Response>, bool) {
+    let (mut reader, mut input, mut messages) = (ResponseReader::default(), Vec::new(), Vec::new());
     for piece in pieces {
         input.extend_from_slice(piece);
         loop {
             match reader.read(&input) {
-                Err(MalformedResponse) => return (found, true),
-                Ok((used, answer)) => {
+                Err(MalformedResponse) => return (messages, true),
+                Ok((used, response)) => {
                     input.drain(..used);
-                    match answer {
-                        Some(answer) => found.push(answer),
+                    match response {
+                        Some(response) => messages.push(response),
                         None => break,
                     }
                 }
             }
         }
     }
-    (found, false)
+    (messages, false)
 }
 
-/// The bytes in pieces, cut at these places.
-fn pieces<'a>(bytes: &'a [u8], cuts: &[u16]) -> Vec<&'a [u8]> {
+/// Returns the bytes split at these positions.
+fn split_at<'a>(bytes: &'a [u8], cuts: &[u16]) -> Vec<&'a [u8]> {
     let mut cuts: Vec<usize> = cuts.iter().map(|c| usize::from(*c) % (bytes.len() + 1)).collect();
     cuts.sort_unstable();
     cuts.push(bytes.len());
-    let mut at = 0;
-    cuts.into_iter().map(|c| &bytes[std::mem::replace(&mut at, c)..c]).collect()
+    let mut position = 0;
+    cuts.into_iter().map(|c| &bytes[std::mem::replace(&mut position, c)..c]).collect()
 }
 
-fn split(bytes: &[u8], cuts: &[u16]) -> (Vec<Response>, bool) {
-    answers(&pieces(bytes, cuts))
+fn read_split_responses(bytes: &[u8], cuts: &[u16]) -> (Vec<Response>, bool) {
+    read_responses(&split_at(bytes, cuts))
 }
 
-/// Every kind of good response, one after the other.
-const GOOD: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n\
+/// Valid responses of every kind, one after the other.
+const VALID_RESPONSES: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n\
     HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Rho: 3\r\n\r\nhello\
     HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n\
     HTTP/1.1 204 No Content\r\n\r\n\
     HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 #[test]
-fn good_responses_are_read_completely() {
-    let (found, malformed) = answers(&[GOOD]);
+fn valid_responses_are_read_completely() {
+    let (messages, malformed) = read_responses(&[VALID_RESPONSES]);
     assert!(!malformed);
-    let plain: Vec<(u16, &[u8], bool)> =
-        found.iter().map(|a| (a.status, a.body.as_slice(), a.close)).collect();
+    let summaries: Vec<(u16, &[u8], bool)> =
+        messages.iter().map(|a| (a.status, a.body.as_slice(), a.close)).collect();
     assert_eq!(
-        plain,
+        summaries,
         [(200, &b"hello"[..], false), (200, b"abcde", false), (204, b"", false), (503, b"", true)]
     );
-    assert_eq!((found[0].header("x-rho"), found[3].header("X-NOT-RUN")), (Some("3"), Some("1")));
+    assert_eq!((messages[0].header("x-rho"), messages[3].header("X-NOT-RUN")), (Some("3"), Some("1")));
 }
 
 #[test]
-fn a_response_may_be_longer_than_a_request_within_its_own_limit() {
+fn response_body_limit_exceeds_that_of_requests() {
     let body = vec![7; 260_000];
     let mut bytes = Vec::new();
     write_response(&mut bytes, &OutgoingResponse { status: 200, headers: &[], body: &body, close: false });
-    assert_eq!(answers(&[&bytes]).0[0].body, body);
-    let long = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", MAX_RESPONSE_BODY_BYTES + 1);
-    assert_eq!(answers(&[long.as_bytes()]), (vec![], true));
+    assert_eq!(read_responses(&[&bytes]).0[0].body, body);
+    let too_long = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", MAX_RESPONSE_BODY_BYTES + 1);
+    assert_eq!(read_responses(&[too_long.as_bytes()]), (vec![], true));
 }
 
 #[test]
-fn a_malformed_response_is_recognised_at_its_first_bad_byte() {
+fn malformed_response_is_rejected_at_its_first_invalid_byte() {
     for bytes in [
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -191,55 +191,62 @@
         "\0\u{1}noise",
         "noise\r\n\r\n",
     ] {
-        assert_eq!(answers(&[bytes.as_bytes()]), (vec![], true), "{bytes:?}");
+        assert_eq!(read_responses(&[bytes.as_bytes()]), (vec![], true), "{bytes:?}");
     }
     let interim = b"HTTP/1.1 100 Continue\r\n\r\n".repeat(17);
-    assert_eq!(answers(&[&interim]), (vec![], true));
+    assert_eq!(read_responses(&[&interim]), (vec![], true));
 }
 
 #[test]
-fn a_response_without_a_length_is_complete_when_its_connection_ends_in_order() {
+fn response_without_length_completes_when_the_connection_closes_in_order() {
     let mut reader = ResponseReader::default();
     for piece in ["HTTP/1.1 200 OK\r\nX-Rho: 3\r\n\r\n", "hel", "", "lo"] {
         assert_eq!(reader.read(piece.as_bytes()), Ok((piece.len(), None)), "{piece:?}");
     }
-    let answer = reader.on_end_of_stream().unwrap();
-    assert_eq!((answer.status, answer.body.as_slice(), answer.close), (200, &b"hello"[..], true));
-    assert!(reader.on_end_of_stream().is_none(), "it is given once");
-    for short in ["", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell"] {
+    let response = reader.on_end_of_stream().unwrap();
+    assert_eq!((response.status, response.body.as_slice(), response.close), (200, &b"hello"[..], true));
+    assert!(reader.on_end_of_stream().is_none(), "the response is returned once");
+    for truncated in ["", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell"] {
         let mut reader = ResponseReader::default();
-        assert!(reader.read(short.as_bytes()).is_ok_and(|(_, answer)| answer.is_none()), "{short:?}");
-        assert!(reader.on_end_of_stream().is_none(), "an end is no end of {short:?}");
+        assert!(
+            reader.read(truncated.as_bytes()).is_ok_and(|(_, response)| response.is_none()),
+            "{truncated:?}"
+        );
+        assert!(
+            reader.on_end_of_stream().is_none(),
+            "the end of the connection does not complete {truncated:?}"
+        );
     }
     let mut reader = ResponseReader::default();
     assert!(reader.read(b"HTTP/1.1 200 OK\r\n\r\n").is_ok());
     assert!(reader.read(&vec![7; MAX_RESPONSE_BODY_BYTES]).is_ok());
-    assert_eq!(reader.read(&[7]), Err(MalformedResponse), "it is bounded as any other");
+    assert_eq!(reader.read(&[7]), Err(MalformedResponse), "the body limit applies");
 }
 
-/// All requests in bytes that arrive in pieces, and the status that the first bad one is rejected with.
-fn requests(pieces: &[&[u8]]) -> (Vec<CompleteRequest>, u16) {
-    let (mut reader, mut input, mut found) = (RequestReader::default(), Vec::new(), Vec::new());
+/// Returns all requests in bytes that arrive in pieces, and the status with which the first invalid one is
+/// rejected.
+fn read_requests(pieces: &[&[u8]]) -> (Vec<CompleteRequest>, u16) {
+    let (mut reader, mut input, mut messages) = (RequestReader::default(), Vec::new(), Vec::new());
     for piece in pieces {
         input.extend_from_slice(piece);
         loop {
             match reader.read(&input) {
-                Err(refused) => return (found, refused.status),
+                Err(rejection) => return (messages, rejection.status),
                 Ok((used, request)) => {
                     input.drain(..used);
                     match request {
-                        Some(request) => found.push(request),
+                        Some(request) => messages.push(request),
                         None => break,
                     }
                 }
             }
         }
     }
-    (found, 0)
+    (messages, 0)
 }
 
-/// Every form of a good request, one after the other.
-const REQUESTS: &[u8] = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n\
+/// Valid requests of every form, one after the other.
+const VALID_REQUESTS: &[u8] = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n\
     PUT /b HTTP/1.1\r\nhost: h\r\nContent-Length:5\r\n\r\nhello\r\n\
     PUT /c HTTP/1.1\r\nHOST:  h \r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n\
     PUT /d HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nhi\
@@ -247,95 +254,103 @@
     GET /f HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn requests_of_every_good_form_are_read_completely() {
-    let (found, status) = requests(&[REQUESTS]);
-    let bodies: Vec<&[u8]> = found.iter().map(|r| r.body.as_slice()).collect();
+fn valid_requests_are_read_completely() {
+    let (messages, status) = read_requests(&[VALID_REQUESTS]);
+    let bodies: Vec<&[u8]> = messages.iter().map(|r| r.body.as_slice()).collect();
     assert_eq!((bodies, status), (vec![&b""[..], b"hello", b"abcde", b"hi", b"", b""], 0));
-    assert!(found.iter().all(|r| parse_request_head(&r.head).is_ok()));
+    assert!(messages.iter().all(|r| parse_request_head(&r.head).is_ok()));
 }
 
 #[test]
-fn bad_chunks_are_rejected_at_their_first_bad_byte_and_a_body_is_limited() {
-    let long = format!("{:x}\r\n", MAX_REQUEST_BODY_BYTES + 1);
-    let twice = format!("{:x}\r\n{}\r\n1\r\n", MAX_REQUEST_BODY_BYTES, "x".repeat(MAX_REQUEST_BODY_BYTES));
-    for chunks in ["zz\r\n", "-1\r\n", "\r\n", "3\r\nabcde", "ffffffffff\r\n", "3\n", &long, &twice] {
-        let bytes = put("Transfer-Encoding: chunked\r\n") + chunks;
-        assert_eq!(requests(&[bytes.as_bytes()]), (vec![], 400), "{:?}", &chunks[..chunks.len().min(20)]);
+fn invalid_chunks_are_rejected_at_the_first_invalid_byte_and_the_body_is_limited() {
+    let too_long = format!("{:x}\r\n", MAX_REQUEST_BODY_BYTES + 1);
+    let too_long_in_sum =
+        format!("{:x}\r\n{}\r\n1\r\n", MAX_REQUEST_BODY_BYTES, "x".repeat(MAX_REQUEST_BODY_BYTES));
+    for chunks in
+        ["zz\r\n", "-1\r\n", "\r\n", "3\r\nabcde", "ffffffffff\r\n", "3\n", &too_long, &too_long_in_sum]
+    {
+        let bytes = put_request_head("Transfer-Encoding: chunked\r\n") + chunks;
+        assert_eq!(
+            read_requests(&[bytes.as_bytes()]),
+            (vec![], 400),
+            "{:?}",
+            &chunks[..chunks.len().min(20)]
+        );
     }
 }
 
 #[test]
-fn a_client_that_expects_continue_is_told_once_and_only_before_its_body() {
-    let head = put("Content-Length: 4\r\nExpect: 100-continue\r\n");
+fn expectation_of_continue_is_reported_once_and_only_before_the_body() {
+    let head = put_request_head("Content-Length: 4\r\nExpect: 100-continue\r\n");
     let mut reader = RequestReader::default();
     assert_eq!(reader.read(head.as_bytes()), Ok((head.len(), None)));
     assert!(reader.expects_continue() && !reader.expects_continue() && reader.in_progress());
     assert!(reader.read(b"body").unwrap().1.is_some_and(|r| r.body == b"body") && !reader.in_progress());
-    let whole = head + "body";
-    assert!(reader.read(whole.as_bytes()).unwrap().1.is_some() && !reader.expects_continue());
+    let request = head + "body";
+    assert!(reader.read(request.as_bytes()).unwrap().1.is_some() && !reader.expects_continue());
 }
 
 quickcheck! {
     fn any_split_gives_the_same_requests(cuts: Vec<u16>) -> bool {
-        requests(&pieces(REQUESTS, &cuts)) == requests(&[REQUESTS])
+        read_requests(&split_at(VALID_REQUESTS, &cuts)) == read_requests(&[VALID_REQUESTS])
     }
 
-    fn any_split_of_changed_bytes_gives_the_same_requests(cuts: Vec<u16>, at: u16, byte: u8) -> bool {
-        let mut bytes = REQUESTS.to_vec();
-        let at = usize::from(at) % bytes.len();
-        bytes[at] = byte;
-        requests(&pieces(&bytes, &cuts)) == requests(&[&bytes])
+    fn any_split_of_changed_bytes_gives_the_same_requests(cuts: Vec<u16>, position: u16, byte: u8) -> bool {
+        let mut bytes = VALID_REQUESTS.to_vec();
+        let position = usize::from(position) % bytes.len();
+        bytes[position] = byte;
+        read_requests(&split_at(&bytes, &cuts)) == read_requests(&[&bytes])
     }
 
     fn any_split_gives_the_same_responses(cuts: Vec<u16>) -> bool {
-        split(GOOD, &cuts) == answers(&[GOOD])
+        read_split_responses(VALID_RESPONSES, &cuts) == read_responses(&[VALID_RESPONSES])
     }
 
-    fn any_split_of_changed_bytes_gives_the_same_responses(cuts: Vec<u16>, at: u16, byte: u8) -> bool {
-        let mut bytes = GOOD.to_vec();
-        let at = usize::from(at) % bytes.len();
-        bytes[at] = byte;
-        split(&bytes, &cuts) == answers(&[&bytes])
+    fn any_split_of_changed_bytes_gives_the_same_responses(cuts: Vec<u16>, position: u16, byte: u8) -> bool {
+        let mut bytes = VALID_RESPONSES.to_vec();
+        let position = usize::from(position) % bytes.len();
+        bytes[position] = byte;
+        read_split_responses(&bytes, &cuts) == read_responses(&[&bytes])
     }
 
     fn arbitrary_bytes_never_panic(bytes: Vec<u8>, cuts: Vec<u16>) -> bool {
-        let total: usize = split(&bytes, &cuts).0.iter().map(|a| a.body.len()).sum();
+        let total: usize = read_split_responses(&bytes, &cuts).0.iter().map(|a| a.body.len()).sum();
         _ = parse_request_head(&bytes);
         _ = may_begin_request(&bytes);
         total <= bytes.len() && total <= MAX_RESPONSE_BODY_BYTES
     }
 
-    fn a_head_ends_at_the_same_byte_in_any_split(fields: Vec<u8>, cuts: Vec<u8>) -> bool {
+    fn head_ends_at_the_same_byte_in_any_split(fields: Vec<u8>, cuts: Vec<u8>) -> bool {
         let text: String = fields.iter().map(|f| format!("X{f}: {f}\r\n")).collect();
         let head = format!("GET / HTTP/1.1\r\n{text}\r\nrest");
-        let (mut heads, mut end, mut to) = (HeadReader::default(), None, 0);
+        let (mut head_reader, mut end, mut to) = (HeadReader::default(), None, 0);
         for cut in cuts {
             to = (to + usize::from(cut)).min(head.len());
             if end.is_none() {
-                end = heads.find_end(&head.as_bytes()[..to]).unwrap();
+                end = head_reader.find_end(&head.as_bytes()[..to]).unwrap();
             }
         }
         let end = match end {
-            None => heads.find_end(head.as_bytes()).unwrap(),
+            None => head_reader.find_end(head.as_bytes()).unwrap(),
             end => end,
         };
         end == Some(head.len() - 4)
     }
 
-    /// What is written is read back as it was meant.
-    fn a_written_response_is_read_back(status: u16, body: Vec<u8>, close: bool) -> bool {
+    /// A written response is read back unchanged.
+    fn written_response_is_read_back(status: u16, body: Vec<u8>, close: bool) -> bool {
         let status = 200 + status % 300;
         let mut bytes = Vec::new();
         write_response(&mut bytes, &OutgoingResponse { status, headers: &[("X-A", b"b")], body: &body, close });
-        let (found, malformed) = answers(&[&bytes]);
-        let [answer] = found.as_slice() else { return false };
-        !malformed && answer.status == status && answer.body == body && answer.close == close
-            && answer.header("x-a") == Some("b")
+        let (messages, malformed) = read_responses(&[&bytes]);
+        let [response] = messages.as_slice() else { return false };
+        !malformed && response.status == status && response.body == body && response.close == close
+            && response.header("x-a") == Some("b")
     }
 }
 
 #[test]
-fn a_written_request_can_be_read() {
+fn written_request_can_be_read() {
     let mut bytes = Vec::new();
     write_request_head(&mut bytes, "PUT", "/a?b", &[("Host", b"h"), ("Content-Length", b"3")]);
     bytes.extend_from_slice(b"\r\n");
