--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -6,15 +6,16 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// The token of a frame that is not tracked.
+/// Token of frames that are not tracked.
 pub const UNTRACKED: u64 = 0;
 
-/// A tracked frame in the output: where it starts and ends, in bytes since the connection began, and its tokens.
+/// A tracked frame in the output: its start and end in bytes since the start of the connection, and its
+/// tokens.
 struct TrackedFrame {
     start: u64,
     end: u64,
     token: u64,
-    /// Further tokens, of a frame that carries several attempts.
+    /// Further tokens of a frame that carries several attempts.
     more_tokens: Vec<u64>,
 }
 
@@ -24,66 +25,67 @@
     }
 }
 
-/// What [`Connection::withdraw_unwritten`] found.
+/// Result of [`Connection::withdraw_unwritten`].
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Withdrawn {
     /// Tokens of the frames that will not be sent.
     pub tokens: Vec<u64>,
-    /// Whether a tracked frame is left of which a part was written.
+    /// True if part of a tracked frame has been written, so that the frame remains in the output.
     pub partly_written: bool,
 }
 
-/// A connection that carries frames, and knows which of them left whole.
+/// A connection that carries frames and tracks which of them have been written completely.
 pub struct Connection {
     stream: Stream,
-    /// Tracked frames whose last byte the kernel has not taken.
+    /// Tracked frames whose last byte has not been written to the kernel.
     unwritten: VecDeque<TrackedFrame>,
 }
 
 impl Connection {
-    /// Takes over a connection that a listener accepted.
+    /// Creates a connection from a stream that a listener accepted.
     pub fn accepted(poll: &Poll, stream: TcpStream, key: usize) -> io::Result<Connection> {
         Ok(Connection { stream: Stream::accepted(poll, stream, key)?, unwritten: VecDeque::new() })
     }
 
-    /// Starts to connect; whether that succeeds shows at the first write or read.
+    /// Starts to connect; the result is reported by the first write or read.
     pub fn connect(poll: &Poll, address: SocketAddr, key: usize) -> io::Result<Connection> {
         Ok(Connection { stream: Stream::connect(poll, address, key)?, unwritten: VecDeque::new() })
     }
 
-    /// The key under which it is registered at the poller.
+    /// Returns the key under which the connection is registered at the poller.
     pub fn key(&self) -> usize {
         self.stream.key()
     }
 
-    /// Whether the connection is not established yet.
+    /// Returns whether the connection is not established yet.
     pub fn connecting(&self) -> bool {
         self.stream.connecting()
     }
 
-    /// Reads what is there, up to a bound; true where more may be waiting.
+    /// Reads available bytes, up to a limit; returns true where more may be available.
     pub fn fill(&mut self) -> Result<bool, StreamEnd> {
         self.stream.fill()
     }
 
-    /// Takes out what was read, so that frames can be used while the connection is written to; the caller returns
-    /// it by [`Connection::return_input`].
+    /// Takes out the bytes that were read, so that their frames can be used while output is queued. The
+    /// caller returns the bytes by [`Connection::return_input`].
     pub fn take_input(&mut self) -> Vec<u8> {
         self.stream.take_input()
     }
 
-    /// Returns what [`Connection::take_input`] took; its first `used` bytes are dropped.
+    /// Returns the bytes from [`Connection::take_input`]; drops the first `used` bytes.
     pub fn return_input(&mut self, input: Vec<u8>, used: usize) {
         self.stream.return_input(input, used);
     }
 
-    /// Queues a message. `token` names it to [`Connection::unwritten`], unless it is [`UNTRACKED`].
+    /// Queues a message. `token` identifies the message in [`Connection::unwritten`], unless the token is
+    /// [`UNTRACKED`].
     pub fn queue(&mut self, message: &Message<'_>, token: u64) {
         self.queue_with_tokens(message, token, Vec::new());
     }
 
-    /// Queues a message that has several tokens.
+    /// Queues a message with several tokens.
     pub fn queue_with_tokens(&mut self, message: &Message<'_>, token: u64, more_tokens: Vec<u64>) {
         let start = self.stream.total_queued();
         encode(message, self.stream.output());
@@ -93,44 +95,44 @@
         }
     }
 
-    /// Queues bytes that need not be a whole frame; for emulated peers that break off.
+    /// Queues bytes that may be an incomplete frame, for emulated peers that disconnect within a frame.
     pub fn queue_bytes(&mut self, bytes: &[u8]) {
         self.stream.output().extend_from_slice(bytes);
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of bytes that have not been written.
     pub fn pending(&self) -> usize {
         self.stream.pending()
     }
 
-    /// Writes what the kernel takes.
+    /// Writes as many bytes as the kernel accepts.
     pub fn flush(&mut self) -> Result<(), StreamEnd> {
-        let flushed = self.stream.flush();
+        let result = self.stream.flush();
         let written = self.stream.total_written();
         while self.unwritten.front().is_some_and(|frame| frame.end <= written) {
             self.unwritten.pop_front();
         }
-        flushed
+        result
     }
 
-    /// Sets whether to read on. A peer that is not read from is slowed down by TCP's flow control.
+    /// Sets whether to read from the peer. TCP's flow control slows down a peer that is not read from.
     pub fn set_reading(&mut self, reading: bool) -> Result<(), StreamEnd> {
         self.stream.set_reading(reading)
     }
 
-    /// Closes the writing half; what the peer sends can still be read.
+    /// Closes the writing half; the peer's bytes can still be read.
     pub fn end_writing(&mut self) {
         self.stream.end_writing();
     }
 
-    /// Tokens of the frames whose last byte the kernel has not taken: the peer cannot have read them whole, and
-    /// a frame that is not whole fails its checksum.
+    /// Returns the tokens of the frames whose last byte has not been written to the kernel. The peer cannot
+    /// have read these frames completely, and a partial frame fails its checksum.
     #[must_use]
     pub fn unwritten(&self) -> Vec<u64> {
         self.unwritten.iter().flat_map(TrackedFrame::tokens).collect()
     }
 
-    /// Withdraws the tracked frames of which no byte was written.
+    /// Withdraws the tracked frames of which no byte has been written.
     pub fn withdraw_unwritten(&mut self) -> Withdrawn {
         let written = self.stream.total_written();
         let partly_written = self.unwritten.front().is_some_and(|frame| frame.start < written);
@@ -141,7 +143,7 @@
         Withdrawn { tokens: withdrawn.iter().flat_map(TrackedFrame::tokens).collect(), partly_written }
     }
 
-    /// Ends the connection so that the peer sees a reset, not an orderly end.
+    /// Closes the connection with a reset instead of an orderly close.
     pub fn reset(self) {
         self.stream.reset();
     }
--- a/crates/transport/src/connection/tests.rs
+++ b/crates/transport/src/connection/tests.rs
@@ -1,28 +1,28 @@
 use super::*;
 use crate::listen;
-use magpiewick_node_protocol::{decode, ClientRequest, Decoded, Message as M};
+use magpiewick_node_protocol::{decode, ClientRequest, Decoded, Message};
 use std::io::ErrorKind;
 
 fn pair(poll: &Poll) -> (Connection, Connection) {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
-    let mut from = Connection::connect(poll, listener.local_addr().unwrap(), 1).unwrap();
+    let mut sender = Connection::connect(poll, listener.local_addr().unwrap(), 1).unwrap();
     let stream = loop {
         match listener.accept() {
             Ok((stream, _)) => break stream,
             Err(e) => assert_eq!(e.kind(), ErrorKind::WouldBlock),
         }
     };
-    let to = Connection::accepted(poll, stream, 2).unwrap();
-    while from.connecting() {
-        from.flush().unwrap();
+    let receiver = Connection::accepted(poll, stream, 2).unwrap();
+    while sender.connecting() {
+        sender.flush().unwrap();
     }
-    (from, to)
+    (sender, receiver)
 }
 
-fn request(request_id: u64, payload: &[u8]) -> M<'_> {
+fn request(request_id: u64, payload: &[u8]) -> Message<'_> {
     let (class, volume, key, idempotency_key, units, client_timeout_us, blocks) =
         (0, 1, 2, request_id, 1.0, 1000, 1);
-    M::Request(ClientRequest {
+    Message::Request(ClientRequest {
         request_id,
         class,
         write: true,
@@ -36,83 +36,83 @@
     })
 }
 
-/// Reads until as many frames came as wanted; the requests in their order.
-fn requests(to: &mut Connection, wanted: usize) -> Vec<u64> {
-    let mut found = Vec::new();
-    while found.len() < wanted {
-        to.fill().unwrap();
-        let (input, mut used) = (to.take_input(), 0);
+/// Reads until `wanted` frames have arrived; returns their request ids in order.
+fn read_request_ids(receiver: &mut Connection, wanted: usize) -> Vec<u64> {
+    let mut request_ids = Vec::new();
+    while request_ids.len() < wanted {
+        receiver.fill().unwrap();
+        let (input, mut used) = (receiver.take_input(), 0);
         while let Ok(Decoded::Frame(message, n)) = decode(&input[used..]) {
-            let M::Request(t) = message else { panic!("{message:?}") };
-            found.push(t.request_id);
+            let Message::Request(t) = message else { panic!("{message:?}") };
+            request_ids.push(t.request_id);
             used += n;
         }
-        to.return_input(input, used);
+        receiver.return_input(input, used);
     }
-    found
+    request_ids
 }
 
 #[test]
-fn frames_that_a_slow_peer_did_not_take_are_known_and_can_be_withdrawn() {
+fn unwritten_frames_are_listed_and_can_be_withdrawn() {
     let poll = Poll::new().unwrap();
-    let (mut from, mut to) = pair(&poll);
+    let (mut sender, mut receiver) = pair(&poll);
     let payload = vec![7; 1 << 20];
     for request_id in 1..=40 {
-        from.queue(&request(request_id, &payload), request_id);
+        sender.queue(&request(request_id, &payload), request_id);
     }
-    from.flush().unwrap();
-    let unwritten = from.unwritten();
-    assert!(!unwritten.is_empty() && from.pending() > 0, "the kernel took 40 MiB at once");
-    let Withdrawn { tokens: withdrawn, partly_written } = from.withdraw_unwritten();
-    assert!(partly_written, "a frame was begun");
+    sender.flush().unwrap();
+    let unwritten = sender.unwritten();
+    assert!(!unwritten.is_empty() && sender.pending() > 0, "the kernel accepted 40 MiB at once");
+    let Withdrawn { tokens: withdrawn, partly_written } = sender.withdraw_unwritten();
+    assert!(partly_written, "no frame was partly written");
     assert_eq!(withdrawn, unwritten[1..]);
-    from.queue(&request(99, &[]), 99);
+    sender.queue(&request(99, &[]), 99);
     let wanted = 40 - withdrawn.len() + 1;
-    let mut found = Vec::new();
-    while found.len() < wanted {
-        from.flush().unwrap();
-        to.fill().unwrap();
-        let (input, mut used) = (to.take_input(), 0);
-        while let Ok(Decoded::Frame(M::Request(t), n)) = decode(&input[used..]) {
-            found.push(t.request_id);
+    let mut request_ids = Vec::new();
+    while request_ids.len() < wanted {
+        sender.flush().unwrap();
+        receiver.fill().unwrap();
+        let (input, mut used) = (receiver.take_input(), 0);
+        while let Ok(Decoded::Frame(Message::Request(t), n)) = decode(&input[used..]) {
+            request_ids.push(t.request_id);
             used += n;
         }
-        to.return_input(input, used);
+        receiver.return_input(input, used);
     }
     let expected: Vec<u64> = (1..wanted as u64).chain([99]).collect();
-    assert_eq!(found, expected);
+    assert_eq!(request_ids, expected);
 }
 
 #[test]
-fn withdrawn_frames_are_not_sent_and_the_rest_stays_in_order() {
+fn withdrawn_frames_are_not_sent_and_the_others_keep_their_order() {
     let poll = Poll::new().unwrap();
-    let (mut from, mut to) = pair(&poll);
-    from.queue(&request(1, &[1]), 1);
-    from.queue(&request(2, &[2]), UNTRACKED);
-    from.queue(&request(3, &[3]), 3);
-    assert_eq!(from.withdraw_unwritten(), Withdrawn { tokens: vec![1, 3], partly_written: false });
-    from.queue(&request(4, &[4]), 4);
-    assert_eq!(from.unwritten(), [4]);
-    from.flush().unwrap();
-    assert!(from.unwritten().is_empty());
-    assert_eq!(requests(&mut to, 2), [2, 4]);
+    let (mut sender, mut receiver) = pair(&poll);
+    sender.queue(&request(1, &[1]), 1);
+    sender.queue(&request(2, &[2]), UNTRACKED);
+    sender.queue(&request(3, &[3]), 3);
+    assert_eq!(sender.withdraw_unwritten(), Withdrawn { tokens: vec![1, 3], partly_written: false });
+    sender.queue(&request(4, &[4]), 4);
+    assert_eq!(sender.unwritten(), [4]);
+    sender.flush().unwrap();
+    assert!(sender.unwritten().is_empty());
+    assert_eq!(read_request_ids(&mut receiver, 2), [2, 4]);
 }
 
 #[test]
-fn a_refused_connection_shows_at_the_first_write() {
+fn refused_connection_is_reported_by_the_first_write() {
     let poll = Poll::new().unwrap();
     let address = listen("127.0.0.1:0".parse().unwrap()).unwrap().local_addr().unwrap();
-    let mut refused = match Connection::connect(&poll, address, 1) {
+    let mut connection = match Connection::connect(&poll, address, 1) {
         Ok(connection) => connection,
         Err(_) => return,
     };
-    refused.queue(&request(1, &[]), 1);
-    let ended = loop {
-        match refused.flush() {
+    connection.queue(&request(1, &[]), 1);
+    let stream_end = loop {
+        match connection.flush() {
             Ok(()) => std::thread::yield_now(),
-            Err(ended) => break ended,
+            Err(stream_end) => break stream_end,
         }
     };
-    assert!(matches!(ended, StreamEnd::Failed(_)));
-    assert_eq!(refused.unwritten(), [1]);
+    assert!(matches!(stream_end, StreamEnd::Failed(_)));
+    assert_eq!(connection.unwritten(), [1]);
 }
--- a/crates/transport/src/errors.rs
+++ b/crates/transport/src/errors.rs
@@ -1,18 +1,19 @@
-//! Classifies the errors of socket calls.
+//! Classification of errors of socket calls.
 
 use rustix::io::Errno;
 use std::io;
 
-/// What to do after `accept` failed.
+/// Classification of an error of `accept`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
-    /// No connection waits to be accepted.
+    /// No connection is waiting.
     Empty,
-    /// This connection or this call failed; the next one may be accepted.
+    /// This connection or this call failed; the next connection may be accepted.
     ConnectionFailed,
-    /// No descriptor is left: another connection has to end before the next one can be accepted.
+    /// No file descriptor is left: a connection has to be closed before the next one can be accepted.
     OutOfDescriptors,
-    /// The system is short of something else. Closing a connection does not help; it is tried again later.
+    /// The system lacks another resource. Closing a connection does not help, so accepting must be retried
+    /// later.
     OutOfResources,
 }
 
@@ -20,38 +21,39 @@
     Errno::from_io_error(error)
 }
 
-/// Whether a non-blocking connect is still under way after this error, as after an interrupting signal.
-pub(crate) fn connect_goes_on(error: &io::Error) -> bool {
+/// Returns whether a non-blocking connect is still in progress after this error; an interrupting signal does
+/// not abort it.
+pub(crate) fn connect_in_progress(error: &io::Error) -> bool {
     matches!(errno(error), Some(Errno::INPROGRESS | Errno::AGAIN | Errno::INTR))
 }
 
-/// Whether a call failed because no descriptor was left.
+/// Returns whether a call failed because no file descriptor was left.
 fn out_of_descriptors(error: &io::Error) -> bool {
     matches!(errno(error), Some(Errno::MFILE | Errno::NFILE))
 }
 
-/// Whether a call failed because this process has as many descriptors as it may. Where the system has none left at
-/// all, closing one of this process frees it for any other.
+/// Returns whether a call failed because this process has reached its limit of file descriptors. Where
+/// instead the system has none left, a descriptor that this process closes may be used by any other process.
 pub fn process_out_of_descriptors(error: &io::Error) -> bool {
     errno(error) == Some(Errno::MFILE)
 }
 
-/// How many descriptors the system allows this process.
+/// Returns the system's limit of file descriptors for this process.
 pub fn descriptor_limit() -> usize {
     use rustix::process::{getrlimit, Resource};
     getrlimit(Resource::Nofile).current.map_or(usize::MAX, |limit| limit as usize)
 }
 
-/// Whose fault it is that a connection could not be begun, or broke.
+/// Origin of a failed connect or a broken connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorOrigin {
-    /// The way to the peer, or the peer.
+    /// The network or the peer.
     Remote,
-    /// This host is short of something that a call needs.
+    /// This host lacks a resource that the call requires.
     Local,
 }
 
-/// Whose fault an error on a connection is.
+/// Returns the origin of an error on a connection.
 pub fn error_origin(error: &io::Error) -> ErrorOrigin {
     match errno(error) {
         Some(
@@ -71,8 +73,8 @@
     }
 }
 
-/// What to do after `accept` failed. Linux reports errors of the accepted connection through `accept`; they say
-/// nothing about the next connection.
+/// Classifies an error of `accept`. On Linux, `accept` also returns errors of the accepted connection, which
+/// do not affect the next connection.
 pub fn accept_error(error: &io::Error) -> AcceptError {
     if out_of_descriptors(error) {
         return AcceptError::OutOfDescriptors;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every event loop of magpiewick needs: a poller that owns its sources, byte streams, connections that carry
-//! frames, and timers. It decides nothing.
+//! Parts common to all event loops of magpiewick: a poller that owns its sources, byte streams, connections
+//! that carry frames, and timers. This package makes no scheduling decisions.
 
 mod connection;
 mod errors;
@@ -20,11 +20,11 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Connections that the kernel completes before they are accepted.
+/// Maximum number of connections that the kernel completes before they are accepted.
 const BACKLOG: i32 = 1024;
 
-/// A non-blocking listener. Its address can be reused at once, so that a restarted process is reachable where the old
-/// one was.
+/// Creates a non-blocking listener. Its address can be reused immediately, so that a restarted process is
+/// reachable at the address of the previous one.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/crates/transport/src/loop_delay.rs
+++ b/crates/transport/src/loop_delay.rs
@@ -1,6 +1,7 @@
-//! How late an event loop was: what it handled late tells of the loop, not of its peers.
+//! Delay of an event loop. Events that the loop handled late reflect its own delay and not that of its peers.
 
-/// The longest delay of an event loop: how long one turn took, with how much longer than asked it slept before.
+/// Longest delay of an event loop. The delay of a turn is its duration plus the time by which the preceding
+/// sleep was too long.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoopDelay {
     woke_at: f64,
@@ -10,12 +11,12 @@
 }
 
 impl LoopDelay {
-    /// A loop that begins now.
+    /// Creates the state of a loop that starts now.
     pub fn start(now: f64) -> LoopDelay {
         LoopDelay { woke_at: now, slept_at: now, wake_at: now, longest: 0.0 }
     }
 
-    /// The loop goes to sleep, until `wake_at` at the latest. Returns how long its turn took.
+    /// Records that the loop goes to sleep, at the latest until `wake_at`. Returns the duration of the turn.
     pub fn on_sleep(&mut self, now: f64, wake_at: f64) -> f64 {
         let turn = now - self.woke_at;
         let overslept = (self.woke_at - self.wake_at.max(self.slept_at)).max(0.0);
@@ -24,12 +25,12 @@
         turn
     }
 
-    /// The loop woke.
+    /// Records that the loop woke.
     pub fn on_wake(&mut self, now: f64) {
         self.woke_at = now;
     }
 
-    /// The longest delay so far, in milliseconds.
+    /// Returns the longest delay, in milliseconds.
     pub fn longest(&self) -> f64 {
         self.longest
     }
--- a/crates/transport/src/loop_delay/tests.rs
+++ b/crates/transport/src/loop_delay/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_delay_is_what_a_loop_overslept_and_the_length_of_its_turn() {
+fn delay_is_the_excess_sleep_plus_the_duration_of_the_turn() {
     let mut delay = LoopDelay::start(100.0);
     assert_eq!(delay.on_sleep(101.0, 150.0), 1.0);
     delay.on_wake(170.0);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_loop_that_is_woken_early_has_not_overslept() {
+fn early_wakeup_adds_no_delay() {
     let mut delay = LoopDelay::start(100.0);
     delay.on_sleep(100.0, 1000.0);
     delay.on_wake(400.0);
--- a/crates/transport/src/poll.rs
+++ b/crates/transport/src/poll.rs
@@ -7,22 +7,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A level-triggered poller: what is not read stays reported, so no readiness is ever lost between calls.
+/// A level-triggered poller: unread input is reported again by each wait, so no readiness is lost between
+/// calls.
 #[derive(Clone)]
 pub struct Poll(Arc<Poller>);
 
-/// What a wait found: the keys that can be read and those that can be written, in the poller's order.
+/// Result of a wait: the keys of readable and of writable sources, in the poller's order.
 #[derive(Default)]
 pub struct PollEvents {
     events: Option<Events>,
-    /// Keys of the sources that can be read.
+    /// Keys of the readable sources.
     pub readable: Vec<usize>,
-    /// Keys of the sources that can be written.
+    /// Keys of the writable sources.
     pub writable: Vec<usize>,
 }
 
 impl Poll {
-    /// A poller without sources.
+    /// Creates a poller without sources.
     pub fn new() -> io::Result<Poll> {
         Ok(Poll(Arc::new(Poller::new()?)))
     }
@@ -38,7 +39,7 @@
         Ok(Registered { poll: self.clone(), source, key, interest: Interest { read: true, write: false } })
     }
 
-    /// Waits until a source is ready, another thread calls [`Poll::wake`], or the timeout is over.
+    /// Waits until a source is ready, another thread calls [`Poll::wake`], or the timeout expires.
     pub fn wait(&self, poll_events: &mut PollEvents, timeout: Option<Duration>) -> io::Result<()> {
         let events = poll_events.events.get_or_insert_with(Events::new);
         events.clear();
@@ -59,14 +60,14 @@
         Ok(())
     }
 
-    /// Ends a wait of another thread.
+    /// Ends a wait in another thread.
     pub fn wake(&self) {
-        // A poller that cannot be notified wakes by its own time.
+        // Where the notification fails, the wait ends at its timeout.
         _ = self.0.notify();
     }
 }
 
-/// What a source is polled for.
+/// Events for which a source is polled.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Interest {
     read: bool,
@@ -82,7 +83,7 @@
 }
 
 impl<S: AsSource> Registered<S> {
-    /// The key under which it is registered.
+    /// Returns the key under which the source is registered.
     pub fn key(&self) -> usize {
         self.key
     }
@@ -117,7 +118,7 @@
 
 impl<S: AsSource> Drop for Registered<S> {
     fn drop(&mut self) {
-        // It fails only where the source is no longer registered.
+        // Deletion fails only where the source is no longer registered.
         _ = self.poll.0.delete(&self.source);
     }
 }
--- a/crates/transport/src/stream.rs
+++ b/crates/transport/src/stream.rs
@@ -1,36 +1,36 @@
-//! One byte stream over a socket of an event loop, with its input and output buffers.
+//! A byte stream over a socket of an event loop, with its input and output buffers.
 
-use crate::errors::connect_goes_on;
+use crate::errors::connect_in_progress;
 use crate::{Poll, Registered};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// The most bytes that one call of [`Stream::fill`] reads, so that one peer cannot hold up a loop.
+/// Maximum number of bytes that one call of [`Stream::fill`] reads, so that one peer cannot delay a loop.
 const MAX_BYTES_PER_FILL: usize = 256 << 10;
-/// Buffers that are empty give memory beyond this back.
+/// Capacity above which an empty buffer is released.
 const MAX_IDLE_CAPACITY: usize = 256 << 10;
-/// Written bytes are removed from the output once they are more than this.
-const MAX_WRITTEN_KEPT: usize = 256 << 10;
+/// Number of written bytes above which they are removed from the output.
+const MAX_WRITTEN_RETAINED: usize = 256 << 10;
 
-/// Why a stream is over.
+/// Reason why a stream ended.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamEnd {
-    /// The peer closed it in order.
-    #[error("closed by the other side")]
+    /// The peer closed the stream in order.
+    #[error("closed by the peer")]
     Closed,
-    /// A call on the socket failed.
+    /// A socket call failed.
     #[error("{0}")]
     Failed(#[from] io::Error),
 }
 
-/// A TCP stream that does not block, with what was read and not yet used, and what is to be written.
+/// A non-blocking TCP stream, with the bytes that were read and not yet used, and the bytes to be written.
 pub struct Stream {
     socket: Registered<TcpStream>,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Bytes at the start of the output that the kernel has taken.
+    /// Number of bytes at the start of the output that have been written to the kernel.
     written: usize,
-    /// Bytes that were removed from the output since the stream began.
+    /// Number of bytes that have been removed from the output since the start of the stream.
     removed: u64,
     reading: bool,
     /// Set until the connection is established.
@@ -38,28 +38,28 @@
 }
 
 impl Stream {
-    /// Takes over a connection that a listener accepted.
+    /// Creates a stream from a connection that a listener accepted.
     pub fn accepted(poll: &Poll, stream: TcpStream, key: usize) -> io::Result<Stream> {
-        Stream::over(poll, stream, key, false)
+        Stream::from_socket(poll, stream, key, false)
     }
 
-    /// Starts to connect; whether that succeeds shows at the first write or read.
+    /// Starts to connect; the result is reported by the first write or read.
     pub fn connect(poll: &Poll, address: SocketAddr, key: usize) -> io::Result<Stream> {
         let domain = socket2::Domain::for_address(address);
         let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
         match socket.connect(&address.into()) {
-            Err(e) if !connect_goes_on(&e) => return Err(e),
+            Err(e) if !connect_in_progress(&e) => return Err(e),
             _ => {}
         }
-        let mut stream = Stream::over(poll, socket.into(), key, true)?;
+        let mut stream = Stream::from_socket(poll, socket.into(), key, true)?;
         stream.socket.set_interest(true, true)?;
         Ok(stream)
     }
 
-    fn over(poll: &Poll, stream: TcpStream, key: usize, connecting: bool) -> io::Result<Stream> {
+    fn from_socket(poll: &Poll, stream: TcpStream, key: usize, connecting: bool) -> io::Result<Stream> {
         stream.set_nonblocking(true)?;
-        // The loop itself writes in one call what belongs together.
+        // Nagle's algorithm is not needed, as the loop writes related output in one call.
         stream.set_nodelay(true)?;
         Ok(Stream {
             socket: poll.register(stream, key)?,
@@ -72,22 +72,23 @@
         })
     }
 
-    /// The key under which it is registered at the poller.
+    /// Returns the key under which the stream is registered at the poller.
     pub fn key(&self) -> usize {
         self.socket.key()
     }
 
-    /// Whether the connection is not established yet.
+    /// Returns whether the connection is not established yet.
     pub fn connecting(&self) -> bool {
         self.connecting
     }
 
-    /// Reads what is there, up to a bound; true where more may be waiting.
+    /// Reads available bytes, up to a limit; returns true where more may be available.
     pub fn fill(&mut self) -> Result<bool, StreamEnd> {
         self.fill_to(self.input.len() + MAX_BYTES_PER_FILL)
     }
 
-    /// Reads what is there until the input holds so many bytes; true where more may be waiting.
+    /// Reads available bytes until the input contains `bound` bytes; returns true where more may be
+    /// available.
     fn fill_to(&mut self, bound: usize) -> Result<bool, StreamEnd> {
         let mut chunk = [0; 16 << 10];
         while self.input.len() < bound {
@@ -107,23 +108,24 @@
         Ok(true)
     }
 
-    /// What was read and not yet used.
+    /// Returns the bytes that were read and not yet used.
     pub fn input(&self) -> &[u8] {
         &self.input
     }
 
-    /// Whether an idle stream can carry another exchange: it is open, and the peer sent nothing in between.
+    /// Returns whether an idle stream can carry another exchange: the stream is open, and the peer has sent
+    /// no bytes since the last exchange.
     pub fn is_reusable(&mut self) -> bool {
         matches!(self.fill_to(1), Ok(false)) && self.input.is_empty()
     }
 
-    /// Takes out what was read, so that it can be used while the stream is written to; the caller returns it by
-    /// [`Stream::return_input`].
+    /// Takes out the bytes that were read, so that they can be used while output is queued. The caller
+    /// returns the bytes by [`Stream::return_input`].
     pub fn take_input(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.input)
     }
 
-    /// Returns what [`Stream::take_input`] took; its first `used` bytes are dropped.
+    /// Returns the bytes from [`Stream::take_input`]; drops the first `used` bytes.
     pub fn return_input(&mut self, mut input: Vec<u8>, used: usize) {
         input.drain(..used);
         debug_assert!(self.input.is_empty(), "input was read while it was taken out");
@@ -133,45 +135,45 @@
         self.input = input;
     }
 
-    /// The memory that both buffers take.
+    /// Returns the memory that both buffers take.
     pub fn buffer_capacity(&self) -> usize {
         self.input.capacity() + self.output.capacity()
     }
 
-    /// Releases the memory of both buffers; for an idle stream, of which there may be many.
+    /// Releases the memory of both buffers, for idle streams, which may be numerous.
     pub fn release_buffers(&mut self) {
         if self.input.is_empty() && self.output.is_empty() {
             (self.input, self.output) = (Vec::new(), Vec::new());
         }
     }
 
-    /// The output buffer; what is to be written is appended to it.
+    /// Returns the output buffer, to which new output is appended.
     pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// Removes bytes that were not written from the output; positions count from the beginning of the stream.
+    /// Removes unwritten bytes from the output. Positions count from the start of the stream.
     pub fn remove_unwritten(&mut self, start: u64, end: u64) {
         let (start, end) = (start - self.removed, end - self.removed);
         self.output.drain(start as usize..end as usize);
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of bytes that have not been written.
     pub fn pending(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Bytes that were queued since the stream began.
+    /// Returns the number of bytes queued since the start of the stream.
     pub fn total_queued(&self) -> u64 {
         self.removed + self.output.len() as u64
     }
 
-    /// Bytes that the kernel has taken since the stream began.
+    /// Returns the number of bytes written to the kernel since the start of the stream.
     pub fn total_written(&self) -> u64 {
         self.removed + self.written as u64
     }
 
-    /// Writes what the kernel takes.
+    /// Writes as many bytes as the kernel accepts.
     pub fn flush(&mut self) -> Result<(), StreamEnd> {
         if self.connecting {
             match self.socket.take_error()? {
@@ -189,7 +191,7 @@
                 Err(e) => return Err(e.into()),
             }
         }
-        if self.pending() == 0 || self.written > MAX_WRITTEN_KEPT {
+        if self.pending() == 0 || self.written > MAX_WRITTEN_RETAINED {
             self.output.drain(..self.written);
             self.removed = self.total_written();
             self.written = 0;
@@ -201,19 +203,19 @@
         Ok(())
     }
 
-    /// Whether the loop reads from it.
+    /// Returns whether the loop reads from the stream.
     pub fn reading(&self) -> bool {
         self.reading
     }
 
-    /// Sets whether to read on. A peer that is not read from is slowed down by TCP's flow control.
+    /// Sets whether to read from the peer. TCP's flow control slows down a peer that is not read from.
     pub fn set_reading(&mut self, reading: bool) -> Result<(), StreamEnd> {
         self.reading = reading;
         self.socket.set_interest(reading, self.connecting || self.pending() > 0)?;
         Ok(())
     }
 
-    /// Whether the peer ended or broke the connection, also behind bytes that are not read.
+    /// Returns whether the peer closed or broke the connection, even if unread bytes precede the close.
     pub fn peer_closed(&self) -> bool {
         use rustix::event::{poll, PollFd, PollFlags, Timespec};
         let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
@@ -222,20 +224,20 @@
         poll(&mut descriptors, Some(&now)).is_ok_and(|_| descriptors[0].revents().intersects(ended))
     }
 
-    /// Whether the kernel holds bytes that were not read.
+    /// Returns whether the kernel holds unread bytes.
     pub fn has_unread(&self) -> bool {
         matches!(self.socket.peek(&mut [0]), Ok(n) if n > 0)
     }
 
-    /// Closes the writing half; what the peer sends can still be read.
+    /// Closes the writing half; the peer's bytes can still be read.
     pub fn end_writing(&mut self) {
-        // It fails only where the connection is closed already.
+        // Shutdown fails only where the connection is already closed.
         _ = self.socket.shutdown(std::net::Shutdown::Write);
     }
 
-    /// Ends the stream so that the peer sees a reset, not an orderly end.
+    /// Closes the stream with a reset instead of an orderly close.
     pub fn reset(self) {
-        // Where it fails the peer sees an orderly end, which it must handle as well.
+        // Where this fails, the peer receives an orderly close, which it must handle as well.
         _ = socket2::SockRef::from(&*self.socket).set_linger(Some(std::time::Duration::ZERO));
     }
 }
--- a/crates/transport/src/timers.rs
+++ b/crates/transport/src/timers.rs
@@ -4,32 +4,32 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// Monotonic milliseconds since a start. Copies show the same time.
+/// Monotonic clock in milliseconds since its start. Copies show the same time.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that starts at 0 now.
+    /// Creates a clock that starts at 0 now.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the start.
     pub fn now(&self) -> f64 {
         self.0.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The time from `now` until `at`; zero where that has passed.
+    /// Returns the time from `now` until `at`; zero where `at` has passed.
     pub fn duration_until(now: f64, at: f64) -> Duration {
-        // Rounded up to the poller's resolution, or a loop would spin until a time within it.
+        // Rounded up to the poller's resolution, as a loop would otherwise spin until the exact time.
         Duration::from_micros(((at - now).max(0.0) * 1000.0).ceil() as u64)
     }
 }
 
-/// Timers, due in the order of their times and, at one time, in the order in which they were set. They cannot be
-/// cancelled: the owner ignores a timer that is due and no longer wanted.
+/// Timers, ordered by due time and, where due times are equal, by the order in which they were set. Timers
+/// cannot be cancelled: the owner ignores a due timer that is no longer needed.
 pub struct Timers<T> {
-    /// By time in microseconds, then by serial number.
+    /// Timers ordered by due time in microseconds, then by serial number.
     heap: BinaryHeap<Reverse<(u64, u64, T)>>,
     serial: u64,
 }
@@ -48,12 +48,12 @@
         self.heap.push(Reverse((at_us, self.serial, timer)));
     }
 
-    /// When the next timer is due.
+    /// Returns the time at which the next timer is due.
     pub fn next_due_at(&self) -> Option<f64> {
         self.heap.peek().map(|Reverse((at_us, ..))| *at_us as f64 / 1000.0)
     }
 
-    /// Takes the next timer that is due by now.
+    /// Removes and returns the next timer that is due at `now`.
     pub fn pop_due(&mut self, now: f64) -> Option<T> {
         self.next_due_at().filter(|at| *at <= now)?;
         self.heap.pop().map(|Reverse((.., timer))| timer)
