--- a/crates/node-protocol/src/error.rs
+++ b/crates/node-protocol/src/error.rs
@@ -1,24 +1,24 @@
-//! Why bytes are not a frame.
+//! Errors of decoding.
 
 use crate::frame::MAX_BODY_LENGTH;
 
-/// Why bytes are not a frame. After any of these the connection cannot be read on: there is no way to find the next
-/// frame.
+/// Reason why bytes are not a valid frame. After any of these errors the connection cannot be read further,
+/// as the start of the next frame is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The header promises a body of this length, more than [`MAX_BODY_LENGTH`].
-    #[error("a frame of {0} bytes, where {MAX_BODY_LENGTH} are the most")]
+    /// The header states this body length, which exceeds [`MAX_BODY_LENGTH`].
+    #[error("frame body of {0} bytes exceeds the limit of {MAX_BODY_LENGTH}")]
     BodyTooLong(usize),
-    /// The checksum of header and body does not match.
-    #[error("a frame whose checksum does not hold")]
+    /// The checksum does not match the header and body.
+    #[error("frame checksum mismatch")]
     ChecksumMismatch,
-    /// A kind that a reader may not skip.
-    #[error("a frame of the unknown kind {0}")]
+    /// The frame has an unknown kind that a reader may not skip.
+    #[error("unknown frame kind {0}")]
     UnknownKind(u8),
     /// The frame ends within the named field.
-    #[error("a frame that ends before its {0}")]
+    #[error("frame truncated before the end of field: {0}")]
     Truncated(&'static str),
-    /// The named field holds a value that it cannot have.
-    #[error("a frame with an impossible {0}")]
+    /// The named field has an invalid value.
+    #[error("invalid frame field: {0}")]
     InvalidField(&'static str),
 }
--- a/crates/node-protocol/src/fields.rs
+++ b/crates/node-protocol/src/fields.rs
@@ -1,4 +1,4 @@
-//! Reads and writes the fields of a frame: little-endian and packed, every length checked.
+//! Reading and writing of a frame's fields, which are little-endian and packed. Every length is checked.
 
 use crate::DecodeError;
 
@@ -6,57 +6,59 @@
 pub(crate) struct FieldReader<'a>(&'a [u8]);
 
 impl<'a> FieldReader<'a> {
-    /// A cursor at the first field.
+    /// Creates a cursor at the first field.
     pub(crate) fn new(bytes: &'a [u8]) -> FieldReader<'a> {
         FieldReader(bytes)
     }
 
     fn array<const N: usize>(&mut self, field: &'static str) -> Result<[u8; N], DecodeError> {
-        let (first, rest) = self.0.split_first_chunk::<N>().ok_or(DecodeError::Truncated(field))?;
-        self.0 = rest;
-        Ok(*first)
+        let (field_bytes, remainder) =
+            self.0.split_first_chunk::<N>().ok_or(DecodeError::Truncated(field))?;
+        self.0 = remainder;
+        Ok(*field_bytes)
     }
 
-    /// The next byte.
+    /// Reads one byte.
     pub(crate) fn u8(&mut self, field: &'static str) -> Result<u8, DecodeError> {
         Ok(self.array::<1>(field)?[0])
     }
 
-    /// The next two bytes.
+    /// Reads two bytes.
     pub(crate) fn u16(&mut self, field: &'static str) -> Result<u16, DecodeError> {
         Ok(u16::from_le_bytes(self.array(field)?))
     }
 
-    /// The next four bytes.
+    /// Reads four bytes.
     pub(crate) fn u32(&mut self, field: &'static str) -> Result<u32, DecodeError> {
         Ok(u32::from_le_bytes(self.array(field)?))
     }
 
-    /// The next eight bytes.
+    /// Reads eight bytes.
     pub(crate) fn u64(&mut self, field: &'static str) -> Result<u64, DecodeError> {
         Ok(u64::from_le_bytes(self.array(field)?))
     }
 
-    /// The next `length` bytes.
+    /// Reads `length` bytes.
     pub(crate) fn bytes(&mut self, length: usize, field: &'static str) -> Result<&'a [u8], DecodeError> {
-        let (first, rest) = self.0.split_at_checked(length).ok_or(DecodeError::Truncated(field))?;
-        self.0 = rest;
-        Ok(first)
+        let (field_bytes, remainder) =
+            self.0.split_at_checked(length).ok_or(DecodeError::Truncated(field))?;
+        self.0 = remainder;
+        Ok(field_bytes)
     }
 
-    /// Whether all was read.
+    /// Returns whether all bytes have been read.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// A number that must be finite and not below 0.
+    /// Reads a number that must be finite and not below 0.
     pub(crate) fn amount(&mut self, field: &'static str) -> Result<f32, DecodeError> {
         let value = f32::from_le_bytes(self.array(field)?);
         let is_amount = value.is_finite() && value >= 0.0;
         is_amount.then_some(value).ok_or(DecodeError::InvalidField(field))
     }
 
-    /// A byte that must be 0 or 1.
+    /// Reads a byte that must be 0 or 1.
     pub(crate) fn flag(&mut self, field: &'static str) -> Result<bool, DecodeError> {
         match self.u8(field)? {
             0 => Ok(false),
@@ -65,14 +67,14 @@
         }
     }
 
-    /// A byte that is a position in a table of values.
+    /// Reads a byte that is an index into a table of values.
     pub(crate) fn one_of<T: Copy>(&mut self, values: &[T], field: &'static str) -> Result<T, DecodeError> {
-        let position = usize::from(self.u8(field)?);
-        values.get(position).copied().ok_or(DecodeError::InvalidField(field))
+        let index = usize::from(self.u8(field)?);
+        values.get(index).copied().ok_or(DecodeError::InvalidField(field))
     }
 }
 
-/// Appends fields to the output.
+/// Writer that appends fields to the output.
 pub(crate) struct FieldWriter<'a>(pub &'a mut Vec<u8>);
 
 impl FieldWriter<'_> {
@@ -113,9 +115,9 @@
         self.u8(u8::from(value))
     }
 
-    /// Appends the position of a value in a table; the table must hold it.
+    /// Appends the index of a value in a table, which must contain the value.
     pub(crate) fn one_of<T: PartialEq>(&mut self, values: &[T], value: &T) -> &mut Self {
-        let position = values.iter().position(|v| v == value);
-        self.u8(position.unwrap_or(0) as u8)
+        let index = values.iter().position(|v| v == value);
+        self.u8(index.unwrap_or(0) as u8)
     }
 }
--- a/crates/node-protocol/src/frame.rs
+++ b/crates/node-protocol/src/frame.rs
@@ -1,30 +1,30 @@
-//! Frames: a header with length, kind and checksum, then the message's fields and its payload.
+//! Frames: a header with length, kind and checksum, followed by the message's fields and payload.
 
 use crate::fields::{FieldReader, FieldWriter};
 use crate::message::{Message, ENDPOINT_ENTRY_LENGTH, MAP_ENTRY_LENGTH};
 use crate::DecodeError;
 
-/// Bytes of a frame's header: body length, kind, a zero, length of the fields, checksum.
+/// Length of a frame's header: body length, kind, a zero, length of the fields, checksum.
 pub const HEADER_LENGTH: usize = 12;
-/// The largest payload of a read or write.
+/// Maximum payload of a read or write.
 pub const MAX_PAYLOAD_LENGTH: usize = 1 << 20;
-/// The largest body of a frame: the payload and room for the fields, or the longest list.
+/// Maximum body of a frame: the payload and space for the fields, or the longest list.
 pub const MAX_BODY_LENGTH: usize = MAX_PAYLOAD_LENGTH + (1 << 10);
-/// Room for the fields before the entries of a list or map.
+/// Space for the fields before the entries of a list or map.
 const FIELDS_BEFORE_ENTRIES: usize = 32;
-/// The most entries of one endpoint list.
+/// Maximum number of entries of one endpoint list.
 pub const MAX_LIST_ENTRIES: usize = (MAX_BODY_LENGTH - FIELDS_BEFORE_ENTRIES) / ENDPOINT_ENTRY_LENGTH;
-/// The most entries of one part of an extent map update.
+/// Maximum number of entries in one part of an extent map update.
 pub const MAX_MAP_ENTRIES: usize = (MAX_BODY_LENGTH - FIELDS_BEFORE_ENTRIES) / MAP_ENTRY_LENGTH;
-/// Kinds from here on may be skipped by a reader that does not know them.
+/// First of the kinds that a reader skips if unknown.
 const FIRST_SKIPPABLE_KIND: u8 = 0x80;
-/// Bytes of the header before the checksum, which covers them.
+/// Number of header bytes before the checksum, which covers them.
 const CHECKSUM_OFFSET: usize = 8;
 
-/// What stands at the start of some bytes, with the number of bytes that it takes up.
+/// Result of decoding the start of a byte sequence, with the number of bytes used.
 #[derive(Debug, PartialEq)]
 pub enum Decoded<'a> {
-    /// No whole frame yet.
+    /// The frame is incomplete.
     Incomplete,
     /// A frame of an unknown kind that may be skipped.
     Skipped(usize),
@@ -56,8 +56,8 @@
     }
 }
 
-/// Appends a message as one frame. The caller keeps the payload within [`MAX_PAYLOAD_LENGTH`] and a list within
-/// [`MAX_LIST_ENTRIES`].
+/// Appends a message as one frame. The caller must keep the payload within [`MAX_PAYLOAD_LENGTH`] and a list
+/// within [`MAX_LIST_ENTRIES`].
 pub fn encode(message: &Message<'_>, out: &mut Vec<u8>) {
     let start = out.len();
     let body_start = start + HEADER_LENGTH;
@@ -79,20 +79,20 @@
     crc32c::crc32c_append(crc32c::crc32c(header), body)
 }
 
-/// Iterates over the messages at the start of some bytes and passes over frames to be skipped. Ends where no whole
-/// frame is left; after an error nothing more can be read.
+/// Iterator over the messages at the start of a byte sequence, which skips frames of unknown skippable kinds.
+/// Ends at the first incomplete frame; after an error no further frame can be decoded.
 pub struct Frames<'a> {
     bytes: &'a [u8],
     consumed: usize,
 }
 
 impl<'a> Frames<'a> {
-    /// The frames of these bytes.
+    /// Creates an iterator over the frames of these bytes.
     pub fn new(bytes: &'a [u8]) -> Frames<'a> {
         Frames { bytes, consumed: 0 }
     }
 
-    /// Bytes of all frames that were returned or skipped.
+    /// Returns the number of bytes of all frames that were returned or skipped.
     pub fn consumed(&self) -> usize {
         self.consumed
     }
--- a/crates/node-protocol/src/lib.rs
+++ b/crates/node-protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! The protocol between clients, hosts, storage nodes and the endpoint list service; `docs/wire.md` specifies it byte
-//! by byte. Pure: bytes in, messages out, and back.
+//! The protocol between clients, hosts, storage nodes and the endpoint list service; `docs/wire.md` specifies
+//! it byte by byte. This package only converts bytes to messages and back, without I/O.
 //!
-//! The decoder never panics, never allocates by a promised length, and rejects a frame by its header alone when that
-//! promises more than [`MAX_BODY_LENGTH`] bytes.
+//! The decoder never panics and never allocates memory according to a stated length. It rejects a frame by
+//! its header alone when the stated body length exceeds [`MAX_BODY_LENGTH`] bytes.
 
 mod error;
 mod fields;
--- a/crates/node-protocol/src/message/attempt.rs
+++ b/crates/node-protocol/src/message/attempt.rs
@@ -1,37 +1,37 @@
-//! Between host and node: attempts, batches of them, and their outcomes.
+//! Messages between host and node: attempts, batches of attempts, and outcomes.
 
 use super::checked_payload;
 use crate::fields::{FieldReader, FieldWriter};
 use crate::DecodeError;
 
-/// A request on its way from a host to a node.
+/// An attempt of a request, sent from a host to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attempt<'a> {
-    /// The host's id of the request.
+    /// Request id assigned by the host.
     pub request_id: u64,
-    /// The number of the attempt, counted from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: u16,
-    /// The request class.
+    /// Request class.
     pub class: u16,
-    /// Whether it writes.
+    /// True for a write, false for a read.
     pub write: bool,
-    /// The volume.
+    /// Id of the volume.
     pub volume: u64,
-    /// The first block, or the piece of data; 0 for none.
+    /// First block, or key of a whole piece of data; 0 for no key.
     pub key: u64,
-    /// The client's key by which a repetition is recognized; 0 for none.
+    /// The client's key by which repetitions of a request are detected; 0 for none.
     pub idempotency_key: u64,
-    /// Its cost.
+    /// Cost of the request.
     pub units: f32,
-    /// The shard it is meant for; all bits set for any.
+    /// Shard that the attempt is intended for; all bits set for any shard.
     pub shard: u32,
-    /// How long the client still waits: a node does not begin the request after it.
+    /// Remaining time for which the client waits. A node does not start the request after this time.
     pub remaining_us: u32,
-    /// The version of the extent as the host knows it; 0 where it follows no map.
+    /// Version of the extent according to the host; 0 where the host uses no extent map.
     pub version: u32,
-    /// The number of blocks from the key on; 0 where the key is a piece by itself, of whatever size.
+    /// Number of blocks from the key on; 0 where the key names a whole piece of data of any size.
     pub blocks: u32,
-    /// What is written.
+    /// Data to be written.
     pub payload: &'a [u8],
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Decodes a batch. Nothing is allocated by the promised count.
+/// Decodes a batch. No memory is allocated according to the stated count.
 pub(super) fn decode_batch<'a>(
     fields: &mut FieldReader<'_>,
     payload: &'a [u8],
@@ -103,31 +103,31 @@
     }
 }
 
-/// How an attempt ended, as it stands on the wire: the scheduler's outcomes.
+/// Wire form of an attempt's outcome, as defined by the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutcomeCode {
     /// The request was served.
     Succeeded,
-    /// The node failed at it; it may have run.
+    /// The node failed to serve the request; the request may have run.
     Error,
-    /// The node had no capacity: nothing ran.
+    /// The node had no capacity; the request did not run.
     Overloaded,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// There was no connection: nothing ran.
+    /// There was no connection; the request did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// The host cancelled it; it may have run.
+    /// The host cancelled the attempt; the request may have run.
     Cancelled,
-    /// The client's deadline had passed at the node: nothing ran.
+    /// The client's deadline had passed when the attempt reached the node; the request did not run.
     DeadlineExceeded,
-    /// The node does not hold the piece of data (any more, or for the moment): nothing ran.
+    /// The node does not hold the piece of data, either temporarily or any longer; the request did not run.
     ShardMoved,
 }
 
 impl OutcomeCode {
-    /// In the order of their numbers on the wire.
+    /// All values in the order of their wire codes.
     const ALL: [OutcomeCode; 9] = [
         OutcomeCode::Succeeded,
         OutcomeCode::Error,
@@ -141,33 +141,34 @@
     ];
 }
 
-/// Stands for an unknown owner.
+/// Wire value for an unknown owner.
 const UNKNOWN_OWNER: u32 = u32::MAX;
-/// Stands for an unknown use.
-const UNKNOWN_USE: f32 = f32::MAX;
+/// Wire value for an unknown usage.
+const UNKNOWN_USAGE: f32 = f32::MAX;
 
 /// A node's answer to one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outcome<'a> {
-    /// The host's id of the request.
+    /// Request id assigned by the host.
     pub request_id: u64,
-    /// The number of the attempt.
+    /// Number of the attempt.
     pub attempt: u16,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub code: OutcomeCode,
-    /// The volume's service everywhere in a finished period, as a part of its policy's rate; none where unknown.
+    /// Service that the volume received from all nodes in a completed period, as a fraction of its policy's
+    /// rate; none where unknown.
     pub used: Option<f32>,
-    /// Units that the node served the volume through other hosts since its last answer to this one.
+    /// Units that the node has served for the volume through other hosts since its last answer to this host.
     pub remote_units: f32,
-    /// Requests that wait at the node.
+    /// Number of requests waiting at the node.
     pub queue: u32,
-    /// The part of the node's cores that is busy.
+    /// Fraction of the node's cores that is busy.
     pub busy: f32,
-    /// With `ShardMoved`: the shard that owns the extent, where the node knows it.
+    /// With `ShardMoved`: the shard that owns the extent, if the node has this information.
     pub owner: Option<u32>,
-    /// With `ShardMoved`: the extent's version.
+    /// With `ShardMoved`: the version of the extent.
     pub version: u32,
-    /// What was read.
+    /// Data that was read.
     pub payload: &'a [u8],
 }
 
@@ -180,10 +181,10 @@
             request_id: fields.u64("request id")?,
             attempt: fields.u16("attempt")?,
             code: fields.one_of(&OutcomeCode::ALL, "outcome")?,
-            used: Some(fields.amount("use")?).filter(|used| *used < UNKNOWN_USE),
-            remote_units: fields.amount("units of others")?,
+            used: Some(fields.amount("usage")?).filter(|used| *used < UNKNOWN_USAGE),
+            remote_units: fields.amount("remote units")?,
             queue: fields.u32("queue")?,
-            busy: fields.amount("busy part")?,
+            busy: fields.amount("busy share")?,
             owner: Some(fields.u32("owner")?).filter(|owner| *owner != UNKNOWN_OWNER),
             version: fields.u32("version")?,
             payload: checked_payload(payload)?,
@@ -194,7 +195,7 @@
         out.u64(self.request_id)
             .u16(self.attempt)
             .one_of(&OutcomeCode::ALL, &self.code)
-            .f32(self.used.unwrap_or(UNKNOWN_USE))
+            .f32(self.used.unwrap_or(UNKNOWN_USAGE))
             .f32(self.remote_units)
             .u32(self.queue)
             .f32(self.busy)
--- a/crates/node-protocol/src/message/client.rs
+++ b/crates/node-protocol/src/message/client.rs
@@ -1,4 +1,4 @@
-//! Between client and host: requests and their final answers.
+//! Messages between client and host: requests and final answers.
 
 use super::checked_payload;
 use crate::fields::{FieldReader, FieldWriter};
@@ -7,25 +7,25 @@
 /// A request as a client sends it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientRequest<'a> {
-    /// The client's own number for it, not reused on this connection while the request is pending.
+    /// Request id assigned by the client; not reused on this connection while the request is pending.
     pub request_id: u64,
-    /// The request class.
+    /// Request class.
     pub class: u16,
-    /// Whether it writes.
+    /// True for a write, false for a read.
     pub write: bool,
-    /// The volume.
+    /// Id of the volume.
     pub volume: u64,
-    /// The first block, or the piece of data; 0 for none.
+    /// First block, or key of a whole piece of data; 0 for no key.
     pub key: u64,
-    /// The key by which a repetition is recognized; 0 for none.
+    /// Key by which repetitions of the request are detected; 0 for none.
     pub idempotency_key: u64,
-    /// Its cost.
+    /// Cost of the request.
     pub units: f32,
-    /// How long the client waits.
+    /// Time for which the client waits.
     pub client_timeout_us: u32,
-    /// The number of blocks from the key on; 0 where the key is a piece by itself.
+    /// Number of blocks from the key on; 0 where the key names a whole piece of data.
     pub blocks: u32,
-    /// What is written.
+    /// Data to be written.
     pub payload: &'a [u8],
 }
 
@@ -61,32 +61,32 @@
     }
 }
 
-/// How a request ended for its client.
+/// Result of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalCode {
-    /// It was served.
+    /// The request was served.
     Succeeded,
-    /// Nothing ran: trying again is harmless.
+    /// The request did not run, so a retry is safe.
     Rejected,
-    /// Nothing is promised: it may have run.
+    /// The request may have run.
     Failed,
 }
 
 impl FinalCode {
-    /// In the order of their numbers on the wire.
+    /// All values in the order of their wire codes.
     const ALL: [FinalCode; 3] = [FinalCode::Succeeded, FinalCode::Rejected, FinalCode::Failed];
 }
 
-/// The one final answer to a request.
+/// The single final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FinalAnswer<'a> {
-    /// The client's number for the request.
+    /// Request id assigned by the client.
     pub request_id: u64,
-    /// How it ended.
+    /// Result of the request.
     pub code: FinalCode,
-    /// When a rejected client should retry; 0 for no advice.
+    /// Time after which a rejected client should retry; 0 for no recommendation.
     pub retry_after_us: u32,
-    /// What was read; else the word for the reason.
+    /// Data that was read, or the name of the reason where the request did not succeed.
     pub payload: &'a [u8],
 }
 
--- a/crates/node-protocol/src/message/endpoint_list.rs
+++ b/crates/node-protocol/src/message/endpoint_list.rs
@@ -1,46 +1,47 @@
-//! The endpoint list.
+//! Messages with the endpoint list.
 
 use crate::fields::{FieldReader, FieldWriter};
 use crate::frame::MAX_LIST_ENTRIES;
 use crate::DecodeError;
 
-/// Bytes of an entry.
+/// Length of an encoded entry in bytes.
 pub(crate) const ENDPOINT_ENTRY_LENGTH: usize = 38;
 
-/// The state of a listed node.
+/// State of a listed node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryState {
-    /// It serves.
+    /// The node accepts requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The node finishes its pending requests and accepts no new ones.
     Draining,
-    /// It no longer exists.
+    /// The node no longer exists.
     Removed,
 }
 
 impl EntryState {
-    /// In the order of their numbers on the wire.
+    /// All values in the order of their wire codes.
     const ALL: [EntryState; 3] = [EntryState::Ready, EntryState::Draining, EntryState::Removed];
 }
 
 /// A node on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointEntry {
-    /// Its number.
+    /// Number of the node.
     pub node: u32,
-    /// The shard that it holds.
+    /// Shard that the node holds.
     pub shard: u32,
-    /// Where it stands.
+    /// Zone of the node.
     pub zone: u16,
-    /// Whether it serves.
+    /// State of the node.
     pub state: EntryState,
-    /// Drawn anew at every start of its process.
+    /// Identifier of this start of the node's process, different from that of every other start.
     pub incarnation: u64,
-    /// How long ago its process started; [`AGE_LONG_RUNNING`](crate::AGE_LONG_RUNNING) where it no longer matters.
+    /// Time since the start of the node's process; [`AGE_LONG_RUNNING`](crate::AGE_LONG_RUNNING) where the
+    /// age is no longer relevant.
     pub age_us: u64,
-    /// The IPv4 address at which it listens.
+    /// IPv4 address at which the node listens.
     pub address: [u8; 4],
-    /// The port at which it listens.
+    /// Port at which the node listens.
     pub port: u16,
 }
 
@@ -73,14 +74,14 @@
     }
 }
 
-/// The endpoint list: all of it, or what changed since the epoch before.
+/// The whole endpoint list, or its changes since the previous epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointListUpdate {
-    /// Whether it is the whole list.
+    /// True for the whole list, false for changes.
     pub snapshot: bool,
-    /// The epoch that it leads to.
+    /// Epoch after the update.
     pub epoch: u64,
-    /// The nodes of the list, or those that changed.
+    /// All nodes of the list, or the changed nodes.
     pub entries: Vec<EndpointEntry>,
 }
 
--- a/crates/node-protocol/src/message/extent_map.rs
+++ b/crates/node-protocol/src/message/extent_map.rs
@@ -1,31 +1,31 @@
-//! The extent map and its migrations.
+//! Messages with the extent map and its migrations.
 
 use crate::fields::{FieldReader, FieldWriter};
 use crate::DecodeError;
 use std::fmt;
 
-/// Bytes of an entry.
+/// Length of an encoded entry in bytes.
 pub(crate) const MAP_ENTRY_LENGTH: usize = 33;
 
-/// What one entry of a map update says.
+/// Kind of a map update's entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MapEntryKind {
     /// An extent of a snapshot: `position` is its end.
     Extent,
     /// A new volume of one extent: `position` is its size.
     Create,
-    /// A volume is removed.
+    /// The volume is removed.
     Remove,
-    /// The extent at `start` has another owner, or the same under a new version.
+    /// The extent at `start` has a new owner, or the same owner under a new version.
     Switch,
-    /// The extent at `start` is cut at `position`.
+    /// The extent at `start` is split at `position`.
     Split,
-    /// The extent at `start` and the next one are one.
+    /// The extent at `start` is merged with the next one.
     Merge,
 }
 
 impl MapEntryKind {
-    /// In the order of their numbers on the wire.
+    /// All values in the order of their wire codes.
     const ALL: [MapEntryKind; 6] = [
         MapEntryKind::Extent,
         MapEntryKind::Create,
@@ -36,20 +36,20 @@
     ];
 }
 
-/// An entry of a map update; what its kind does not use is 0.
+/// An entry of a map update. Fields that its kind does not use are 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MapEntry {
-    /// What it says.
+    /// Kind of the entry.
     pub kind: MapEntryKind,
-    /// The volume.
+    /// Id of the volume.
     pub volume: u64,
-    /// Where the extent starts.
+    /// Start of the extent.
     pub start: u64,
-    /// An extent's end, a new volume's size, or where to cut.
+    /// End of the extent, size of the new volume, or position of the split.
     pub position: u64,
-    /// The shard that owns the extent.
+    /// Shard that owns the extent.
     pub shard: u32,
-    /// The version of the extent.
+    /// Version of the extent.
     pub version: u32,
 }
 
@@ -76,16 +76,16 @@
     }
 }
 
-/// The extent map: a snapshot, in parts numbered from 0 on, or the changes of one epoch.
+/// The extent map: a snapshot in parts numbered from 0, or the changes of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MapUpdate {
-    /// Whether it belongs to a snapshot.
+    /// True for a part of a snapshot, false for changes.
     pub snapshot: bool,
-    /// The epoch that it leads to.
+    /// Epoch after the update.
     pub epoch: u64,
-    /// The number of the part.
+    /// Number of the part.
     pub part: u32,
-    /// Whether no part follows.
+    /// True for the last part.
     pub last: bool,
     /// The extents, or the changes in their order.
     pub entries: Vec<MapEntry>,
@@ -118,14 +118,14 @@
     bytes.chunks_exact(MAP_ENTRY_LENGTH).map(MapEntry::decode).collect()
 }
 
-/// How far the migration of an extent is.
+/// Stage of an extent's migration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MigrationStage {
-    /// No migration; what was asked for could not be done.
+    /// No migration is in progress, or the requested one was not possible.
     Idle,
     /// The data is being copied.
     Copying,
-    /// The data is copied; the owner is still the old one.
+    /// The data is copied; the extent still has its old owner.
     Copied,
     /// The extent has its new owner.
     Completed,
@@ -134,7 +134,7 @@
 }
 
 impl MigrationStage {
-    /// In the order of their numbers on the wire.
+    /// All values in the order of their wire codes.
     pub(super) const ALL: [MigrationStage; 5] = [
         MigrationStage::Idle,
         MigrationStage::Copying,
@@ -144,7 +144,7 @@
     ];
 }
 
-/// The words that `magpiewick extents` prints.
+/// Names printed by `magpiewick extents`.
 impl fmt::Display for MigrationStage {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
--- a/crates/node-protocol/src/message/hello.rs
+++ b/crates/node-protocol/src/message/hello.rs
@@ -1,14 +1,14 @@
-//! The greeting.
+//! The greeting of a process.
 
 use crate::fields::{FieldReader, FieldWriter};
 use crate::DecodeError;
 
-/// The version of the protocol that this package speaks.
+/// Protocol version of this package.
 pub const VERSION: u16 = 1;
-/// The age of a process that started long ago.
+/// Age of a process that started long ago.
 pub const AGE_LONG_RUNNING: u64 = u64::MAX;
 
-/// What a process is.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Sends requests to hosts.
@@ -22,29 +22,29 @@
 }
 
 impl Role {
-    /// In the order of their numbers on the wire.
+    /// All values in the order of their wire codes.
     const ALL: [Role; 4] = [Role::Client, Role::Host, Role::Node, Role::EndpointList];
 }
 
-/// The first message either way on every connection.
+/// The first message in each direction on every connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hello {
-    /// The lowest version spoken; the highest that both speak is used.
+    /// Lowest supported version; the highest version that both peers support is used.
     pub min_version: u16,
-    /// The highest version spoken.
+    /// Highest supported version.
     pub max_version: u16,
-    /// What the process is.
+    /// Role of the process.
     pub role: Role,
-    /// Number of the node or host; a client may choose any.
+    /// Number of the node or host; a client may send any number.
     pub number: u32,
-    /// Drawn anew at every start of the process.
+    /// Identifier of this start of the process, different from that of every other start.
     pub incarnation: u64,
-    /// How long ago the process started; [`AGE_LONG_RUNNING`] where it no longer matters.
+    /// Time since the start of the process; [`AGE_LONG_RUNNING`] where the age is no longer relevant.
     pub age_us: u64,
 }
 
 impl Hello {
-    /// The greeting of this version.
+    /// Returns a greeting that supports only this version.
     pub fn new(role: Role, number: u32, incarnation: u64, age_us: u64) -> Hello {
         Hello { min_version: VERSION, max_version: VERSION, role, number, incarnation, age_us }
     }
--- a/crates/node-protocol/src/message/mod.rs
+++ b/crates/node-protocol/src/message/mod.rs
@@ -1,5 +1,5 @@
-//! The messages, one module a family, each with its encoding beside its decoding. Times travel as spans in
-//! microseconds, never as points on a clock, as no two machines share one.
+//! The messages, one module per family, each with its encoding and decoding. Times are sent as durations in
+//! microseconds, never as clock times, as no two machines share a clock.
 
 mod attempt;
 mod client;
@@ -20,7 +20,7 @@
 use crate::frame::MAX_PAYLOAD_LENGTH;
 use crate::DecodeError;
 
-/// The numbers of the kinds in a frame's header.
+/// Codes of the message kinds in a frame's header.
 mod kind {
     pub(super) const HELLO: u8 = 1;
     pub(super) const ATTEMPT: u8 = 2;
@@ -44,86 +44,86 @@
 /// One message of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message<'a> {
-    /// The first message either way.
+    /// The first message in each direction.
     Hello(Hello),
     /// Host to node: one attempt of a request.
     Attempt(Attempt<'a>),
-    /// Host to node: attempts that travel as one request of the node; each gets its own outcome.
+    /// Host to node: attempts that are sent as one request of the node; each gets its own outcome.
     Batch(Vec<Attempt<'a>>),
-    /// Node to host: how an attempt ended.
+    /// Node to host: the outcome of an attempt.
     Outcome(Outcome<'a>),
-    /// Host to node: nobody waits for this attempt any more.
+    /// Host to node: the result of this attempt is no longer needed.
     CancelAttempt {
-        /// The request.
+        /// Request id assigned by the host.
         request_id: u64,
-        /// The number of its attempt.
+        /// Number of the attempt.
         attempt: u16,
     },
-    /// Host to node: asks for a health report.
+    /// Host to node: requests a health report.
     HealthCheck {
-        /// Comes back with the report.
+        /// Number that the health report repeats.
         number: u32,
     },
-    /// Node to host: its load.
+    /// Node to host: the node's load.
     HealthReport {
-        /// The number of the health check.
+        /// Number of the health check.
         number: u32,
-        /// Requests that wait at the node.
+        /// Number of requests waiting at the node.
         queue: u32,
-        /// The part of its cores that is busy.
+        /// Fraction of the node's cores that is busy.
         busy: f32,
     },
     /// Client to host: a request.
     Request(ClientRequest<'a>),
-    /// Host to client: the one final answer to a request.
+    /// Host to client: the single final answer to a request.
     FinalAnswer(FinalAnswer<'a>),
-    /// Client to host: nobody waits for this request any more.
+    /// Client to host: the result of this request is no longer needed.
     CancelRequest {
-        /// The client's number for it.
+        /// Request id assigned by the client.
         request_id: u64,
     },
-    /// Host to list service: asks for the endpoint list from this epoch on (0: all of it) and for its changes;
-    /// answered by a list or `WatchRejected`.
+    /// Host to list service: requests the endpoint list from this epoch on (0: the whole list) and all later
+    /// changes. The answer is a list or `WatchRejected`.
     WatchEndpoints {
-        /// The last epoch that the host has.
+        /// Last epoch that the host has received.
         epoch: u64,
     },
     /// List service to host: the endpoint list, or its changes.
     EndpointList(EndpointListUpdate),
-    /// List service to host: it cannot serve the list now.
+    /// List service to host: the list is temporarily unavailable.
     WatchRejected,
-    /// Host to list service: asks for the extent map and for its changes from then on.
+    /// Host to list service: requests the extent map and all later changes.
     WatchMap,
     /// List service to host: the extent map, or its changes.
     ExtentMap(MapUpdate),
     /// Operator to list service: migrate the extent at `start` to a shard, or abort its migration.
     Migrate {
-        /// The volume.
+        /// Id of the volume.
         volume: u64,
-        /// Where the extent starts.
+        /// Start of the extent.
         start: u64,
-        /// The shard that is to own it; one that no node holds only asks for the state.
+        /// New owner of the extent; a shard that no node holds requests only the migration state.
         shard: u32,
-        /// Whether to abort the migration under way.
+        /// True to abort the migration in progress.
         abort: bool,
     },
     /// List service to operator: the answer to `Migrate`.
     MigrationState {
-        /// The volume.
+        /// Id of the volume.
         volume: u64,
-        /// Where the extent starts.
+        /// Start of the extent.
         start: u64,
-        /// The shard that owns it.
+        /// Shard that owns the extent.
         from: u32,
-        /// The shard that is to own it.
+        /// Shard that is to own the extent.
         to: u32,
-        /// How far the migration is.
+        /// Stage of the migration.
         stage: MigrationStage,
     },
 }
 
 impl<'a> Message<'a> {
-    /// The number of its kind in the frame's header.
+    /// Returns the code of the message's kind in the frame's header.
     pub(crate) fn kind(&self) -> u8 {
         match self {
             Message::Hello(_) => kind::HELLO,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Decodes the body of a frame; none for a kind that is not known.
+    /// Decodes the body of a frame; none for an unknown kind.
     pub(crate) fn decode(
         kind: u8,
         fields: &mut FieldReader<'_>,
@@ -165,7 +165,7 @@
             kind::HEALTH_REPORT => Message::HealthReport {
                 number: fields.u32("number")?,
                 queue: fields.u32("queue")?,
-                busy: fields.amount("busy part")?,
+                busy: fields.amount("busy share")?,
             },
             kind::REQUEST => Message::Request(ClientRequest::decode(fields, payload)?),
             kind::FINAL_ANSWER => Message::FinalAnswer(FinalAnswer::decode(fields, payload)?),
@@ -192,7 +192,7 @@
         }))
     }
 
-    /// Appends the fields.
+    /// Appends the message's fields.
     pub(crate) fn encode_fields(&self, out: &mut FieldWriter<'_>) {
         match self {
             Message::Hello(hello) => hello.encode(out),
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Appends what follows the fields: a payload, or the entries of a list.
+    /// Appends the part after the fields: a payload, or the entries of a list.
     pub(crate) fn encode_payload(&self, out: &mut FieldWriter<'_>) {
         match self {
             Message::Attempt(attempt) => _ = out.bytes(attempt.payload),
@@ -233,7 +233,7 @@
     }
 }
 
-/// Checks the length of what is read or written.
+/// Checks the length of the data to be read or written.
 fn checked_payload(payload: &[u8]) -> Result<&[u8], DecodeError> {
     let fits = payload.len() <= MAX_PAYLOAD_LENGTH;
     fits.then_some(payload).ok_or(DecodeError::InvalidField("payload"))
--- a/crates/node-protocol/tests/codec.rs
+++ b/crates/node-protocol/tests/codec.rs
@@ -1,9 +1,9 @@
-//! The codec on generated messages and on corrupt bytes.
+//! Tests of the codec with generated messages and corrupt bytes.
 
 use magpiewick_node_protocol::*;
 use quickcheck::{quickcheck, Arbitrary, Gen};
 
-/// A generated message with its payload apart, as a message borrows it.
+/// A generated message that owns its payload, as a message only borrows it.
 #[derive(Clone, Debug)]
 struct AnyMessage(u8, [u64; 4], f32, Vec<u8>);
 
@@ -16,9 +16,9 @@
 
 impl AnyMessage {
     fn message(&self) -> Message<'_> {
-        let AnyMessage(kind, [a, b, c, d], x, payload) = self;
-        let (short, write) = (*b as u16, *b % 2 == 0);
-        let line = |n: u64| EndpointEntry {
+        let AnyMessage(kind, [a, b, c, d], amount, payload) = self;
+        let (short_number, write) = (*b as u16, *b % 2 == 0);
+        let entry = |n: u64| EndpointEntry {
             node: n as u32,
             shard: *b as u32,
             zone: *c as u16,
@@ -31,7 +31,7 @@
         match kind % 16 {
             0 => Message::Hello(Hello {
                 min_version: 1,
-                max_version: short,
+                max_version: short_number,
                 role: [Role::Client, Role::Host, Role::Node, Role::EndpointList][(*a % 4) as usize],
                 number: *c as u32,
                 incarnation: *d,
@@ -39,13 +39,13 @@
             }),
             1 => Message::Attempt(Attempt {
                 request_id: *a,
-                attempt: short,
+                attempt: short_number,
                 class: *c as u16,
                 write,
                 volume: *d,
                 key: *b,
                 idempotency_key: *c,
-                units: *x,
+                units: *amount,
                 shard: *d as u32,
                 remaining_us: *a as u32,
                 version: *b as u32,
@@ -54,32 +54,32 @@
             }),
             2 => Message::Outcome(Outcome {
                 request_id: *a,
-                attempt: short,
+                attempt: short_number,
                 code: [
                     OutcomeCode::Succeeded,
                     OutcomeCode::Error,
                     OutcomeCode::Overloaded,
                     OutcomeCode::DeadlineExceeded,
                 ][(*c % 4) as usize],
-                used: write.then_some(*x),
-                remote_units: *x,
+                used: write.then_some(*amount),
+                remote_units: *amount,
                 queue: *d as u32,
-                busy: *x,
+                busy: *amount,
                 owner: write.then_some(*a as u32 / 2),
                 version: *b as u32,
                 payload,
             }),
-            3 => Message::CancelAttempt { request_id: *a, attempt: short },
+            3 => Message::CancelAttempt { request_id: *a, attempt: short_number },
             4 => Message::HealthCheck { number: *a as u32 },
-            5 => Message::HealthReport { number: *a as u32, queue: *b as u32, busy: *x },
+            5 => Message::HealthReport { number: *a as u32, queue: *b as u32, busy: *amount },
             6 => Message::Request(ClientRequest {
                 request_id: *a,
-                class: short,
+                class: short_number,
                 write,
                 volume: *c,
                 key: *d,
                 idempotency_key: *b,
-                units: *x,
+                units: *amount,
                 client_timeout_us: *c as u32,
                 blocks: *a as u32,
                 payload,
@@ -95,7 +95,7 @@
             10 => Message::EndpointList(EndpointListUpdate {
                 snapshot: write,
                 epoch: *a,
-                entries: (0..*d % 5).map(line).collect(),
+                entries: (0..*d % 5).map(entry).collect(),
             }),
             13 => Message::Migrate { volume: *a, start: *b, shard: *c as u32, abort: write },
             14 => {
@@ -111,7 +111,7 @@
                     MapEntryKind::Split,
                     MapEntryKind::Merge,
                 ];
-                let line = |n: u64| MapEntry {
+                let entry = |n: u64| MapEntry {
                     kind: kinds[(n % 5) as usize],
                     volume: *a,
                     start: n,
@@ -119,7 +119,7 @@
                     shard: *c as u32,
                     version: *d as u32,
                 };
-                let entries = (0..*d % 5).map(line).collect();
+                let entries = (0..*d % 5).map(entry).collect();
                 Message::ExtentMap(MapUpdate {
                     snapshot: write,
                     epoch: *a,
@@ -133,50 +133,51 @@
     }
 }
 
-/// Reads a stream that comes in pieces of one length.
-fn messages(bytes: &[u8], piece: usize) -> Result<Vec<Message<'_>>, DecodeError> {
-    let (mut found, mut at) = (Vec::new(), 0);
+/// Decodes a stream that arrives in pieces of one length.
+fn decode_in_pieces(bytes: &[u8], piece: usize) -> Result<Vec<Message<'_>>, DecodeError> {
+    let (mut messages, mut position) = (Vec::new(), 0);
     for end in (0..bytes.len()).step_by(piece).chain([bytes.len()]) {
         loop {
-            match decode(&bytes[at..end])? {
+            match decode(&bytes[position..end])? {
                 Decoded::Incomplete => break,
-                Decoded::Skipped(n) => at += n,
+                Decoded::Skipped(n) => position += n,
                 Decoded::Frame(message, n) => {
-                    found.push(message);
-                    at += n;
+                    messages.push(message);
+                    position += n;
                 }
             }
         }
     }
-    Ok(found)
+    Ok(messages)
 }
 
 quickcheck! {
-    fn messages_decode_from_a_stream_cut_anywhere(all: Vec<AnyMessage>, piece: u8) -> bool {
+    fn messages_decode_from_a_stream_split_anywhere(all: Vec<AnyMessage>, piece: u8) -> bool {
         let mut bytes = Vec::new();
         all.iter().for_each(|any| encode(&any.message(), &mut bytes));
         let expected: Vec<Message<'_>> = all.iter().map(AnyMessage::message).collect();
-        messages(&bytes, usize::from(piece) + 1) == Ok(expected)
+        decode_in_pieces(&bytes, usize::from(piece) + 1) == Ok(expected)
     }
 
-    fn a_changed_byte_is_detected(any: AnyMessage, place: usize, change: u8) -> bool {
+    fn changed_byte_is_detected(any: AnyMessage, position: usize, change: u8) -> bool {
         let mut bytes = Vec::new();
         encode(&any.message(), &mut bytes);
-        let place = place % bytes.len();
-        bytes[place] ^= change.max(1);
+        let position = position % bytes.len();
+        bytes[position] ^= change.max(1);
         !matches!(decode(&bytes), Ok(Decoded::Frame(..)))
     }
 
     fn decoding_arbitrary_bytes_never_panics(bytes: Vec<u8>, kind: u8) -> bool {
-        // Frames of every kind with any fields and a checksum that holds: only the fields are left to lie.
+        // Frames of every kind with arbitrary fields and a valid checksum, so that only the fields may be
+        // invalid.
         let mut frame = Vec::new();
         encode(&Message::WatchRejected, &mut frame);
         _ = decode(&bytes);
-        let fixed = bytes.len().min(usize::from(u16::MAX)) as u16;
-        for fixed in [fixed, fixed / 2, fixed.saturating_add(1)] {
+        let fields_length = bytes.len().min(usize::from(u16::MAX)) as u16;
+        for fields_length in [fields_length, fields_length / 2, fields_length.saturating_add(1)] {
             let mut header = (bytes.len() as u32).to_le_bytes().to_vec();
             header.extend_from_slice(&[kind % 18, 0]);
-            header.extend_from_slice(&fixed.to_le_bytes());
+            header.extend_from_slice(&fields_length.to_le_bytes());
             let sum = crc32c::crc32c_append(crc32c::crc32c(&header), &bytes);
             header.extend_from_slice(&sum.to_le_bytes());
             header.extend_from_slice(&bytes);
@@ -187,13 +188,13 @@
 }
 
 #[test]
-fn an_oversized_frame_is_rejected_by_its_header() {
+fn oversized_frame_is_rejected_by_its_header() {
     let mut header = [0; HEADER_LENGTH];
     header[..4].copy_from_slice(&(MAX_BODY_LENGTH as u32 + 1).to_le_bytes());
     assert_eq!(decode(&header), Err(DecodeError::BodyTooLong(MAX_BODY_LENGTH + 1)));
 }
 
-/// What a later version may do: more fields behind the known ones, and kinds from 128 on.
+/// Later versions may append fields to known kinds, and add kinds from 128 on.
 #[test]
 fn fields_and_kinds_of_later_versions_are_skipped() {
     let mut bytes = Vec::new();
--- a/crates/node-protocol/tests/wire_bytes.rs
+++ b/crates/node-protocol/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes of every kind of message, pinned: a frame's kind, length and checksum over all of its bytes. Encoding and
-//! decoding could change together without any other test noticing.
+//! Exact bytes of every kind of message, compared by the kind, length and checksum of its frame. No other
+//! test detects a change that affects encoding and decoding alike.
 
 use magpiewick_node_protocol::*;
 
@@ -194,7 +194,7 @@
 ];
 
 #[test]
-fn the_bytes_of_every_message_stay_as_they_were() {
+fn encoded_bytes_of_every_message_are_unchanged() {
     let frame = |message: &Message<'_>| {
         let mut bytes = Vec::new();
         encode(message, &mut bytes);
