--- a/crates/exchange/src/endpoint_trust.rs
+++ b/crates/exchange/src/endpoint_trust.rs
@@ -43,7 +43,7 @@
         self.exchanges_left == 0 && self.suspicion.is_none()
     }
 
-    /// Ends the restriction after enough exchanges without a violation. A suspected duplicate that is still
+    /// Ends the restriction after enough exchanges or time without a violation. A suspected duplicate that is still
     /// unexplained counts as a late duplicate.
     fn end(&mut self, learned_idle: &mut Ms) {
         self.exchanges_left = 0;
@@ -96,7 +96,7 @@
         status == STATUS_OK && self.restrictions.get(&endpoint).is_none_or(ReuseRestriction::has_ended)
     }
 
-    /// Returns whether an endpoint has ever sent unsolicited bytes.
+    /// Returns whether an endpoint has ever sent unsolicited bytes or an unexplained duplicate.
     pub fn has_sent_unsolicited_bytes(&self, endpoint: u32) -> bool {
         self.restrictions.get(&endpoint).is_some_and(|restriction| restriction.violations > 0)
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -117,7 +117,7 @@
         self.scheduler.max_retry_after = 0.0;
     }
 
-    /// Sends every request in a frame of its own.
+    /// Disables coalescing, so that every request is sent separately.
     pub fn disable_coalescing(&mut self) {
         self.coalescing.max_parts = 1;
         self.scheduler.max_batch_units = self.scheduler.max_units;
--- a/crates/gateway/src/connections/requests.rs
+++ b/crates/gateway/src/connections/requests.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns the request if it may proceed to the engine. Where an earlier write overlaps it, stores it
-    /// until that write is done or `waits_until` has passed. `queue` names the queue in which the scheduler
+    /// until that write is done or `waits_until` has passed. `queue` identifies the queue in which the scheduler
     /// orders it.
     #[must_use]
     pub(crate) fn acquire_overlap_lock(
--- a/crates/gateway/src/event_loop/map_events.rs
+++ b/crates/gateway/src/event_loop/map_events.rs
@@ -64,7 +64,7 @@
     }
 
     /// Handles an outcome from a node that does not hold a request's data. The request is sent to the owner
-    /// that the node names, or waits until the map is known.
+    /// that the node reports, or waits until the map is known.
     pub(super) fn on_shard_moved(&mut self, request_id: u64, attempt: u32, owner: Option<(u32, u32)>) {
         let Some(request) = self.connections.requests().get(request_id) else { return };
         let Some(piece) = request.unanswered_data_key() else { return };
--- a/crates/gateway/src/request_registry.rs
+++ b/crates/gateway/src/request_registry.rs
@@ -132,14 +132,14 @@
 }
 
 impl OpenRequest {
-    /// Returns the range of blocks that the request reads or writes; a key that names a whole piece of data
+    /// Returns the range of blocks that the request reads or writes; a key that identifies a whole piece of data
     /// counts as one block.
     fn range(&self) -> (u64, u64) {
         (self.key, self.key + u64::from(self.blocks.max(1)))
     }
 
     /// Returns the write as required by the overlap lock; none for a read, and for a write without a key.
-    /// `queue` names the queue in which the scheduler orders it.
+    /// `queue` identifies the queue in which the scheduler orders it.
     pub(crate) fn as_write(&self, queue: Option<u64>) -> Option<WriteRange> {
         let (start, end) = self.range();
         let is_write = self.write && self.key != 0;
--- a/crates/gateway/tests/sockets/harness.rs
+++ b/crates/gateway/tests/sockets/harness.rs
@@ -78,9 +78,7 @@
             let mut piece = [0; 65536];
             match self.stream.read(&mut piece) {
                 Ok(n) if n > 0 => self.bytes.extend_from_slice(&piece[..n]),
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
-                    panic!("timed out")
-                }
+                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => panic!("timed out"),
                 _ => return None,
             }
         }
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -111,7 +111,7 @@
     #[default]
     Head,
     SizedBody(Vec<u8>, usize),
-    ChunkedBodyReader(Vec<u8>, ChunkedBodyReader),
+    ChunkedBody(Vec<u8>, ChunkedBodyReader),
 }
 
 /// Reader of the requests of one connection, one at a time.
@@ -139,7 +139,7 @@
         match &self.stage {
             Stage::Head => 0,
             Stage::SizedBody(head, _) => head.capacity(),
-            Stage::ChunkedBodyReader(head, chunks) => head.capacity() + chunks.body.capacity(),
+            Stage::ChunkedBody(head, chunks) => head.capacity() + chunks.body.capacity(),
         }
     }
 
@@ -159,7 +159,7 @@
             self.expects_continue = parsed_head.expects_continue;
             self.stage = match parsed_head.framing {
                 BodyFraming::Length(length) => Stage::SizedBody(head, length),
-                BodyFraming::Chunked => Stage::ChunkedBodyReader(head, ChunkedBodyReader::default()),
+                BodyFraming::Chunked => Stage::ChunkedBody(head, ChunkedBodyReader::default()),
             };
         }
         let unread = &input[used..];
@@ -168,7 +168,7 @@
                 used += length;
                 (head, unread[..length].to_vec())
             }
-            Stage::ChunkedBodyReader(head, mut chunks) => {
+            Stage::ChunkedBody(head, mut chunks) => {
                 let malformed = |_: MalformedResponse| Rejection {
                     status: 400,
                     reason: "the body's chunks are malformed",
@@ -176,7 +176,7 @@
                 let (consumed, complete) = chunks.read(unread, MAX_REQUEST_BODY_BYTES).map_err(malformed)?;
                 used += consumed;
                 if !complete {
-                    self.stage = Stage::ChunkedBodyReader(head, chunks);
+                    self.stage = Stage::ChunkedBody(head, chunks);
                     return Ok((used, None));
                 }
                 (head, chunks.body)
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -50,7 +50,7 @@
     #[default]
     Head,
     SizedBody(Response, usize),
-    ChunkedBodyReader(Response, ChunkedBodyReader),
+    ChunkedBody(Response, ChunkedBodyReader),
     /// A body that ends with the connection.
     UntilClose(Response),
 }
@@ -67,7 +67,7 @@
     /// Returns the memory that an incomplete response takes.
     pub fn memory_bytes(&self) -> usize {
         match &self.stage {
-            Stage::ChunkedBodyReader(_, chunks) => chunks.body.capacity(),
+            Stage::ChunkedBody(_, chunks) => chunks.body.capacity(),
             Stage::UntilClose(response) => response.body.capacity(),
             Stage::Head | Stage::SizedBody(..) => 0,
         }
@@ -108,7 +108,7 @@
                     self.interim = 0;
                     return Ok((used + length, Some(response)));
                 }
-                Stage::ChunkedBodyReader(mut response, mut chunks) => {
+                Stage::ChunkedBody(mut response, mut chunks) => {
                     let (consumed, complete) = chunks.read(unread, MAX_RESPONSE_BODY_BYTES)?;
                     used += consumed;
                     if complete {
@@ -116,7 +116,7 @@
                         self.interim = 0;
                         return Ok((used, Some(response)));
                     }
-                    self.stage = Stage::ChunkedBodyReader(response, chunks);
+                    self.stage = Stage::ChunkedBody(response, chunks);
                     return Ok((used, None));
                 }
                 Stage::UntilClose(mut response) => {
@@ -167,7 +167,7 @@
         }
         ([], None) if matches!(status, 204 | 304) => Ok(Some(Stage::SizedBody(response, 0))),
         ([coding], None) if coding.eq_ignore_ascii_case(b"chunked") => {
-            Ok(Some(Stage::ChunkedBodyReader(response, ChunkedBodyReader::default())))
+            Ok(Some(Stage::ChunkedBody(response, ChunkedBodyReader::default())))
         }
         ([], None) => Ok(Some(Stage::UntilClose(Response { close: true, ..response }))),
         _ => Err(MalformedResponse),
--- a/crates/node-protocol/src/message/attempt.rs
+++ b/crates/node-protocol/src/message/attempt.rs
@@ -29,7 +29,7 @@
     pub remaining_us: u32,
     /// Version of the extent according to the host; 0 where the host uses no extent map.
     pub version: u32,
-    /// Number of blocks from the key on; 0 where the key names a whole piece of data of any size.
+    /// Number of blocks from the key on; 0 where the key identifies a whole piece of data of any size.
     pub blocks: u32,
     /// Data to be written.
     pub payload: &'a [u8],
--- a/crates/node-protocol/src/message/client.rs
+++ b/crates/node-protocol/src/message/client.rs
@@ -23,7 +23,7 @@
     pub units: f32,
     /// Time for which the client waits.
     pub client_timeout_us: u32,
-    /// Number of blocks from the key on; 0 where the key names a whole piece of data.
+    /// Number of blocks from the key on; 0 where the key identifies a whole piece of data.
     pub blocks: u32,
     /// Data to be written.
     pub payload: &'a [u8],
