--- a/crates/gateway/tests/sockets/harness.rs
+++ b/crates/gateway/tests/sockets/harness.rs
@@ -168,13 +168,13 @@
             read_text("test", SETTINGS, |r| read_host_config(r, 1)).unwrap().unwrap();
         change(&mut config);
         (config.list_service.address, config.list_service.serves_map) = (list.local_addr().unwrap(), true);
-        let (shutdown_signal, other) = UnixStream::pair().unwrap();
-        let gateway = Gateway::bind(config, other, 99).unwrap();
+        let (signal_sender, signal_receiver) = UnixStream::pair().unwrap();
+        let gateway = Gateway::bind(config, signal_receiver, 99).unwrap();
         let address = gateway.address();
         let thread = std::thread::spawn(move || gateway.run().unwrap());
         let mut list = Peer::new(list.accept().unwrap().0);
         list.receive(|m| matches!(m, Message::WatchEndpoints { .. }).then_some(()));
-        TestHost { address, list_service: list, node, shutdown_signal, thread }
+        TestHost { address, list_service: list, node, shutdown_signal: signal_sender, thread }
     }
 
     pub(crate) fn send_endpoint(
