--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -6,12 +6,12 @@
 //! exchange. [`RequestQueue`] buffers a client's requests until each has been answered.
 
 mod common_responses;
-mod endpoint_trust;
+mod connection_reuse;
 mod exchange_history;
 mod request_queue;
 
 pub use common_responses::CommonResponses;
-pub use endpoint_trust::ConnectionReusePolicy;
+pub use connection_reuse::ConnectionReusePolicy;
 pub use exchange_history::{ExchangeHistory, ReceivedResponse, ResponseDigest, ResponseMismatch};
 pub use request_queue::{NextRequest, RequestQueue};
 
