--- a/crates/node-protocol/src/message/attempt.rs
+++ b/crates/node-protocol/src/message/attempt.rs
@@ -181,7 +181,7 @@
             request_id: fields.u64("request id")?,
             attempt: fields.u16("attempt")?,
             code: fields.one_of(&OutcomeCode::ALL, "outcome")?,
-            used: Some(fields.amount("usage")?).filter(|used| *used < UNKNOWN_USAGE),
+            used: Some(fields.amount("use")?).filter(|used| *used < UNKNOWN_USAGE),
             remote_units: fields.amount("remote units")?,
             queue: fields.u32("queue")?,
             busy: fields.amount("busy share")?,
