--- a/crates/gateway/src/upstream_pool.rs
+++ b/crates/gateway/src/upstream_pool.rs
@@ -28,7 +28,7 @@
     PartlyWrittenFrame,
     #[error("the node was removed from the endpoint list")]
     Removed,
-    #[error("the node is unresponsive; reconnecting")]
+    #[error("it is unresponsive; connecting again")]
     Unresponsive,
 }
 
