--- a/crates/exchange/src/connection_reuse.rs
+++ b/crates/exchange/src/connection_reuse.rs
@@ -8,14 +8,14 @@
 const MIN_IDLE_MS: Ms = 100.0;
 /// Factor from the lateness of unsolicited bytes to the required idle time of connections.
 const IDLE_PER_LATENESS: f64 = 4.0;
-/// Longest idle time that is learned from late bytes. Bytes that arrive later belong to no exchange: some
-/// endpoints write data when they close an idle connection.
+/// Maximum lateness of bytes from which an idle time is derived, and maximum of that time. Bytes that arrive
+/// later belong to no exchange: some endpoints write data when they close an idle connection.
 const MAX_LEARNED_IDLE_MS: Ms = 1000.0;
 /// Status of a response after which the connection may be reused.
 const STATUS_OK: u16 = 200;
 
-/// Number of exchanges, and duration, for which connections to an endpoint are not reused after its first
-/// unsolicited bytes. Both are twice as long after each further violation, up to a bound.
+/// Connections to an endpoint are not reused after its first unsolicited bytes until this number of exchanges
+/// has completed or this time has passed. Both limits double with each further violation, up to a bound.
 const FIRST_RESTRICTION_EXCHANGES: u32 = 64;
 const FIRST_RESTRICTION_MS: Ms = 10_000.0;
 const MAX_RESTRICTION_DOUBLINGS: u32 = 6;
@@ -30,7 +30,7 @@
 /// State of an endpoint whose connections are not reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct ReuseRestriction {
-    /// Number of exchanges until connections are reused, and the latest time at which they are.
+    /// Number of exchanges until connections are reused, and the time from which they are reused in any case.
     exchanges_left: u32,
     until: Ms,
     /// Number of times that the endpoint sent unsolicited bytes or an unexplained duplicate.
@@ -43,8 +43,8 @@
         self.exchanges_left == 0 && self.suspicion.is_none()
     }
 
-    /// Ends the restriction after enough exchanges or time without a violation. A suspected duplicate that is still
-    /// unexplained counts as a late duplicate.
+    /// Ends the restriction after enough exchanges or time without a violation. A suspected duplicate that is
+    /// still unexplained counts as a late duplicate.
     fn end(&mut self, learned_idle: &mut Ms) {
         self.exchanges_left = 0;
         if let Some(suspicion) = self.suspicion.take() {
@@ -122,7 +122,7 @@
         restriction.suspicion = Some(SuspectedDuplicate { digest, idle_ms });
     }
 
-    /// Clears suspicions that rest only on this response, as different requests receive it.
+    /// Clears suspicions that are based only on this response, as different requests receive it.
     pub fn on_common_response(&mut self, digest: ResponseDigest) {
         for restriction in self.restrictions.values_mut() {
             if restriction.suspicion.take_if(|suspicion| suspicion.digest == digest).is_some()
--- a/crates/exchange/src/exchange_history.rs
+++ b/crates/exchange/src/exchange_history.rs
@@ -143,8 +143,8 @@
         return true;
     }
     (1..length.min(body.len() + 1)).any(|inside| {
-        let (start, rest) = RESPONSE_START.split_at(inside);
-        body.ends_with(start) && (trailing.starts_with(rest) || rest.starts_with(trailing))
+        let (start, remainder) = RESPONSE_START.split_at(inside);
+        body.ends_with(start) && (trailing.starts_with(remainder) || remainder.starts_with(trailing))
     })
 }
 
--- a/crates/exchange/src/exchange_history/tests.rs
+++ b/crates/exchange/src/exchange_history/tests.rs
@@ -42,7 +42,7 @@
         if first.is_empty() {
             return true;
         }
-        // The number of the duplicate's body bytes that arrive; the next response fills up the rest.
+        // Number of the duplicate's body bytes that arrive; the next response fills up the rest of its length.
         let copied = cut % first.len();
         let next = [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n".as_slice(), &second].concat();
         let stream = [&first[..copied], &next].concat();
@@ -81,9 +81,9 @@
         common.record(connection, &received(body, b""));
     }
     assert_eq!(history.verify_allowing_common(&received(b"OK", b""), "a", &common), Ok(()));
-    let copy = Err(ResponseMismatch::DuplicateResponse);
-    assert_eq!(history.verify_allowing_common(&received(b"OK", b"HTTP/1.1 200 OK"), "a", &common), copy);
-    assert_eq!(history.verify_allowing_common(&received(b"own", b""), "a", &common), copy);
+    let duplicate = Err(ResponseMismatch::DuplicateResponse);
+    assert_eq!(history.verify_allowing_common(&received(b"OK", b"HTTP/1.1 200 OK"), "a", &common), duplicate);
+    assert_eq!(history.verify_allowing_common(&received(b"own", b""), "a", &common), duplicate);
     let named = ReceivedResponse { request_id: Some("b"), ..received(b"OK", b"") };
     let verdict = history.verify_allowing_common(&named, "a", &common);
     assert_eq!(verdict, Err(ResponseMismatch::DifferentRequestId));
--- a/crates/exchange/src/request_queue.rs
+++ b/crates/exchange/src/request_queue.rs
@@ -5,7 +5,7 @@
 /// Response to a request whose stated body length is wrong, which the bytes after the body reveal.
 const WRONG_CONTENT_LENGTH: Rejection =
     Rejection { status: 400, reason: "the length is not that of the body" };
-/// Number of used input bytes from which on they are dropped.
+/// Number of parsed input bytes at which they are removed from the buffer.
 const COMPACT_THRESHOLD_BYTES: usize = 64 << 10;
 
 /// Next item of a client's queue.
--- a/crates/exchange/src/request_queue/tests.rs
+++ b/crates/exchange/src/request_queue/tests.rs
@@ -6,19 +6,19 @@
     format!("PUT /r{number} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-fn named(request: &CompleteRequest) -> String {
+fn target_of(request: &CompleteRequest) -> String {
     String::from_utf8_lossy(&request.head).split(' ').nth(1).unwrap_or_default().to_string()
 }
 
-/// Takes items from a queue until none is available; returns the names of complete requests, and none for
+/// Takes items from a queue until none is available; returns the targets of complete requests, and none for
 /// each rejected request.
 fn drain(queue: &mut RequestQueue) -> Vec<Option<String>> {
-    let mut all = Vec::new();
+    let mut items = Vec::new();
     loop {
         match queue.take_next() {
-            NextRequest::Complete(request) => all.push(Some(named(&request))),
-            NextRequest::Overflowed => all.push(None),
-            NextRequest::Empty | NextRequest::Partial => return all,
+            NextRequest::Complete(request) => items.push(Some(target_of(&request))),
+            NextRequest::Overflowed => items.push(None),
+            NextRequest::Empty | NextRequest::Partial => return items,
             NextRequest::Rejected(refused) => panic!("{refused:?}"),
         }
     }
@@ -30,24 +30,24 @@
     fn each_request_leaves_the_queue_once_in_order(pieces: Vec<u8>, limits: Vec<u8>, count: u8) -> bool {
         let count = usize::from(count % 40);
         let bytes: Vec<u8> = (0..count).flat_map(request).collect();
-        let (mut queue, mut rest, mut out) = (RequestQueue::default(), bytes.as_slice(), Vec::new());
+        let (mut queue, mut remaining, mut items) = (RequestQueue::default(), bytes.as_slice(), Vec::new());
         let mut steps = pieces.iter().zip(limits.iter().cycle());
-        while !rest.is_empty() {
+        while !remaining.is_empty() {
             let (piece, limit) = steps.next().unwrap_or((&255, &0));
-            let (now, later) = rest.split_at(rest.len().min(usize::from(*piece) + 1));
+            let (now, later) = remaining.split_at(remaining.len().min(usize::from(*piece) + 1));
             queue.push(now.to_vec());
             match limit % 3 {
                 0 => queue.limit_buffered(usize::from(*limit) * 4),
-                1 => out.extend(drain(&mut queue)),
+                1 => items.extend(drain(&mut queue)),
                 _ => {}
             }
-            rest = later;
+            remaining = later;
         }
-        out.extend(drain(&mut queue));
-        let own = |(number, name): (usize, &Option<String>)| {
-            name.as_ref().is_none_or(|name| *name == format!("/r{number}"))
+        items.extend(drain(&mut queue));
+        let is_in_order = |(number, target): (usize, &Option<String>)| {
+            target.as_ref().is_none_or(|target| *target == format!("/r{number}"))
         };
-        out.len() == count && queue.is_empty() && out.iter().enumerate().all(own)
+        items.len() == count && queue.is_empty() && items.iter().enumerate().all(is_in_order)
     }
 }
 
@@ -60,8 +60,11 @@
     queue.limit_buffered(2 * length + 1);
     assert_eq!(queue.buffered(), 2 * length);
     queue.push(b"Host: h\r\n\r\nGET /late".to_vec());
-    let out = drain(&mut queue);
-    assert_eq!(out.iter().map(Option::is_some).collect::<Vec<_>>(), [true, true, false, false, false, false]);
+    let items = drain(&mut queue);
+    assert_eq!(
+        items.iter().map(Option::is_some).collect::<Vec<_>>(),
+        [true, true, false, false, false, false]
+    );
     queue.push(b" HTTP/1.1\r\nHost: h\r\n\r\n".to_vec());
     assert_eq!(
         drain(&mut queue),
--- a/crates/exchange/tests/interleavings.rs
+++ b/crates/exchange/tests/interleavings.rs
@@ -34,12 +34,12 @@
 /// Returns the bytes that earlier exchanges may leave on a connection: duplicates, truncated at each byte,
 /// garbage and interim responses.
 fn unsolicited_prefixes(before: &[Vec<u8>]) -> Vec<Vec<u8>> {
-    let mut all =
+    let mut prefixes =
         vec![b"\x01\x02noise".to_vec(), b"\r\n".to_vec(), b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()];
     for response in before {
-        all.extend((1..=response.len()).map(|cut| response[..cut].to_vec()));
+        prefixes.extend((1..=response.len()).map(|cut| response[..cut].to_vec()));
     }
-    all
+    prefixes
 }
 
 /// Returns the body that a request receives from these reads; none where it receives none, or not yet.
