--- a/crates/http1/src/chunked_body.rs
+++ b/crates/http1/src/chunked_body.rs
@@ -11,7 +11,7 @@
 pub(crate) struct ChunkedBodyReader {
     /// Data received so far.
     pub body: Vec<u8>,
-    /// Number of trailer bytes received; none before the last chunk.
+    /// Number of trailer bytes received; none until the final chunk, which has size 0, was read.
     trailer: Option<usize>,
 }
 
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -71,8 +71,8 @@
 
     /// Returns the value of a header that may occur at most once.
     pub fn single(&self, name: &str) -> Result<Option<&'a [u8]>, AmbiguousHeader> {
-        let mut all = self.all(name);
-        match (all.next(), all.next()) {
+        let mut values = self.all(name);
+        match (values.next(), values.next()) {
             (_, Some(_)) => Err(AmbiguousHeader),
             (first, None) => Ok(first),
         }
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -147,7 +147,7 @@
     pub fn read(&mut self, input: &[u8]) -> Result<(usize, Option<CompleteRequest>), Rejection> {
         let mut used = 0;
         if !self.in_progress() {
-            // Some clients send a line break after a body that belongs to neither request.
+            // Some clients send a line break after a body; it belongs to neither request.
             while input[used..].starts_with(b"\r\n") {
                 (used, self.head_reader) = (used + 2, HeadReader::default());
             }
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -25,9 +25,9 @@
 impl Response {
     /// Returns a header's value as text; none where the header is absent, repeated or not text.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let mut all = self.headers.iter().filter(|header| header.0.eq_ignore_ascii_case(name));
-        let first = all.next()?;
-        if all.next().is_some() {
+        let mut matching = self.headers.iter().filter(|header| header.0.eq_ignore_ascii_case(name));
+        let first = matching.next()?;
+        if matching.next().is_some() {
             return None;
         }
         std::str::from_utf8(&first.1).ok()
--- a/crates/http1/src/write.rs
+++ b/crates/http1/src/write.rs
@@ -70,5 +70,5 @@
     append_headers(out, headers);
 }
 
-/// Response that asks a client to send the body that it holds back.
+/// Interim response after which a client that expects it sends its body.
 pub const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
