--- a/crates/transport/src/errors.rs
+++ b/crates/transport/src/errors.rs
@@ -32,8 +32,8 @@
     matches!(errno(error), Some(Errno::MFILE | Errno::NFILE))
 }
 
-/// Returns whether a call failed because this process has reached its limit of file descriptors. Where
-/// instead the system has none left, a descriptor that this process closes may be used by any other process.
+/// Returns whether a call failed because this process has reached its limit of file descriptors. Closing a
+/// descriptor helps only then: where the system has none left, any other process may use the closed one.
 pub fn process_out_of_descriptors(error: &io::Error) -> bool {
     errno(error) == Some(Errno::MFILE)
 }
--- a/crates/transport/src/timers.rs
+++ b/crates/transport/src/timers.rs
@@ -19,10 +19,10 @@
         self.0.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Returns the time from `now` until `at`; zero where `at` has passed.
-    pub fn duration_until(now: f64, at: f64) -> Duration {
+    /// Returns the time from `now` until `due_at`; zero where `due_at` has passed.
+    pub fn duration_until(now: f64, due_at: f64) -> Duration {
         // Rounded up to the poller's resolution, as a loop would otherwise spin until the exact time.
-        Duration::from_micros(((at - now).max(0.0) * 1000.0).ceil() as u64)
+        Duration::from_micros(((due_at - now).max(0.0) * 1000.0).ceil() as u64)
     }
 }
 
@@ -42,20 +42,20 @@
 
 impl<T: Ord> Timers<T> {
     /// Sets a timer.
-    pub fn set(&mut self, at: f64, timer: T) {
+    pub fn set(&mut self, due_at: f64, timer: T) {
         self.serial += 1;
-        let at_us = (at.max(0.0) * 1000.0).ceil() as u64;
-        self.heap.push(Reverse((at_us, self.serial, timer)));
+        let due_at_us = (due_at.max(0.0) * 1000.0).ceil() as u64;
+        self.heap.push(Reverse((due_at_us, self.serial, timer)));
     }
 
     /// Returns the time at which the next timer is due.
     pub fn next_due_at(&self) -> Option<f64> {
-        self.heap.peek().map(|Reverse((at_us, ..))| *at_us as f64 / 1000.0)
+        self.heap.peek().map(|Reverse((due_at_us, ..))| *due_at_us as f64 / 1000.0)
     }
 
     /// Removes and returns the next timer that is due at `now`.
     pub fn pop_due(&mut self, now: f64) -> Option<T> {
-        self.next_due_at().filter(|at| *at <= now)?;
+        self.next_due_at().filter(|due_at| *due_at <= now)?;
         self.heap.pop().map(|Reverse((.., timer))| timer)
     }
 }
