--- a/crates/node-protocol/src/message/attempt.rs
+++ b/crates/node-protocol/src/message/attempt.rs
@@ -112,7 +112,7 @@
     Error,
     /// The node had no capacity; the request did not run.
     Overloaded,
-    /// No answer arrived in time.
+    /// The attempt timed out without an answer; the request may have run.
     TimedOut,
     /// There was no connection; the request did not run.
     ConnectFailed,
@@ -122,7 +122,7 @@
     Cancelled,
     /// The client's deadline had passed when the attempt reached the node; the request did not run.
     DeadlineExceeded,
-    /// The node does not hold the piece of data, either temporarily or any longer; the request did not run.
+    /// The node does not hold the data, permanently or temporarily; the request did not run.
     ShardMoved,
 }
 
--- a/crates/node-protocol/src/message/extent_map.rs
+++ b/crates/node-protocol/src/message/extent_map.rs
@@ -85,7 +85,7 @@
     pub epoch: u64,
     /// Number of the part.
     pub part: u32,
-    /// True for the last part.
+    /// True if no further part follows.
     pub last: bool,
     /// The extents, or the changes in their order.
     pub entries: Vec<MapEntry>,
--- a/crates/node-protocol/src/message/mod.rs
+++ b/crates/node-protocol/src/message/mod.rs
@@ -85,7 +85,7 @@
     /// Host to list service: requests the endpoint list from this epoch on (0: the whole list) and all later
     /// changes. The answer is a list or `WatchRejected`.
     WatchEndpoints {
-        /// Last epoch that the host has received.
+        /// Latest epoch that the host has received.
         epoch: u64,
     },
     /// List service to host: the endpoint list, or its changes.
@@ -102,7 +102,7 @@
         volume: u64,
         /// Start of the extent.
         start: u64,
-        /// New owner of the extent; a shard that no node holds requests only the migration state.
+        /// New owner of the extent. With a shard that no node holds, the message only queries the migration.
         shard: u32,
         /// True to abort the migration in progress.
         abort: bool,
--- a/crates/node-protocol/tests/codec.rs
+++ b/crates/node-protocol/tests/codec.rs
@@ -152,10 +152,10 @@
 }
 
 quickcheck! {
-    fn messages_decode_from_a_stream_split_anywhere(all: Vec<AnyMessage>, piece: u8) -> bool {
+    fn messages_decode_from_a_stream_split_anywhere(generated: Vec<AnyMessage>, piece: u8) -> bool {
         let mut bytes = Vec::new();
-        all.iter().for_each(|any| encode(&any.message(), &mut bytes));
-        let expected: Vec<Message<'_>> = all.iter().map(AnyMessage::message).collect();
+        generated.iter().for_each(|any| encode(&any.message(), &mut bytes));
+        let expected: Vec<Message<'_>> = generated.iter().map(AnyMessage::message).collect();
         decode_in_pieces(&bytes, usize::from(piece) + 1) == Ok(expected)
     }
 
