--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -89,8 +89,8 @@
         self.clients.is_empty()
     }
 
-    /// Pauses a client that does not read its answers, until it does. Its unsent answers are thereby limited
-    /// to those of its pending requests.
+    /// Stops reading from a client that does not read its answers, until it reads them. The unsent answers of
+    /// the client are thereby limited to those of its pending requests.
     pub(crate) fn pause_if_slow(&mut self, now: Ms, key: usize) -> Result<(), StreamEnd> {
         let max_pending_bytes = self.max_pending_bytes;
         let Some(client) = self.get_mut(key).filter(|_| source_of(key) == Source::Client) else {
--- a/crates/gateway/src/config/reader.rs
+++ b/crates/gateway/src/config/reader.rs
@@ -33,10 +33,10 @@
     let action_interval =
         host_block.as_ref().map_or(2.0, |block| block.attribute("round").duration_ms_or(2.0));
     let (classes, class_names) = read_classes(root, action_interval);
-    let (plans, plan_names) = read_policies(root);
+    let (qos_policies, policy_names) = read_policies(root);
     let hosts =
         host_block.as_ref().map_or(1, |block| block.attribute("hosts").integer_or(1..=10_000, 1)) as f64;
-    let volumes = read_volumes(root, &plan_names, hosts);
+    let volumes = read_volumes(root, &policy_names, hosts);
     let log = read_log_config(root.optional_block("log"));
     let host_block = host_block?;
     let units = host_block.attribute("most_units").number_or(1.0);
@@ -52,7 +52,7 @@
         seed: host_block.attribute("seed").integer_or(0..=u64::MAX, seed),
         hosts,
         classes,
-        policies: plans,
+        policies: qos_policies,
         action_interval,
         max_attempts: host_block.attribute("hand_offs").integer_or(1..=100, 3) as u32,
         can_cancel: host_block.attribute("cancels").bool_or(true),
@@ -101,7 +101,7 @@
         listen: host_block.attribute("listen").address_or(LOOPBACK),
         list_service: list.map_or(
             ListServiceConfig { address: LOOPBACK, polled: false, serves_map: false, cache_path: None },
-            |(source, _)| source,
+            |(list_service, _)| list_service,
         ),
         scheduler,
         classes: class_names,
@@ -129,13 +129,13 @@
         (false, false) => None,
     };
     let cache = block.attribute("remember");
-    let source = ListServiceConfig {
+    let list_service = ListServiceConfig {
         address: block.attribute("address").address_or(LOOPBACK),
         polled,
         serves_map: block.attribute("map").bool_or(false),
         cache_path: cache.is_present().then(|| PathBuf::from(cache.string())),
     };
-    (source, max_poll_interval)
+    (list_service, max_poll_interval)
 }
 
 /// Reads the limits of coalescing. Without the block a batch contains at most the units of two of the largest
@@ -216,7 +216,7 @@
     }
     let read = |block: &SettingsBlock<'_>| {
         let rate = block.attribute("rate").number();
-        let plan = QosPolicy {
+        let policy = QosPolicy {
             price: block.attribute("price").number_or(1.0),
             weight: block.attribute("weight").number_or(1.0),
             rate,
@@ -224,29 +224,29 @@
             limit_rate: block.attribute("limit_rate").number_or(0.0),
             limit_burst: block.attribute("limit_store").number_or(0.0),
         };
-        if plan.limit_rate > 0.0 && plan.reserve > plan.limit_rate {
-            let (reserve, limit) = (plan.reserve, plan.limit_rate);
+        if policy.limit_rate > 0.0 && policy.reserve > policy.limit_rate {
+            let (reserve, limit) = (policy.reserve, policy.limit_rate);
             block.report_attribute_error(
                 "reserve",
                 format!("a reserve of {reserve} exceeds the limit_rate of {limit}"),
             );
         }
-        if (plan.limit_rate > 0.0) != (plan.limit_burst > 0.0) {
+        if (policy.limit_rate > 0.0) != (policy.limit_burst > 0.0) {
             block.report_attribute_error(
                 "limit_store",
                 "limit_rate and limit_store must be given together: a rate and its burst",
             );
         }
-        plan
+        policy
     };
     (blocks.iter().map(read).collect(), blocks.iter().map(|block| block.label().to_string()).collect())
 }
 
-fn read_volumes(root: &SettingsBlock<'_>, plans: &[String], hosts: f64) -> BTreeMap<u64, Volume> {
+fn read_volumes(root: &SettingsBlock<'_>, policy_names: &[String], hosts: f64) -> BTreeMap<u64, Volume> {
     let mut volumes = BTreeMap::new();
     for block in root.labelled_blocks("volume") {
         let id = block.attribute("id").integer(0..=u64::MAX);
-        let names: Vec<(&str, usize)> = plans.iter().map(String::as_str).zip(0..).collect();
+        let names: Vec<(&str, usize)> = policy_names.iter().map(String::as_str).zip(0..).collect();
         let policy = block.attribute("plan").one_of(&names).unwrap_or(0);
         let shards: Vec<usize> = block.attribute("shards").integers().iter().map(|s| *s as usize).collect();
         if block.attribute("shards").is_present() && shards.is_empty() {
@@ -343,7 +343,7 @@
     let mut reserved: BTreeMap<usize, f64> = BTreeMap::new();
     for volume in volumes.values() {
         for shard in &volume.shards {
-            let reserve = scheduler.policies.get(volume.policy).map_or(0.0, |plan| plan.reserve);
+            let reserve = scheduler.policies.get(volume.policy).map_or(0.0, |policy| policy.reserve);
             *reserved.entry(*shard).or_default() += reserve / volume.shards.len() as f64;
         }
     }
--- a/crates/gateway/src/connections/requests.rs
+++ b/crates/gateway/src/connections/requests.rs
@@ -28,18 +28,19 @@
         }
     }
 
-    /// Returns the request if it may proceed to the engine. Where an earlier write overlaps it, stores it
-    /// until that write is done or `waits_until` has passed. `queue` identifies the queue in which the scheduler
-    /// orders it.
+    /// Returns a request that may proceed to the engine. Stores a write that an earlier write overlaps, until
+    /// the earlier one is done or `waits_until` has passed. `queue_key` identifies the queue in which the
+    /// scheduler orders the request.
     #[must_use]
     pub(crate) fn acquire_overlap_lock(
         &mut self,
         incoming: IncomingRequest,
-        queue: Option<u64>,
+        queue_key: Option<u64>,
         waits_until: Ms,
     ) -> Option<IncomingRequest> {
         let request_id = incoming.id;
-        let Some(write) = self.requests.get(request_id).and_then(|request| request.as_write(queue)) else {
+        let Some(write) = self.requests.get(request_id).and_then(|request| request.as_write(queue_key))
+        else {
             return Some(incoming);
         };
         if self.overlap_lock.acquire(request_id, write) {
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -148,9 +148,9 @@
         EndpointListUpdate { snapshot: true, epoch: self.epoch, entries }
     }
 
-    /// Restores the list that this host cached when it last ran. The downtime is unknown, so nodes are
-    /// treated as having started later than they did, which is the safe side. The epoch is not restored, so
-    /// that the whole list is requested.
+    /// Restores the list that the previous run of this host cached. The downtime is unknown and is not added
+    /// to the ages, so nodes are treated as younger than they are, which is the safe assumption. The epoch is
+    /// not restored, so that the whole list is requested.
     pub(crate) fn restore(&mut self, now: Ms, cached: &EndpointListUpdate) -> Vec<(u32, Endpoint)> {
         self.insert_all(now, cached)
     }
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -23,8 +23,8 @@
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 
-/// Maximum sleep of the loop, so that events that waited while the process was stalled can be distinguished from
-/// new ones.
+/// Maximum sleep of the loop. A longer sleep shows that the process was stalled, so that events that waited
+/// during the stall can be distinguished from new ones.
 const MAX_SLEEP: Ms = 20.0;
 
 /// Duration above which a turn is logged: answers sent in a longer turn may be late.
@@ -148,7 +148,7 @@
     }
 
     /// Runs one turn. Endpoint updates are processed first, so that no decision is based on an old list; then
-    /// outcomes, which free slots; then new requests; then timers that are due.
+    /// outcomes and due timers, which free slots; then new requests; then the engine's due work.
     fn turn(&mut self, poll_events: &PollEvents) {
         let readable = |source: Source| {
             poll_events.readable.iter().copied().filter(move |key| source_of(*key) == source)
@@ -174,7 +174,7 @@
         self.write();
     }
 
-    /// Runs the engine until no timer is due and no event is unhandled.
+    /// Runs the engine until none of its work is due and no event is unhandled.
     fn run_engine(&mut self) {
         loop {
             self.handle_events();
--- a/crates/gateway/src/event_loop/admission.rs
+++ b/crates/gateway/src/event_loop/admission.rs
@@ -148,22 +148,22 @@
             coalesce_with: None,
         };
         let key = engine_key(request.volume, request.key);
-        let queue = Some(key).filter(|_| self.config.scheduler.classes[class].ordered);
+        let queue_key = Some(key).filter(|_| self.config.scheduler.classes[class].ordered);
         let incoming = IncomingRequest { id, key, volume: request.volume, request: engine_request };
         // After its latency objective the request would not be sent, so ending it then loses nothing; its
         // answer must reach the client before its deadline.
         let max_wait = client_timeout - 2.0 * self.config.scheduler.action_interval;
         let latency_objective = self.config.scheduler.classes[class].latency_objective;
         let waits_until = self.connections.now() + latency_objective.min(max_wait);
-        if let Some(incoming) = self.connections.acquire_overlap_lock(incoming, queue, waits_until) {
+        if let Some(incoming) = self.connections.acquire_overlap_lock(incoming, queue_key, waits_until) {
             self.engine.submit(self.connections.now(), incoming, &mut self.connections);
             self.connections.release(id);
         }
         Some(id)
     }
 
-    /// Passes a write that is still blocked to the scheduler without remaining time, so that the scheduler
-    /// ends it.
+    /// Passes a write that is still blocked to the scheduler without remaining time; the scheduler then ends
+    /// the write.
     pub(super) fn on_overlap_timeout(&mut self, request_id: u64) {
         if let Some(mut incoming) = self.connections.unblock_on_timeout(request_id) {
             incoming.request.client_timeout = 0.0;
--- a/crates/gateway/src/event_loop/list_events.rs
+++ b/crates/gateway/src/event_loop/list_events.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Restores the endpoint list that was cached when this host last ran.
+    /// Restores the endpoint list that the previous run of this host cached.
     pub(super) fn restore_endpoint_list(&mut self) {
         let Some(path) = &self.config.list_service.cache_path else { return };
         let bytes = match std::fs::read(path) {
--- a/crates/gateway/src/event_loop/map_events.rs
+++ b/crates/gateway/src/event_loop/map_events.rs
@@ -67,12 +67,12 @@
     /// that the node reports, or waits until the map is known.
     pub(super) fn on_shard_moved(&mut self, request_id: u64, attempt: u32, owner: Option<(u32, u32)>) {
         let Some(request) = self.connections.requests().get(request_id) else { return };
-        let Some(piece) = request.unanswered_data_key() else { return };
+        let Some(data_key) = request.unanswered_data_key() else { return };
         let version = request.version_sent(attempt).unwrap_or(0);
         tracing::debug!(request_id, version, ?owner, "stale_extent_map_used");
         let now = self.connections.now();
         if let Some(reroute_time) =
-            self.connections.extent_map_mut().on_shard_moved(now, piece, version, owner)
+            self.connections.extent_map_mut().on_shard_moved(now, data_key, version, owner)
         {
             self.connections.reroute_at(reroute_time);
         }
--- a/crates/gateway/src/event_loop/split_read_events.rs
+++ b/crates/gateway/src/event_loop/split_read_events.rs
@@ -36,8 +36,8 @@
         match self.connections.split_reads_mut().on_part_read(id, index, payload) {
             None => {}
             Some(SplitReadProgress::Pending) => self.request_parts(id),
-            Some(SplitReadProgress::Complete(payload_of_all)) => {
-                self.connections.finish_split_read(id, FinalCode::Succeeded, 0.0, &payload_of_all);
+            Some(SplitReadProgress::Complete(whole_payload)) => {
+                self.connections.finish_split_read(id, FinalCode::Succeeded, 0.0, &whole_payload);
             }
             Some(SplitReadProgress::TooLarge) => {
                 self.cancel_parts(id);
--- a/crates/gateway/src/graceful_shutdown.rs
+++ b/crates/gateway/src/graceful_shutdown.rs
@@ -14,7 +14,8 @@
 /// The state of the shutdown.
 pub(crate) struct GracefulShutdown {
     signal: Registered<UnixStream>,
-    requests: usize,
+    /// Number of times that a shutdown was requested.
+    shutdown_requests: usize,
     /// Deadline for writing answers, so that a client that does not read them cannot prevent the host from
     /// exiting.
     write_deadline: Option<Ms>,
@@ -27,27 +28,27 @@
     pub(crate) fn new(signal: UnixStream, poll: &Poll) -> io::Result<GracefulShutdown> {
         signal.set_nonblocking(true)?;
         let signal = poll.register(signal, poll_key(Source::ShutdownSignal, 0))?;
-        Ok(GracefulShutdown { signal, requests: 0, write_deadline: None, linger_deadline: None })
+        Ok(GracefulShutdown { signal, shutdown_requests: 0, write_deadline: None, linger_deadline: None })
     }
 
     /// Reads the bytes from the signal.
     pub(crate) fn on_signal(&mut self) {
         let mut bytes = [0; 16];
         match self.signal.read(&mut bytes) {
-            Ok(count) => self.requests += count.max(1),
+            Ok(count) => self.shutdown_requests += count.max(1),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-            Err(_) => self.requests += 1,
+            Err(_) => self.shutdown_requests += 1,
         }
     }
 
     /// Returns whether a shutdown was requested.
     pub(crate) fn is_requested(&self) -> bool {
-        self.requests > 0
+        self.shutdown_requests > 0
     }
 
     /// Returns whether an immediate exit was requested.
     pub(crate) fn is_forced(&self) -> bool {
-        self.requests > 1
+        self.shutdown_requests > 1
     }
 
     /// Returns whether input from clients is ignored.
--- a/crates/gateway/src/node_connection.rs
+++ b/crates/gateway/src/node_connection.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Closed,
-    /// From the start of the connect until the node's greeting.
+    /// Connect started; the node's greeting has not arrived.
     Connecting,
     Established,
 }
@@ -90,8 +90,8 @@
     }
 
     /// Returns the action for an attempt. A connection is replaced where the last attempt received no answer
-    /// and no other is in flight, as the peer may have vanished without closing it. With a node that only
-    /// stalls, this costs one greeting per attempt.
+    /// and no other is in flight, as the peer may have vanished without closing the connection. A node that
+    /// only stalls is reconnected for each attempt, which costs one exchange of greetings.
     pub(crate) fn send_action(&self) -> SendAction {
         match self.stage {
             Stage::Closed => SendAction::Connect,
--- a/crates/gateway/src/reconnect_backoff.rs
+++ b/crates/gateway/src/reconnect_backoff.rs
@@ -1,5 +1,5 @@
-//! Delays between connects to a service that pushes updates: they double, and are randomized so that hosts do
-//! not connect at the same time.
+//! Delays between connects to a service that pushes updates. Each delay is twice the previous one, and random
+//! so that hosts do not connect at the same time.
 
 use magpiewick::{Backoff, Ms, RandomSource};
 
--- a/crates/gateway/src/request_registry.rs
+++ b/crates/gateway/src/request_registry.rs
@@ -111,7 +111,7 @@
     wire_shard: u32,
     version: u32,
     blocks: u32,
-    /// The engine's form of the request, until no earlier write overlaps it.
+    /// The engine's form of the request while an earlier write overlaps it; none otherwise.
     blocked: Option<IncomingRequest>,
     /// True if an attempt ended without an answer and may still take effect.
     may_take_effect_late: bool,
@@ -132,18 +132,18 @@
 }
 
 impl OpenRequest {
-    /// Returns the range of blocks that the request reads or writes; a key that identifies a whole piece of data
-    /// counts as one block.
+    /// Returns the range of blocks that the request reads or writes; a key that identifies a whole piece of
+    /// data counts as one block.
     fn range(&self) -> (u64, u64) {
         (self.key, self.key + u64::from(self.blocks.max(1)))
     }
 
     /// Returns the write as required by the overlap lock; none for a read, and for a write without a key.
-    /// `queue` identifies the queue in which the scheduler orders it.
-    pub(crate) fn as_write(&self, queue: Option<u64>) -> Option<WriteRange> {
+    /// `queue_key` identifies the queue in which the scheduler orders the write.
+    pub(crate) fn as_write(&self, queue_key: Option<u64>) -> Option<WriteRange> {
         let (start, end) = self.range();
         let is_write = self.write && self.key != 0;
-        is_write.then_some(WriteRange { volume: self.volume, start, end, ordering_key: queue })
+        is_write.then_some(WriteRange { volume: self.volume, start, end, ordering_key: queue_key })
     }
 
     /// Returns the write as required by the coalescer; none where it cannot be coalesced now.
@@ -331,7 +331,7 @@
             last_endpoint: None,
             log,
         });
-        debug_assert_eq!(slot, slot_of(id), "a request was added between its id and itself");
+        debug_assert_eq!(slot, slot_of(id), "another request was added after this id was assigned");
     }
 
     pub(crate) fn get(&self, request_id: u64) -> Option<&OpenRequest> {
@@ -352,7 +352,7 @@
     /// Returns the requests without a final answer, in order of admission.
     pub(crate) fn unanswered(&self) -> Vec<UnansweredRequest> {
         let unanswered = self.requests.iter().map(|(_, request)| request).filter(|r| !r.answered);
-        let mut placements: Vec<UnansweredRequest> = unanswered
+        let mut requests: Vec<UnansweredRequest> = unanswered
             .map(|r| UnansweredRequest {
                 request_id: r.id,
                 volume: r.volume,
@@ -361,7 +361,7 @@
                 version: r.version,
             })
             .collect();
-        placements.sort_unstable_by_key(|p| p.request_id);
-        placements
+        requests.sort_unstable_by_key(|r| r.request_id);
+        requests
     }
 }
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -1,6 +1,6 @@
 //! Timers of a gateway.
 
-/// Event that is due at a time. A timer that is no longer needed is identified by its numbers and ignored.
+/// Event of a due timer. The ids show whether the timer is still needed; otherwise it is ignored.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// The timeout of an attempt.
--- a/crates/gateway/src/upstream_pool.rs
+++ b/crates/gateway/src/upstream_pool.rs
@@ -163,17 +163,17 @@
         let Some(connection) = connection else { return false };
         let Some(first) = attempts.next() else { return false };
         let first_id = first.request_id;
-        let mut count = |request_id| {
+        let mut record_sent = |request_id| {
             in_flight.push(request_id);
             state.on_sent();
         };
-        count(first_id);
+        record_sent(first_id);
         match attempts.next() {
             None => connection.queue(&Message::Attempt(first), first_id),
             Some(second) => {
                 let batch: Vec<Attempt<'_>> = [first, second].into_iter().chain(attempts).collect();
                 let other_ids: Vec<u64> = batch[1..].iter().map(|attempt| attempt.request_id).collect();
-                other_ids.iter().for_each(|request_id| count(*request_id));
+                other_ids.iter().for_each(|request_id| record_sent(*request_id));
                 connection.queue_with_tokens(&Message::Batch(batch), first_id, other_ids);
             }
         }
