--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -66,7 +66,7 @@
 
     /// Returns all values of a header.
     pub fn all<'b>(&'b self, name: &'b str) -> impl Iterator<Item = &'a [u8]> + 'b {
-        self.0.iter().filter(move |f| f.0.eq_ignore_ascii_case(name)).map(|f| f.1)
+        self.0.iter().filter(move |header| header.0.eq_ignore_ascii_case(name)).map(|header| header.1)
     }
 
     /// Returns the value of a header that may occur at most once.
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -156,7 +156,7 @@
     let (messages, malformed) = read_responses(&[VALID_RESPONSES]);
     assert!(!malformed);
     let summaries: Vec<(u16, &[u8], bool)> =
-        messages.iter().map(|a| (a.status, a.body.as_slice(), a.close)).collect();
+        messages.iter().map(|r| (r.status, r.body.as_slice(), r.close)).collect();
     assert_eq!(
         summaries,
         [(200, &b"hello"[..], false), (200, b"abcde", false), (204, b"", false), (503, b"", true)]
@@ -314,7 +314,7 @@
     }
 
     fn arbitrary_bytes_never_panic(bytes: Vec<u8>, cuts: Vec<u16>) -> bool {
-        let total: usize = read_split_responses(&bytes, &cuts).0.iter().map(|a| a.body.len()).sum();
+        let total: usize = read_split_responses(&bytes, &cuts).0.iter().map(|r| r.body.len()).sum();
         _ = parse_request_head(&bytes);
         _ = may_begin_request(&bytes);
         total <= bytes.len() && total <= MAX_RESPONSE_BODY_BYTES
