--- a/crates/transport/src/connection/tests.rs
+++ b/crates/transport/src/connection/tests.rs
@@ -43,8 +43,8 @@
         receiver.fill().unwrap();
         let (input, mut used) = (receiver.take_input(), 0);
         while let Ok(Decoded::Frame(message, n)) = decode(&input[used..]) {
-            let Message::Request(t) = message else { panic!("{message:?}") };
-            request_ids.push(t.request_id);
+            let Message::Request(request) = message else { panic!("{message:?}") };
+            request_ids.push(request.request_id);
             used += n;
         }
         receiver.return_input(input, used);
@@ -73,8 +73,8 @@
         sender.flush().unwrap();
         receiver.fill().unwrap();
         let (input, mut used) = (receiver.take_input(), 0);
-        while let Ok(Decoded::Frame(Message::Request(t), n)) = decode(&input[used..]) {
-            request_ids.push(t.request_id);
+        while let Ok(Decoded::Frame(Message::Request(request), n)) = decode(&input[used..]) {
+            request_ids.push(request.request_id);
             used += n;
         }
         receiver.return_input(input, used);
