--- a/crates/gateway/src/config/reader.rs
+++ b/crates/gateway/src/config/reader.rs
@@ -77,7 +77,7 @@
     }
     scheduler.budget = root.optional_block("budget").map(|block| read_retry_budget(&block));
     if scheduler.max_attempts > 1
-        && scheduler.classes.iter().all(|b| b.idempotency == Idempotency::NonIdempotent)
+        && scheduler.classes.iter().all(|class| class.idempotency == Idempotency::NonIdempotent)
     {
         let message = "hand_offs above 1, where every band is binding; a request is never sent again after \
             an attempt that may have run";
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -114,7 +114,7 @@
 
     fn insert(&mut self, now: Ms, entry: &EndpointEntry) -> Endpoint {
         let same_incarnation =
-            self.nodes.get(&entry.node).filter(|l| l.entry.incarnation == entry.incarnation);
+            self.nodes.get(&entry.node).filter(|listed| listed.entry.incarnation == entry.incarnation);
         let started_at =
             same_incarnation.map_or_else(|| started_at(now, entry.age_us), |listed| listed.started_at);
         let listed = ListedNode { entry: *entry, started_at };
--- a/crates/gateway/src/endpoint_list/tests.rs
+++ b/crates/gateway/src/endpoint_list/tests.rs
@@ -72,13 +72,13 @@
             if snapshot {
                 model.clear();
             }
-            model.extend(entries.iter().map(|l| (l.node, l.state)));
+            model.extend(entries.iter().map(|entry| (entry.node, entry.state)));
             if !snapshot {
                 model.retain(|_, state| *state != EntryState::Removed);
             }
             _ = list.apply(0.0, &update(snapshot, epoch, &entries));
         }
-        let listed_states: BTreeMap<u32, EntryState> = list.nodes().map(|k| (k.entry.node, k.entry.state)).collect();
+        let listed_states: BTreeMap<u32, EntryState> = list.nodes().map(|listed| (listed.entry.node, listed.entry.state)).collect();
         listed_states == model
     }
 }
--- a/crates/gateway/tests/sockets/coalescing.rs
+++ b/crates/gateway/tests/sockets/coalescing.rs
@@ -45,7 +45,7 @@
     let remaining_answers: Vec<_> = (0..5).map(|_| client.receive_answer().unwrap()).collect();
     let failed = |n: u64| (n, FinalCode::Failed);
     let answers: Vec<_> =
-        remaining_answers.iter().map(|(n, code, _)| (*n, *code)).filter(|f| f.0 != 9).collect();
+        remaining_answers.iter().map(|(n, code, _)| (*n, *code)).filter(|answer| answer.0 != 9).collect();
     assert!(
         answers.contains(&failed(8)),
         "a non-idempotent part that may have run is not sent again: {answers:?}"
--- a/crates/gateway/tests/sockets/harness.rs
+++ b/crates/gateway/tests/sockets/harness.rs
@@ -86,9 +86,9 @@
 
     pub(crate) fn receive_answer(&mut self) -> Option<(u64, FinalCode, String)> {
         self.receive(|m| match m {
-            Message::FinalAnswer(f) => {
-                let reason = f.payload.get(..f.payload.len().min(40)).unwrap_or_default();
-                Some((f.request_id, f.code, String::from_utf8_lossy(reason).into_owned()))
+            Message::FinalAnswer(answer) => {
+                let reason = answer.payload.get(..answer.payload.len().min(40)).unwrap_or_default();
+                Some((answer.request_id, answer.code, String::from_utf8_lossy(reason).into_owned()))
             }
             _ => None,
         })
@@ -96,7 +96,7 @@
 
     pub(crate) fn receive_attempt(&mut self) -> Option<(u64, u16)> {
         self.receive(|m| match m {
-            Message::Attempt(h) => Some((h.request_id, h.attempt)),
+            Message::Attempt(attempt) => Some((attempt.request_id, attempt.attempt)),
             _ => None,
         })
     }
@@ -239,7 +239,7 @@
 impl Peer {
     pub(crate) fn receive_batch(&mut self) -> Option<Vec<(u64, u16)>> {
         self.receive(|m| match m {
-            Message::Batch(parts) => Some(parts.iter().map(|h| (h.request_id, h.attempt)).collect()),
+            Message::Batch(parts) => Some(parts.iter().map(|part| (part.request_id, part.attempt)).collect()),
             _ => None,
         })
     }
@@ -272,7 +272,9 @@
 
     pub(crate) fn receive_range_attempt(&mut self) -> Option<(u64, u16, u64, u32)> {
         self.receive(|m| match m {
-            Message::Attempt(h) => Some((h.request_id, h.attempt, h.key, h.blocks)),
+            Message::Attempt(attempt) => {
+                Some((attempt.request_id, attempt.attempt, attempt.key, attempt.blocks))
+            }
             _ => None,
         })
     }
--- a/crates/gateway/tests/sockets/list_service.rs
+++ b/crates/gateway/tests/sockets/list_service.rs
@@ -18,7 +18,7 @@
     client.send_request(1, 1, b"paid");
     let mut node = host.accept_node();
     let sent = |m: &Message<'_>| match m {
-        Message::Attempt(h) => Some((h.request_id, h.attempt, h.version)),
+        Message::Attempt(attempt) => Some((attempt.request_id, attempt.attempt, attempt.version)),
         _ => None,
     };
     let (request_id, _, version) = node.receive(sent).unwrap();
