--- a/crates/engine/src/environment.rs
+++ b/crates/engine/src/environment.rs
@@ -33,8 +33,8 @@
     /// `Cancelled`.
     fn cancel(&mut self, request_id: u64, attempt: u32);
 
-    /// Delivers a final answer that the host itself gives, exactly one per request; the driver passes on a
-    /// successful one.
+    /// Delivers a final answer that the host itself gives, at most one per request. A successful answer of a node is
+    /// not delivered here: the driver forwards it to the client.
     fn answer(&mut self, request_id: u64, status: FinalStatus, reason: Reason);
 
     /// Sends a health check to a node.
--- a/crates/engine/src/stall_detector/tests.rs
+++ b/crates/engine/src/stall_detector/tests.rs
@@ -23,7 +23,7 @@
 quickcheck! {
     /// The estimated age of a request that arrived after the last wake-up falls short of its actual age by no more
     /// than the tolerance and the requested sleep.
-    fn the_age_of_a_request_is_never_underestimated(iterations: Vec<(u8, u8, u8)>, arrival: u8) -> bool {
+    fn request_age_is_underestimated_by_at_most_tolerance_and_sleep(iterations: Vec<(u8, u8, u8)>, arrival: u8) -> bool {
         let (mut stall_detector, mut now) = (StallDetector::new(0.0, 2.0), 0.0);
         iterations.iter().all(|(busy, sleep, late)| {
             let (woke_at, slept_at) = (now, now + f64::from(*busy));
