--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -329,7 +329,7 @@
     }
 
     /// Shuts down the writing side of the connection. Input is still read and discarded for a while: closing a
-    /// connection with unread input resets it, and a client that has not yet read the response would lose it.
+    /// connection with unread input resets it, and the client would lose a response that it has not yet read.
     pub(crate) fn linger(&mut self, now: Ms) {
         self.stream.end_writing();
         self.lingering_since.get_or_insert(now);
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -25,8 +25,8 @@
 const PUSHED_LATE_SHARE: f64 = 0.25;
 /// Lower limit of the drain grace, whatever the settings define.
 const MIN_DRAIN_GRACE_MS: Ms = 100.0;
-/// Times after which a change in discovery binds this host, and after which it binds following a reload, even if every
-/// poll fails.
+/// Times after which a change in discovery binds this host, counted from the change and from a reload after the change,
+/// even if every poll fails.
 const BINDING_DELAY_MS: Ms = 6000.0;
 const BINDING_DELAY_AFTER_RELOAD_MS: Ms = 4000.0;
 /// Assumed maximum age of the endpoint list with which a process starts.
--- a/crates/platform/src/event_loop.rs
+++ b/crates/platform/src/event_loop.rs
@@ -260,7 +260,7 @@
                 // The new client replaces an evicted one.
                 Accepted::OutOfDescriptors(error) if self.proxy.evict_client_for_descriptor(&error) => {}
                 Accepted::OutOfDescriptors(error) | Accepted::OutOfResources(error) => {
-                    if self.listener.on_refused(self.proxy.now()) {
+                    if self.listener.on_accept_failed(self.proxy.now()) {
                         self.proxy.log_accept_paused(&error);
                         return AcceptBatch::MayHaveMore;
                     }
--- a/crates/platform/src/incoming_request.rs
+++ b/crates/platform/src/incoming_request.rs
@@ -174,7 +174,7 @@
         shard: placement.shard,
         hosts: placement.hosts,
         // Some clients send a deadline slightly above their class's timeout. The scheduler recognises retries by their
-        // shorter timeout, and without this limit would take every other first request for a retry.
+        // shorter timeout, and without this limit would take the first requests of all other clients for retries.
         client_timeout: client_timeout.min(class_settings.client_timeout) - waited,
         budget_weight: 1.0,
         coalesce_with: None,
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -55,9 +55,9 @@
         }
     }
 
-    /// Handles a refusal by the operating system to accept a connection. After several refusals in a row, accepting is
-    /// paused; returns whether it is.
-    pub(crate) fn on_refused(&mut self, now: Ms) -> bool {
+    /// Handles a failure of the operating system to accept a connection. Returns whether accepting is now paused, which
+    /// requires several consecutive failures.
+    pub(crate) fn on_accept_failed(&mut self, now: Ms) -> bool {
         let Some(pause) = self.backoff.next_pause() else { return false };
         self.resumes_at = now + pause;
         if let Some(socket) = &mut self.socket {
--- a/crates/platform/src/log_limit.rs
+++ b/crates/platform/src/log_limit.rs
@@ -19,7 +19,8 @@
         LogLimit { burst, per_second, tokens: burst, refilled_at: 0.0, suppressed: 0 }
     }
 
-    /// Admits a line: returns the number of lines suppressed since the last one, or none where the line is suppressed.
+    /// Admits a line: returns the number of lines suppressed since the last admitted one, or none where this line is
+    /// suppressed.
     pub(crate) fn admit(&mut self, now: Ms) -> Option<u64> {
         let refill = (now - self.refilled_at).max(0.0) / 1000.0 * self.per_second;
         self.tokens = (self.tokens + refill).min(self.burst);
--- a/crates/platform/src/memory_limit.rs
+++ b/crates/platform/src/memory_limit.rs
@@ -49,17 +49,19 @@
 
     /// Selects the connections to close: by kind of owner, the largest first, until the remaining buffers are within
     /// the limit.
-    pub(crate) fn select_to_close(self, all: impl Iterator<Item = BufferUse>) -> Vec<ConnectionKey> {
-        let mut all: Vec<BufferUse> = all.filter(|buffers| buffers.bytes > 0).collect();
-        let mut total: usize = all.iter().map(|buffers| buffers.bytes).sum();
+    pub(crate) fn select_to_close(self, candidates: impl Iterator<Item = BufferUse>) -> Vec<ConnectionKey> {
+        let mut candidates: Vec<BufferUse> = candidates.filter(|buffers| buffers.bytes > 0).collect();
+        let mut total: usize = candidates.iter().map(|buffers| buffers.bytes).sum();
         if total <= self.bytes {
             return Vec::new();
         }
-        all.sort_unstable_by(|a, b| {
+        candidates.sort_unstable_by(|a, b| {
             a.owner.cmp(&b.owner).then(b.bytes.cmp(&a.bytes)).then(a.key.cmp(&b.key))
         });
         let mut selected = Vec::new();
-        for buffers in all.into_iter().take_while(|buffers| buffers.owner != BufferOwner::AwaitingResponse) {
+        for buffers in
+            candidates.into_iter().take_while(|buffers| buffers.owner != BufferOwner::AwaitingResponse)
+        {
             if total <= self.bytes {
                 break;
             }
--- a/crates/platform/src/proxy.rs
+++ b/crates/platform/src/proxy.rs
@@ -150,7 +150,7 @@
         tracing::info!(metrics = ?self.metrics, "host_stopped");
     }
 
-    fn log_attempt_count(&mut self, outcome: Outcome) {
+    fn count_attempt_outcome(&mut self, outcome: Outcome) {
         *self.metrics.attempt_outcomes.entry(Reason::After(outcome).as_str()).or_default() += 1;
     }
 }
--- a/crates/platform/src/proxy/attempts.rs
+++ b/crates/platform/src/proxy/attempts.rs
@@ -11,7 +11,7 @@
 
 impl Proxy {
     /// Starts an attempt on a usable idle connection or on a new one.
-    fn start_attempt(&mut self, endpoint: u32, part: &AttemptRef) {
+    fn start_attempt(&mut self, endpoint: u32, attempt_ref: &AttemptRef) {
         let now = self.reactor.now();
         let address = self.endpoints.address(endpoint);
         let connection = match (self.take_idle_upstream(endpoint), address) {
@@ -19,23 +19,27 @@
             (None, Some(address)) => self.connect_upstream(endpoint, address),
             (None, None) => Err(Outcome::ConnectFailed),
         };
-        self.log_retry(endpoint, part.request_id);
+        self.log_retry(endpoint, attempt_ref.request_id);
         let attempt = InFlightAttempt {
-            attempt: part.attempt,
+            attempt: attempt_ref.attempt,
             connection: connection.as_ref().ok().copied(),
             started_at: now,
         };
-        if !self.requests.on_attempt_started(part.request_id, endpoint, attempt) {
+        if !self.requests.on_attempt_started(attempt_ref.request_id, endpoint, attempt) {
             return;
         }
         let key = match connection {
             Ok(key) => key,
-            Err(outcome) => return self.end_attempt(part.request_id, outcome, None, None),
+            Err(outcome) => return self.end_attempt(attempt_ref.request_id, outcome, None, None),
         };
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
-        let deadline = now + part.timeout;
-        upstream.assign(AssignedAttempt { request_id: part.request_id, deadline, send_by: part.send_by });
-        self.reactor.set_timer(deadline, Timer::AttemptTimeout(part.request_id, part.attempt));
+        let deadline = now + attempt_ref.timeout;
+        upstream.assign(AssignedAttempt {
+            request_id: attempt_ref.request_id,
+            deadline,
+            send_by: attempt_ref.send_by,
+        });
+        self.reactor.set_timer(deadline, Timer::AttemptTimeout(attempt_ref.request_id, attempt_ref.attempt));
         self.flush_upstream(key);
     }
 
@@ -62,7 +66,7 @@
         if let Some(request) = self.requests.get(number) {
             self.log.attempt_finished(&request.labels(&self.endpoints, now), outcome, latency);
         }
-        self.log_attempt_count(outcome);
+        self.count_attempt_outcome(outcome);
         let report = |name| response.and_then(|response| load_report(response, name));
         let answer = Answer {
             outcome,
@@ -101,9 +105,9 @@
 }
 
 impl Environment for Proxy {
-    fn send(&mut self, endpoint: u32, parts: &[AttemptRef]) {
-        for part in parts {
-            self.start_attempt(endpoint, part);
+    fn send(&mut self, endpoint: u32, attempts: &[AttemptRef]) {
+        for attempt_ref in attempts {
+            self.start_attempt(endpoint, attempt_ref);
         }
     }
 
--- a/crates/platform/src/reactor.rs
+++ b/crates/platform/src/reactor.rs
@@ -72,15 +72,16 @@
 }
 
 impl Reactor {
-    /// Creates a reactor. `round`: round length of the scheduler, used to detect stalls of the process.
-    pub(crate) fn new(poll: Poll, clock: Clock, round: Ms) -> Reactor {
+    /// Creates a reactor. `action_interval`: action interval of the scheduler; a longer delay of the event loop counts
+    /// as a stall of the process.
+    pub(crate) fn new(poll: Poll, clock: Clock, action_interval: Ms) -> Reactor {
         let now = clock.now();
         Reactor {
             poll,
             clock,
             now,
             input_age: 0.0,
-            stall_detector: StallDetector::new(now, round),
+            stall_detector: StallDetector::new(now, action_interval),
             timers: Timers::default(),
             connections: Slab::new(),
             last_serial: 0,
--- a/crates/platform/src/request_registry/tests.rs
+++ b/crates/platform/src/request_registry/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_request_whose_client_has_disconnected_is_kept_for_its_attempt_alone() {
+fn a_request_whose_client_has_disconnected_is_kept_until_its_attempt_ends() {
     let (mut registry, number) = registry_with_request();
     assert!(registry.on_attempt_started(number, ENDPOINT, attempt(0)));
     registry.clear_client(number);
--- a/crates/platform/src/response_stream.rs
+++ b/crates/platform/src/response_stream.rs
@@ -19,7 +19,7 @@
 pub(crate) struct CompleteResponse {
     /// Response without the trailing bytes.
     pub response: Response,
-    /// Returns the number of bytes that were read and belong to no response yet.
+    /// Bytes that arrived after the response.
     pub trailing: Vec<u8>,
     /// True if the connection cannot carry another exchange.
     pub last: bool,
