--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -131,7 +131,10 @@
                 volume_usage: None,
                 remote_units: 0.0,
             };
-            assert!(self.scheduler.on_outcome(self.now, id, &answer) == AfterOutcome::Done, "it is over");
+            assert!(
+                self.scheduler.on_outcome(self.now, id, &answer) == AfterOutcome::Done,
+                "the request is finished"
+            );
             self.free_indices.push(id);
             self.run_actions();
         }
--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -139,7 +139,7 @@
     /// Generation at the current address whose successors are requested; without one the complete list is
     /// requested.
     after: Option<u64>,
-    /// True if the last call was answered, so that the service may hold the next one for the long hold.
+    /// True if the last call was answered, so that the next one requests the full hold.
     last_call_answered: bool,
     /// Calls in flight to the current address, the oldest first.
     calls: Vec<Call>,
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -1,8 +1,8 @@
 //! Expiry of the endpoint list of a host.
 //!
 //! A change of the list binds every host some time after the discovery service has received the change,
-//! whether or not the host has. A host therefore relies on its list only as long as no change without
-//! notification can bind it, and longer only if the service itself is down: a change that reaches no host
+//! whether or not the host has. A host therefore relies on its list only as long as no change that it has
+//! not received can bind it, and longer only if the service itself is down: a change that reaches no host
 //! binds none.
 
 use crate::types::Ms;
@@ -12,8 +12,7 @@
 pub struct FreshnessRules {
     /// Time from the receipt of a change by the service until the change binds hosts.
     pub binding_delay: Ms,
-    /// Time from a reload until changes bind the host, regardless of the changes that the service had
-    /// before.
+    /// Time from a reload until every change that the service received before the reload binds the host.
     pub binding_delay_after_reload: Ms,
     /// Longest stall of the process between reading its clock and sending an attempt.
     pub max_stall: Ms,
@@ -52,11 +51,11 @@
 /// Validity of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Validity {
-    /// No change without notification can bind the host yet.
+    /// No change that the host has not received can bind it yet.
     Valid,
     /// The list is old, and the service is down and can notify no host of a change.
     ServiceDown,
-    /// A change without notification may bind the host: no new request may be sent by this list.
+    /// A change that the host has not received may bind it: no new request may be sent by this list.
     Expired,
 }
 
@@ -111,7 +110,7 @@
         now - self.confirmed_at
     }
 
-    /// Returns the earliest time at which a change without notification may bind the host.
+    /// Returns the earliest time at which a change that the host has not received may bind it.
     pub fn expires_at(&self) -> Ms {
         let by_age = self.confirmed_at + self.rules.binding_delay;
         let by_reload = self
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -27,7 +27,7 @@
 const SMOOTHING: f64 = 0.15;
 const MAX_SMOOTHING: f64 = 0.5;
 const SMOOTHING_TIME_SCALE: Ms = 1000.0;
-/// Upper bound on the age of an answer.
+/// Largest time since the previous answer that the smoothing distinguishes.
 const MAX_ANSWER_AGE: Ms = 1e6;
 /// Largest spacing among competing hosts, in multiples of a host's share of the node's time; each spacing
 /// is drawn at random below this bound.
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -84,7 +84,7 @@
 
     /// Sends a queued request in the batch of a request that was just sent, if only the order of tags
     /// prevents the queued request from being next, and its tag starts less than a frame after that of
-    /// the first request. Guards the bounds of fair queueing for any batch; may delay other volumes by
+    /// the first request. Keeps the bounds of fair queueing for any batch; may delay other volumes by
     /// the requests that the batch adds.
     pub(super) fn dispatch_coalesced(&mut self, now: Ms, id: usize, first: usize) -> RouteDecision {
         let Some(index) = self.coalescing_node(now, id, first) else { return RouteDecision::Queue };
--- a/src/scheduler/endpoint_health.rs
+++ b/src/scheduler/endpoint_health.rs
@@ -14,8 +14,8 @@
 /// Numbers of later answers that make an attempt doubtful: normally, and where attempts are lost.
 pub(super) const DOUBTFUL_AFTER: u32 = 8;
 const DOUBTFUL_AFTER_WITH_LOSSES: u32 = 4;
-/// Fraction of lost attempts above which the second number applies, and smoothing factor of that
-/// fraction.
+/// Fraction of lost attempts above which [`DOUBTFUL_AFTER_WITH_LOSSES`] applies, and smoothing factor of
+/// that fraction.
 const LOSS_RATE: f64 = 0.05;
 /// Multiple of its expected latency after which a doubtful attempt is lost.
 const LOST_LATENCIES: f64 = 3.0;
--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -91,8 +91,8 @@
     }
 
     fn update_endpoint(&mut self, now: Ms, endpoint: &Endpoint) {
-        let (latency_objective, is_active) = (self.latency_objective, self.gossip.is_active());
-        let new_node = || Node::new(latency_objective, is_active);
+        let (latency_objective, has_gossip) = (self.latency_objective, self.gossip.is_active());
+        let new_node = || Node::new(latency_objective, has_gossip);
         let node = self.nodes.get_or_insert_with(endpoint.node, new_node);
         let is_new_process = node.endpoint.started_at != endpoint.started_at;
         node.endpoint = endpoint.clone();
--- a/src/scheduler/in_flight.rs
+++ b/src/scheduler/in_flight.rs
@@ -8,7 +8,7 @@
     /// Number of the attempt, counted from 0.
     pub attempt: u32,
     pub sent_at: Ms,
-    /// Time without an answer that the node has at least before it counts as unresponsive.
+    /// Least time without any answer after which the node may count as unresponsive.
     pub response_timeout: Ms,
     /// Expected latency of the attempt at a node without load.
     pub unloaded_latency: Ms,
@@ -86,9 +86,9 @@
             return;
         };
         let leader = self.attempts.iter().rev().find(|attempt| attempt.request == first);
-        let all = units + leader.map_or(0.0, |leader| leader.batch_units);
+        let total_units = units + leader.map_or(0.0, |leader| leader.batch_units);
         for attempt in self.attempts.iter_mut().filter(|attempt| attempt.batch == batch) {
-            attempt.batch_units = all;
+            attempt.batch_units = total_units;
         }
     }
 
--- a/src/scheduler/retry_policy.rs
+++ b/src/scheduler/retry_policy.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Returns the latest send time of an attempt; after it, nodes may no longer recognise an earlier
-    /// attempt.
+    /// Returns the latest time at which an attempt may be sent. Later, nodes may no longer recognise an
+    /// earlier attempt of the request.
     pub(super) fn latest_send_time(&self, pending: &PendingRequest) -> Ms {
         let class = &self.config.classes[pending.request.class];
         let deduplicated =
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -13,7 +13,7 @@
 use crate::types::{Ms, SchedulerConfig};
 use std::collections::BTreeMap;
 
-/// Buckets for the units that a node has served.
+/// Length and number of the buckets that count the units served by a node.
 const BUCKET_LENGTH: Ms = 1000.0;
 const BUCKETS: usize = 12;
 
--- a/src/types.rs
+++ b/src/types.rs
@@ -311,7 +311,7 @@
     pub shard: usize,
     /// State of the node's process.
     pub state: EndpointState,
-    /// Start time of the node's process; none for a process that is long warm.
+    /// Start time of the node's process; none if it lies so far back that the node is warm.
     pub started_at: Option<Ms>,
 }
 
--- a/tests/endpoint_client.rs
+++ b/tests/endpoint_client.rs
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_list_is_valid_until_a_change_without_notification_may_bind() {
+fn a_list_is_valid_until_a_change_that_was_not_received_may_bind() {
     let (mut client, watch) = client_with_watch();
     // The service has held the watch for the whole time: the list was complete at the end of the hold.
     client.answered(10.0 + HOLD + 5.0, watch, no_changes(4));
--- a/tests/endpoint_client_search.rs
+++ b/tests/endpoint_client_search.rs
@@ -147,9 +147,9 @@
                 PollTarget::Delta { after, .. } if after <= generation => (false, after + 1),
                 _ => (true, 0),
             };
-            let lines: BTreeSet<u64> = (first..=generation).collect();
-            let answer = AnswerHead { generation, is_snapshot, endpoint_count: lines.len() };
-            call.answer = Some((answer, lines, now + delay));
+            let generations: BTreeSet<u64> = (first..=generation).collect();
+            let answer = AnswerHead { generation, is_snapshot, endpoint_count: generations.len() };
+            call.answer = Some((answer, generations, now + delay));
         }
     }
 
@@ -170,21 +170,21 @@
                 self.client.failed(now, call.id, failure);
                 self.log(format!("call {} failed: {failure:?}", call.id));
             } else if call.answer.as_ref().is_some_and(|(.., at)| now >= *at) {
-                let Some((answer, lines, _)) = call.answer else { continue };
+                let Some((answer, generations, _)) = call.answer else { continue };
                 let verdict = self.client.answered(now, call.id, answer);
                 self.log(format!("call {} answered {answer:?}: {verdict:?}", call.id));
-                self.apply(verdict, lines);
+                self.apply(verdict, generations);
             } else {
                 self.calls.push(call);
             }
         }
     }
 
-    fn apply(&mut self, verdict: Verdict, lines: BTreeSet<u64>) {
+    fn apply(&mut self, verdict: Verdict, generations: BTreeSet<u64>) {
         let previous = self.applied.clone();
         match verdict {
-            Verdict::Apply(EndpointUpdate::Snapshot) => self.applied = lines,
-            Verdict::Apply(_) => self.applied.extend(lines),
+            Verdict::Apply(EndpointUpdate::Snapshot) => self.applied = generations,
+            Verdict::Apply(_) => self.applied.extend(generations),
             Verdict::Gap | Verdict::Outdated => return,
         }
         assert!(previous.is_subset(&self.applied), "an older list replaced a newer one: {:#?}", self.events);
--- a/tests/scheduler/gossip.rs
+++ b/tests/scheduler/gossip.rs
@@ -21,7 +21,7 @@
     simulation.scheduler.on_gossip(simulation.now, 1, &busy);
     let id = simulation.submit(excess());
     simulation.advance(50.0);
-    assert_eq!(simulation.attempts(id), 0, "its slots are taken");
+    assert_eq!(simulation.attempts(id), 0, "attempts of another host occupy the slots");
     simulation.scheduler.on_gossip(simulation.now, 2, &[report(0, 1, false)]);
     simulation.scheduler.on_gossip(simulation.now, 1, &[report(0, 1, false)]);
     simulation.advance(2.0);
@@ -31,7 +31,7 @@
     simulation.advance(150.0);
     assert_eq!(simulation.attempts(id), 0);
     simulation.advance(250.0);
-    assert_eq!(simulation.attempts(id), 1, "an old report holds it back");
+    assert_eq!(simulation.attempts(id), 1, "an expired report still occupies slots");
 }
 
 #[test]
