--- a/crates/scenario/src/audit/at_most_once.rs
+++ b/crates/scenario/src/audit/at_most_once.rs
@@ -64,10 +64,10 @@
     attempt: &TrackedAttempt,
 ) -> Option<&'static str> {
     let class = &run.evidence.host.scheduler.classes[usize::from(tracked.request.class)];
-    let remembered_until = earlier.at + class.deduplication_window + run.evidence.scenario.clock_tolerance;
+    let deduplicated_until = earlier.at + class.deduplication_window + run.evidence.scenario.clock_tolerance;
     match class.idempotency {
         Idempotency::NonIdempotent => Some("a non-idempotent request retried that may have been executed"),
-        _ if attempt.at > remembered_until => Some("retried after its deduplication window"),
+        _ if attempt.at > deduplicated_until => Some("retried after its deduplication window"),
         _ if !in_same_scope(run, class.deduplication_scope, earlier.node, attempt.node) => {
             Some("retried outside its deduplication scope")
         }
--- a/crates/scenario/src/audit/data_integrity.rs
+++ b/crates/scenario/src/audit/data_integrity.rs
@@ -114,9 +114,9 @@
                 if version > 0 =>
             {
                 let of_volume = received_versions.get(&(host, volume)).map_or(&[][..], |all| all);
-                let versions_of_extent = of_volume
-                    .iter()
-                    .filter(|k| k.start <= key && key < k.end && at - k.received_at > tolerance);
+                let versions_of_extent = of_volume.iter().filter(|update| {
+                    update.start <= key && key < update.end && at - update.received_at > tolerance
+                });
                 checked += usize::from(versions_of_extent.clone().next().is_some());
                 if let Some(newer) = versions_of_extent.clone().find(|received| received.version > version) {
                     verdict.findings.push(Finding {
--- a/crates/scenario/src/audit/evidence.rs
+++ b/crates/scenario/src/audit/evidence.rs
@@ -39,12 +39,12 @@
 }
 
 impl Evidence<'_> {
-    /// Returns the settings of the node with a number.
+    /// Returns the settings of the node with the given number; `None` if there is no such node.
     pub(super) fn node(&self, number: u32) -> Option<&NodeConfig> {
         self.emulator.nodes.iter().find(|node| node.number == number)
     }
 
-    /// Returns the units of work that a node can execute per millisecond, at a time after its start.
+    /// Returns the units of work that a node can execute per millisecond at the given time after its start.
     pub(super) fn units_per_ms(&self, node: &NodeConfig, since_start: Ms) -> f64 {
         let slow_start = self.emulator.slow_start;
         let warmed_up = (1.0 - slow_start.initial_capacity) * since_start / slow_start.duration;
@@ -229,7 +229,7 @@
     requests
 }
 
-/// Number of latest attempts that are searched for the outstanding attempts of a closed connection.
+/// Number of most recent attempts that are searched for the outstanding attempts of a closed connection.
 const CLOSED_CONNECTION_SEARCH: usize = 10_000;
 
 fn reconstruct_attempts(evidence: &Evidence<'_>) -> Vec<TrackedAttempt> {
--- a/crates/scenario/src/audit/retry_storm.rs
+++ b/crates/scenario/src/audit/retry_storm.rs
@@ -185,26 +185,30 @@
 }
 
 /// A transmission of a request by a client.
-struct Send {
+struct RequestSend {
     at: Ms,
     is_retry: bool,
 }
 
-fn sends_by_idempotency_key(evidence: &Evidence<'_>) -> HashMap<u64, Vec<Send>> {
-    let mut sends: HashMap<u64, Vec<Send>> = HashMap::new();
+fn sends_by_idempotency_key(evidence: &Evidence<'_>) -> HashMap<u64, Vec<RequestSend>> {
+    let mut sends: HashMap<u64, Vec<RequestSend>> = HashMap::new();
     for (at, event) in evidence.client_events {
         if let ClientEvent::Sent(request) = event {
             sends
                 .entry(request.idempotency_key)
                 .or_default()
-                .push(Send { at: *at, is_retry: request.is_retry });
+                .push(RequestSend { at: *at, is_retry: request.is_retry });
         }
     }
     sends
 }
 
 /// Measures the load on restarted nodes until the nodes have warmed up or stopped again.
-fn measure_load(evidence: &Evidence<'_>, sends: &HashMap<u64, Vec<Send>>, node_return: &mut NodeReturn) {
+fn measure_load(
+    evidence: &Evidence<'_>,
+    sends: &HashMap<u64, Vec<RequestSend>>,
+    node_return: &mut NodeReturn,
+) {
     let (warm_up, begin) = (evidence.emulator.slow_start.duration, node_return.at_ms);
     let mut started: HashMap<u32, Ms> = HashMap::new();
     let mut slots: BTreeMap<(u32, u64), f64> = BTreeMap::new();
--- a/crates/scenario/src/audit/tests.rs
+++ b/crates/scenario/src/audit/tests.rs
@@ -169,7 +169,7 @@
 
     fn audit(self) -> Verdict {
         let config = read_text("test", SETTINGS, |root| read_config(root, 1));
-        let config = config.unwrap_or_else(|faults| panic!("{faults}"));
+        let config = config.unwrap_or_else(|errors| panic!("{errors}"));
         let Some(Config { host, emulator: Some(emulator), scenario: Some(scenario) }) = config else {
             panic!("a block is missing");
         };
--- a/crates/scenario/src/benchmark.rs
+++ b/crates/scenario/src/benchmark.rs
@@ -1,4 +1,4 @@
-//! Measures the overhead of a host: requests per second, latency, processor time and memory, compared with a bare
+//! Measures the overhead of a host: requests per second, latency, processor time and memory, compared with a plain
 //! relay and with clients connected directly to a node, in one run with the same emulated services and clients.
 
 use crate::config::{read_config, Config, ScenarioConfig};
@@ -87,26 +87,28 @@
     node_counts: &[usize],
     rate: Option<f64>,
 ) -> Result<Vec<BenchmarkResult>, ScenarioError> {
-    let mut all = Vec::new();
+    let mut results = Vec::new();
     for &nodes in node_counts {
         let text = settings_text(nodes);
-        all.extend(with_settings_file(&text, |file, settings| measure_paths(program, file, settings, rate))?);
+        results.extend(with_settings_file(&text, |file, settings| {
+            measure_paths(program, file, settings, rate)
+        })?);
     }
-    Ok(all)
+    Ok(results)
 }
 
 /// Measures large reads at each number of nodes, with one client that always has one read in flight.
 pub fn bench_reads(program: &Path, node_counts: &[usize]) -> Result<Vec<ReadBenchmarkResult>, ScenarioError> {
-    let mut all = Vec::new();
+    let mut results = Vec::new();
     for &nodes in node_counts {
         for split in [false, true] {
             let text = read_settings_text(nodes, split);
-            all.extend(with_settings_file(&text, |file, settings| {
+            results.extend(with_settings_file(&text, |file, settings| {
                 measure_reads(program, file, settings, split)
             })?);
         }
     }
-    Ok(all)
+    Ok(results)
 }
 
 /// Settings of a measurement.
@@ -125,7 +127,7 @@
         let Config { host, emulator, scenario } = read_config(root, 1)?;
         Some(Settings { host, scenario: scenario?, emulator: emulator? })
     });
-    let settings = settings.map_err(|faults| ScenarioError::InvalidSettings(faults.to_string()))?;
+    let settings = settings.map_err(|errors| ScenarioError::InvalidSettings(errors.to_string()))?;
     let missing_block = || ScenarioError::InvalidSettings("a block is missing".to_string());
     let settings = settings.ok_or_else(missing_block)?;
     let file = std::env::temp_dir().join(format!("magpiewick-bench-{}.hcl", std::process::id()));
@@ -202,7 +204,7 @@
     let nodes = emulator.nodes.len();
     let emulator = start_emulator(emulator)?;
     let process = HostProcess::start(&host_program(program, file, emulator.list_address), 0)?;
-    let mut all = Vec::new();
+    let mut results = Vec::new();
     for slow in [false, true] {
         let slowdown = if slow { SLOWDOWN } else { 1.0 };
         _ = emulator.query(move |emulator| emulator.change_faults(0, |faults| faults.slowdown = slowdown));
@@ -214,9 +216,9 @@
         let reports = (0..REPEATS).map(measure_once).collect::<Result<Vec<_>, ScenarioError>>()?;
         let figure = |of: fn(&LoadReport) -> f64| median_min_max(reports.iter().map(of).collect());
         let (p50_ms, p99_ms) = (figure(|report| report.p50_ms), figure(|report| report.p99_ms));
-        all.push(ReadBenchmarkResult { nodes, split, slow, p50_ms, p99_ms });
+        results.push(ReadBenchmarkResult { nodes, split, slow, p50_ms, p99_ms });
     }
-    Ok(all)
+    Ok(results)
 }
 
 /// A path from clients to nodes.
--- a/crates/scenario/src/client_loop.rs
+++ b/crates/scenario/src/client_loop.rs
@@ -68,7 +68,7 @@
     waiting_retries: HashMap<u64, OpenRequest>,
     timers: Timers<u64>,
     timers_by_id: HashMap<u64, Timer>,
-    /// Last number assigned to a request or a timer.
+    /// Latest number assigned to a request or a timer.
     last_number: u64,
     next_due: Ms,
     max_in_flight: Option<usize>,
--- a/crates/scenario/src/config.rs
+++ b/crates/scenario/src/config.rs
@@ -49,7 +49,7 @@
 }
 
 impl RetryBehaviour {
-    /// Returns the delay of the retry after a number of sends; `compliance` and `spread` are drawn from 0 to 1.
+    /// Returns the delay of the retry after `sends` sends; `compliance` and `spread` are random numbers from 0 to 1.
     pub fn delay_after(&self, sends: u32, retry_after: Ms, compliance: f64, spread: f64) -> Ms {
         if retry_after > 0.0 && compliance < self.retry_after_compliance {
             return retry_after;
--- a/crates/scenario/src/load_generator.rs
+++ b/crates/scenario/src/load_generator.rs
@@ -1,5 +1,6 @@
-//! Clients as an open loop: requests are sent when due, independently of earlier requests. Latencies are counted
-//! from the time at which a request was due, so that they include a delay of the event loop.
+//! Clients as an open loop: requests are sent when due, independently of earlier requests, unless the session fixes
+//! the number of requests in flight. Latencies are counted from the time at which a request was due, so that they
+//! include a delay of the event loop.
 
 use crate::client_event::ClientEvent;
 use crate::client_loop::{ClientLoop, Command};
@@ -37,7 +38,7 @@
 }
 
 impl Session {
-    /// Returns an open-loop session that begins after the settling time and lasts for a duration.
+    /// Returns an open-loop session that begins after the settling time and has the given duration.
     pub fn open_loop(clock: Clock, duration: Ms, seed: u64) -> Session {
         let begin = clock.now() + SETTLING_TIME;
         let end = begin + duration;
@@ -106,7 +107,7 @@
 
     /// Waits for the end of the traffic and of all requests, and returns the report.
     pub fn finish(self) -> Result<ClientReport, ScenarioError> {
-        // The message of a panic is on standard error.
+        // A panic has already been reported on standard error.
         self.thread.join().map_err(|_| ScenarioError::ClientsFailed)
     }
 }
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -1,4 +1,4 @@
-//! A bare relay with the same connections and poller as a host, but without engine and scheduler: the baseline for
+//! A plain relay with the same connections and poller as a host, but without engine and scheduler: the baseline for
 //! the latency and processor time of a host.
 
 use magpiewick_node_protocol::{
--- a/crates/scenario/src/seeded_defect.rs
+++ b/crates/scenario/src/seeded_defect.rs
@@ -30,7 +30,7 @@
     /// Names on the command line, in addition to the names of the rules.
     pub const OTHER_NAMES: &str = "moved, batch, swapped, again, half, deaf";
 
-    /// Returns the defect with a name on the command line.
+    /// Returns the defect with the given name on the command line; `None` if the name is unknown.
     pub fn from_name(name: &str) -> Option<SeededDefect> {
         if let Some(rule) = Rule::ALL.into_iter().find(|rule| rule.name() == name) {
             return Some(SeededDefect::Rule(rule));
@@ -69,10 +69,11 @@
 const LATE_JOIN: Ms = 1000.0;
 /// Time during which a node that joined late counts as warming up.
 const WARM_UP: Ms = 1500.0;
-/// Numbers of copies of an attempt that overload a warming node, overload a restarted node, and exceed a rate
-/// limit.
+/// Number of copies of an attempt that overload a warming node.
 const SLOW_START_COPIES: u64 = 900;
+/// Number of copies of an attempt that overload a restarted node.
 const RETRY_STORM_COPIES: u64 = 120;
+/// Number of copies of an attempt that exceed a rate limit.
 const RATE_LIMIT_COPIES: u64 = 8;
 /// Delays of repeated attempts.
 const REPEAT_DELAY: Ms = 5.0;
@@ -85,12 +86,14 @@
     non_idempotent_classes: Vec<u16>,
     /// Unordered classes whose requests are idempotent.
     idempotent_classes: Vec<u16>,
-    /// Idempotent class with the longest latency objective, and the delay of its attempts.
+    /// Idempotent class with the longest latency objective.
     delayed_class: u16,
+    /// Delay of the attempts of `delayed_class`.
     drain_delay: Ms,
     rate_limited_volumes: Vec<u64>,
-    /// Times at which nodes received their first and their last attempt.
+    /// Times at which nodes received their first attempt.
     first_attempts: HashMap<u32, Ms>,
+    /// Times at which nodes received their latest attempt.
     last_attempts: HashMap<u32, Ms>,
     /// Set once a defect that is seeded only once has been seeded.
     seeded: bool,
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -13,7 +13,7 @@
     hosts: Vec<usize>,
     /// Current traffic of the volume, as a multiple of its usual traffic.
     surge: f64,
-    /// Key and host of the last request, by traffic mix.
+    /// Key and host of the latest request, by traffic mix.
     last_requests: Vec<(u64, usize)>,
 }
 
@@ -108,7 +108,7 @@
         DrawnRequest { mix, volume, volume_id, host, key, blocks: blocks as u32, units }
     }
 
-    /// Replaces a drawn key and host with the successors of the last request if a sequential run continues.
+    /// Replaces a drawn key and host with the next key and the host of the latest request if a sequential run continues.
     fn continue_run(&mut self, volume: usize, mix: usize, blocks: u64, drawn: (u64, usize)) -> (u64, usize) {
         let mean_length = self.traffic.mean_run_length as f64;
         if mean_length <= 1.0 {
@@ -134,7 +134,7 @@
         selected.map(|index| self.traffic.retry_behaviours[index])
     }
 
-    /// Draws the delay of a retry after a number of sends.
+    /// Draws the delay of the retry after `sends` sends.
     pub(crate) fn draw_retry_delay(&mut self, behaviour: &RetryBehaviour, sends: u32, retry_after: Ms) -> Ms {
         let (compliance, spread) = (self.draw(), self.draw());
         behaviour.delay_after(sends, retry_after, compliance, spread)
