--- a/crates/emulator/src/connections.rs
+++ b/crates/emulator/src/connections.rs
@@ -58,7 +58,7 @@
         self.open.iter().filter(|(_, peer)| condition(peer)).map(|(index, _)| index).collect()
     }
 
-    /// Returns the identifier of the connection at an index, if there is one.
+    /// Returns the identifier of the open connection at the given index, if any.
     pub(crate) fn id(&self, index: usize) -> Option<ConnectionId> {
         self.open.get(index).map(|peer| peer.id)
     }
--- a/crates/emulator/src/emulator.rs
+++ b/crates/emulator/src/emulator.rs
@@ -33,7 +33,7 @@
         node: usize,
         batch: Batch,
     },
-    /// The delay of an attempt that an interceptor delayed is over.
+    /// An attempt delayed by an interceptor is due.
     DelayedAttempt {
         node: usize,
         attempt: Box<ReceivedAttempt>,
@@ -80,7 +80,7 @@
     pub(crate) endpoint_list: EndpointList,
     pub(crate) connections: Connections,
     pub(crate) timers: TimerQueue<Timer>,
-    /// Number of the last node request.
+    /// Number of the most recent node request.
     pub(crate) last_batch: u64,
     pub(crate) deduplication: DeduplicationWindow,
     pub(crate) map: MapService,
@@ -241,7 +241,7 @@
         running.map(|node| (node.config.number, node.address)).collect()
     }
 
-    /// Returns the index of the node with a number.
+    /// Returns the index of the node with the given number.
     pub(crate) fn node_index(&self, number: u32) -> Option<usize> {
         self.nodes.iter().position(|node| node.config.number == number)
     }
--- a/crates/emulator/src/fault_script.rs
+++ b/crates/emulator/src/fault_script.rs
@@ -98,7 +98,10 @@
     let (from, to) =
         (block.attribute("from").duration_ms(), block.attribute("to").duration_ms_or(f64::INFINITY));
     if to <= from {
-        block.report_attribute_error("to", "a trouble that ends before it begins");
+        block.report_attribute_error(
+            "to",
+            "the trouble must end after it begins; expected a time later than from",
+        );
     }
     let successors = block.attribute("successors");
     let target_fields = ["nodes", "zones", "hosts", "volumes"].map(|name| block.attribute(name));
--- a/crates/emulator/src/handle.rs
+++ b/crates/emulator/src/handle.rs
@@ -64,7 +64,7 @@
     fn drop(&mut self) {
         self.execute(Emulator::shut_down);
         if let Some(thread) = self.thread.take() {
-            // The message of a panic is on standard error.
+            // A panic has already been reported on standard error.
             _ = thread.join();
         }
     }
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Calls an action with the index of the node that has a number; does nothing without such a node.
+/// Calls `action` with the index of the node that has the given number; does nothing if there is no such node.
 fn with_node(emulator: &mut Emulator, number: u32, action: impl FnOnce(&mut Emulator, usize)) {
     if let Some(node) = emulator.node_index(number) {
         action(emulator, node);
--- a/crates/emulator/src/slow_start.rs
+++ b/crates/emulator/src/slow_start.rs
@@ -9,7 +9,7 @@
 pub(crate) struct SlowStart {
     /// Time of the start; `None` if the node is fully warmed up.
     started_at: Option<Ms>,
-    /// Times and units of the requests received within the last window.
+    /// Times and units of the requests received within the most recent window.
     recent_units: VecDeque<(Ms, f64)>,
 }
 
--- a/crates/emulator/src/usage_meter.rs
+++ b/crates/emulator/src/usage_meter.rs
@@ -7,7 +7,7 @@
 pub(crate) struct UsageMeter {
     by_volume: HashMap<u64, f64>,
     by_volume_and_host: HashMap<(u64, u64), f64>,
-    /// Units of a volume served through other hosts, as last reported to each host.
+    /// Units of a volume served through other hosts, according to the latest report to each host.
     reported: HashMap<(u64, u64), f64>,
 }
 
@@ -20,9 +20,9 @@
 
     /// Returns the units served for a volume through other hosts since the last report to this host.
     pub(crate) fn report(&mut self, volume: u64, host: u64) -> f64 {
-        let all = self.by_volume.get(&volume).copied().unwrap_or(0.0);
+        let total = self.by_volume.get(&volume).copied().unwrap_or(0.0);
         let own = self.by_volume_and_host.get(&(volume, host)).copied().unwrap_or(0.0);
-        let others = all - own;
+        let others = total - own;
         others - self.reported.insert((volume, host), others).unwrap_or(0.0)
     }
 }
