--- a/crates/extents/src/extent_map_view.rs
+++ b/crates/extents/src/extent_map_view.rs
@@ -68,7 +68,7 @@
 }
 
 impl ExtentMapView {
-    /// Returns the epoch of the map received last.
+    /// Returns the epoch of the map that was received most recently.
     pub fn epoch(&self) -> u64 {
         self.map.epoch()
     }
@@ -87,7 +87,7 @@
     }
 
     /// Returns the first offsets of the extents within a range, the first offset clipped to the range; `None`
-    /// without a map that covers the range.
+    /// if the map does not cover the range.
     pub fn extent_starts(&self, volume: u64, start: u64, end: u64) -> Option<Vec<u64>> {
         Some(self.map.overlapping(volume, start, end)?.iter().map(|extent| extent.start).collect())
     }
--- a/crates/extents/src/lib.rs
+++ b/crates/extents/src/lib.rs
@@ -1,5 +1,5 @@
 //! The extent map, which assigns each part of a volume to a shard, and the protocol that migrates an extent
-//! between shards. Free of I/O.
+//! between shards. The crate performs no I/O.
 //!
 //! Each volume is divided into extents without gap or overlap. An extent is stored on one shard, under a version
 //! that rises with every change of its owner. The whole map has an epoch that counts its changes, so that a
--- a/crates/extents/tests/migration_model.rs
+++ b/crates/extents/tests/migration_model.rs
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct State {
-    m: Machine,
+    machine: Machine,
     /// A coordinator and a delayed one: an older coordinator, or a duplicate of the first.
     coordinators: [Option<Migration>; 2],
     /// Sets of writes as bits: acknowledged, stored at the source, logged at the source since a copy began, and
@@ -46,17 +46,18 @@
 }
 
 fn initial_state() -> State {
-    let m = Machine {
+    let machine = Machine {
         record: MigrationRecord::idle(1),
         source: MigrationSource::new(),
         target: MigrationTarget::default(),
     };
-    State { m, coordinators: [None; 2], acknowledged: 0, source: 0, logged: 0, target: 0, losses: 0 }
+    State { machine, coordinators: [None; 2], acknowledged: 0, source: 0, logged: 0, target: 0, losses: 0 }
 }
 
 fn serves(s: &State, defect: Defect) -> (bool, bool) {
-    let source = s.m.source.is_serving() || defect == Defect::FenceIgnored && !s.m.source.released;
-    (source, s.m.target.serving)
+    let source =
+        s.machine.source.is_serving() || defect == Defect::FenceIgnored && !s.machine.source.released;
+    (source, s.machine.target.serving)
 }
 
 /// Performs a step; returns the source's incarnation if the step reports it, or an error if the step was rejected.
@@ -64,67 +65,68 @@
     let id = migration.id;
     match migration.next_step {
         MigrationStep::CopyAll | MigrationStep::CopyAgain => {
-            if s.m.source.released {
+            if s.machine.source.released {
                 return Err(StaleCoordinator);
             }
-            let retained = if s.m.target.copy_of == Some(id) { s.target } else { 0 };
-            s.m.target.receive_copy(id)?;
+            let retained = if s.machine.target.copy_of == Some(id) { s.target } else { 0 };
+            s.machine.target.receive_copy(id)?;
             (s.target, s.logged) = (retained | s.source, 0);
-            return Ok(Some(s.m.source.incarnation));
+            return Ok(Some(s.machine.source.incarnation));
         }
-        MigrationStep::Fence => s.m.source.fence(id)?,
+        MigrationStep::Fence => s.machine.source.fence(id)?,
         MigrationStep::CopyRemainder => {
-            let all = s.m.source.needs_full_copy(id, migration.copied_from)?
+            let copy_all = s.machine.source.needs_full_copy(id, migration.copied_from)?
                 && defect != Defect::IncarnationIgnored;
             match defect {
-                Defect::RemainderWithoutCopy => s.m.target.receive_copy(id)?,
-                _ => s.m.target.receive_remainder(id)?,
+                Defect::RemainderWithoutCopy => s.machine.target.receive_copy(id)?,
+                _ => s.machine.target.receive_remainder(id)?,
             }
-            s.target |= if all { s.source } else { s.logged };
+            s.target |= if copy_all { s.source } else { s.logged };
         }
-        MigrationStep::RecordCopied => s.m.record.record_copied(id)?,
-        MigrationStep::Switch => _ = s.m.record.switch(id)?,
-        MigrationStep::Serve => s.m.target.start_serving(id)?,
-        MigrationStep::Release => s.m.source.release(id)?,
+        MigrationStep::RecordCopied => s.machine.record.record_copied(id)?,
+        MigrationStep::Switch => _ = s.machine.record.switch(id)?,
+        MigrationStep::Serve => s.machine.target.start_serving(id)?,
+        MigrationStep::Release => s.machine.source.release(id)?,
         MigrationStep::DropCopy => {
-            s.m.target.drop_copy(id)?;
+            s.machine.target.drop_copy(id)?;
             s.target = 0;
         }
-        MigrationStep::Unfence => s.m.source.unfence(id)?,
+        MigrationStep::Unfence => s.machine.source.unfence(id)?,
         MigrationStep::Done => {}
     }
     Ok(None)
 }
 
-fn next(s: &State, defect: Defect) -> Vec<State> {
-    let mut all = Vec::new();
+/// Returns the states that one event leads to: a write, a step, a restart, a loss, or the begin or end of a migration.
+fn successors(s: &State, defect: Defect) -> Vec<State> {
+    let mut successors = Vec::new();
     let (source, target) = serves(s, defect);
     for write in (0..WRITES).map(|w| 1 << w).filter(|w| s.acknowledged & w == 0) {
         if source {
             let (acknowledged, source, logged) = (s.acknowledged | write, s.source | write, s.logged | write);
-            all.push(State { acknowledged, source, logged, ..*s });
+            successors.push(State { acknowledged, source, logged, ..*s });
         }
         if target {
-            all.push(State { acknowledged: s.acknowledged | write, target: s.target | write, ..*s });
+            successors.push(State { acknowledged: s.acknowledged | write, target: s.target | write, ..*s });
         }
     }
     for slot in 0..2 {
         // A new coordinator resumes from the record; a duplicate of the first coordinator repeats its step late.
-        let fresh = Migration::resume(&s.m.record);
+        let fresh = Migration::resume(&s.machine.record);
         let mut to = *s;
         to.coordinators[slot] = Some(fresh);
-        all.push(to);
+        successors.push(to);
         let Some(migration) = s.coordinators[slot].filter(|m| m.next_step != MigrationStep::Done) else {
             continue;
         };
         let mut duplicated = *s;
         duplicated.coordinators[1 - slot] = Some(migration);
-        all.push(duplicated);
+        successors.push(duplicated);
         let mut performed = *s;
         match perform(&mut performed, &migration, defect) {
             Ok(incarnation) => {
                 // The answer may be lost.
-                all.push(performed);
+                successors.push(performed);
                 let mut advanced = migration;
                 advanced.on_success(incarnation);
                 performed.coordinators[slot] = Some(advanced);
@@ -132,31 +134,34 @@
             Err(StaleCoordinator) => {
                 performed = *s;
                 let mut resumed = migration;
-                resumed.on_rejected(&s.m.record);
+                resumed.on_rejected(&s.machine.record);
                 performed.coordinators[slot] = Some(resumed);
             }
         }
-        all.push(performed);
+        successors.push(performed);
     }
     let mut begun = *s;
-    if s.m.record.id < MIGRATIONS && s.m.record.stage == Stage::Abandoned && begun.m.record.begin().is_ok() {
-        all.push(begun);
+    if s.machine.record.id < MIGRATIONS
+        && s.machine.record.stage == Stage::Abandoned
+        && begun.machine.record.begin().is_ok()
+    {
+        successors.push(begun);
     }
     let mut abandoned = *s;
-    if s.m.record.id > 0 && abandoned.m.record.abandon(s.m.record.id).is_ok() {
-        all.push(abandoned);
+    if s.machine.record.id > 0 && abandoned.machine.record.abandon(s.machine.record.id).is_ok() {
+        successors.push(abandoned);
     }
-    if s.m.source.incarnation < RESTARTS {
+    if s.machine.source.incarnation < RESTARTS {
         let mut restarted = State { logged: 0, ..*s };
-        restarted.m.source.restart();
-        all.push(restarted);
+        restarted.machine.source.restart();
+        successors.push(restarted);
     }
-    if s.losses < LOSSES && !s.m.target.serving {
-        let m = Machine { target: MigrationTarget::default(), ..s.m };
-        all.push(State { m, target: 0, losses: s.losses + 1, ..*s });
+    if s.losses < LOSSES && !s.machine.target.serving {
+        let machine = Machine { target: MigrationTarget::default(), ..s.machine };
+        successors.push(State { machine, target: 0, losses: s.losses + 1, ..*s });
     }
-    all.retain(|to| to != s);
-    all
+    successors.retain(|to| to != s);
+    successors
 }
 
 fn violation(s: &State, defect: Defect) -> Option<&'static str> {
@@ -192,7 +197,7 @@
             }
             return (states.len(), Some(violation));
         }
-        for to in next(&s, defect) {
+        for to in successors(&s, defect) {
             let number = *numbers.entry(to).or_insert_with(|| {
                 states.push(to);
                 predecessors.push(Vec::new());
@@ -204,8 +209,8 @@
     }
     // From every state there must be a path to a state in which the migration is over and an owner serves.
     let resolved = |s: &State| {
-        let over = !matches!(s.m.record.stage, Stage::Copying | Stage::Copied);
-        over && (s.m.source.is_serving() || s.m.target.serving)
+        let over = !matches!(s.machine.record.stage, Stage::Copying | Stage::Copied);
+        over && (s.machine.source.is_serving() || s.machine.target.serving)
     };
     let mut can_resolve: Vec<bool> = states.iter().map(resolved).collect();
     let mut queue: VecDeque<usize> = (0..states.len()).filter(|index| can_resolve[*index]).collect();
