--- a/crates/cli/benches/hosts.rs
+++ b/crates/cli/benches/hosts.rs
@@ -13,14 +13,15 @@
 
 const NODES: usize = 4;
 const RATE: f64 = 4000.0;
-/// Number of rounds. Each round measures both hosts; the result for the platform host is the median of as many repeats
-/// as the result for the other host.
+/// Number of rounds, each of which measures both hosts.
 const ROUNDS: usize = 5;
+/// Number of measurements of the platform host per round, of which the median is used; the same number as for the other
+/// host.
 const REPEATS: usize = 3;
 const RUN_TIME: Duration = Duration::from_secs(2);
-/// Number of clients that together send at `RATE`, and number of clients that send each request as soon as the previous
-/// response arrives.
+/// Number of clients that together send at `RATE`.
 const PACED_CLIENTS: usize = 16;
+/// Number of clients that send each request as soon as the previous response arrives.
 const FLOOD_CLIENTS: usize = 256;
 
 /// Runs clients for [`RUN_TIME`], each sending at an interval or as soon as the previous response arrives. Returns the
@@ -68,7 +69,7 @@
 }
 
 fn main() {
-    // `cargo test --benches` runs this program without `--bench`; no measurement is made.
+    // `cargo test --benches` runs this program without `--bench`, which measures nothing.
     if !std::env::args().any(|arg| arg == "--bench") {
         return;
     }
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -31,7 +31,7 @@
     Node(NodeArguments),
     /// Run the endpoint list service and all storage nodes of a file as emulated services
     List(SettingsFile),
-    /// Run a scenario on loopback and check all rules by an audit of the network traffic
+    /// Run a scenario on loopback and check all rules by an audit based only on the network traffic
     #[command(alias = "drill")]
     Scenario(ScenarioArguments),
     /// Generate the load that a file defines against a running host
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -12,7 +12,7 @@
     Ok(settings.expect("a file without an error has a host"))
 }
 
-/// Returns a random nonzero number, different for each start of the process.
+/// Returns a random number other than 0. Two starts of the process return different numbers.
 pub(crate) fn random_nonzero() -> u64 {
     // The keys of the hasher are seeded from the random source of the system.
     std::hash::RandomState::new().build_hasher().finish() | 1
--- a/crates/cli/tests/platform/termination_races.rs
+++ b/crates/cli/tests/platform/termination_races.rs
@@ -12,7 +12,8 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Changes settings to allow connects to take long and to disable cancellation of attempts.
+/// Changes settings to allow connects to take 30 s, to disable cancellation of attempts, and to shorten the deduplication
+/// window of writes to 600 ms.
 fn allow_slow_connects(settings: &mut Value) {
     settings["limits"]["dial_timeout_ns"] = json!(30_000_000_000u64);
     settings["limits"]["cancelling"] = json!(false);
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -61,13 +61,13 @@
         );
         report["storms"]["tries"].as_f64().unwrap()
     };
-    let attempts = ["1", "2"].map(|seed| assert_no_storm(run_without_findings("retry-storm.hcl", &[seed])));
-    // Clients that ignore retry-after and retry immediately send many more requests, without more load on the nodes.
+    let sends = ["1", "2"].map(|seed| assert_no_storm(run_without_findings("retry-storm.hcl", &[seed])));
+    // Clients that ignore retry-after times and retry every 5 ms send many more requests, but must not overload the nodes.
     let ignoring_clients =
         assert_no_storm(run_without_findings("retry-storm.hcl", &["3", "--defect", "deaf"]));
     assert!(
-        attempts.iter().all(|attempts| ignoring_clients > 2.0 * attempts),
-        "{attempts:?} attempts per request, {ignoring_clients} of clients that ignore retry-after"
+        sends.iter().all(|sends| ignoring_clients > 2.0 * sends),
+        "{sends:?} sends per request, {ignoring_clients} by clients that ignore retry-after"
     );
     let (code, report) = run_scenario("retry-storm.hcl", &["--defect", "storm"]);
     let findings = report["findings"].as_array().unwrap();
--- a/crates/cli/tests/soak/audit.rs
+++ b/crates/cli/tests/soak/audit.rs
@@ -16,7 +16,7 @@
 /// Maximum time by which the deadline of an attempt may exceed the deadline of its client.
 const ATTEMPT_DEADLINE_EXCESS: Duration = Duration::from_millis(150 + 15);
 /// Maximum time in which the client sees the close of its connection, for a request sent while the host was closing.
-const CLOSE_CROSSED_WITHIN: Duration = Duration::from_millis(400);
+const CLOSE_DETECTION_TIME: Duration = Duration::from_millis(400);
 /// Maximum time difference between a kill and the events caused by the kill.
 const KILL_TOLERANCE: Duration = Duration::from_millis(50);
 
@@ -134,8 +134,8 @@
         RequestEnd::ConnectionClosed { at } => {
             report.count("closed");
             let after = at.duration_since(request.sent);
-            let crossed_close = after <= CLOSE_CROSSED_WITHIN + test_delays.allowance(*at);
-            if let Some(reason) = outstanding(request, attempts, exits, *at, crossed_close) {
+            let sent_during_close = after <= CLOSE_DETECTION_TIME + test_delays.allowance(*at);
+            if let Some(reason) = outstanding(request, attempts, exits, *at, sent_during_close) {
                 let (id, host) = (request.id.clone(), request.host);
                 report.findings.push(Finding::NoResponse { id, host, after, reason });
             }
@@ -144,7 +144,7 @@
 }
 
 /// Returns whether a node had begun to respond to a served request before the client received the response; true for
-/// other requests. If responses are identical, only this reveals a duplicate of the response to another request.
+/// other requests. If responses are identical, only this check detects a duplicate of the response to another request.
 fn has_node_responded(request: &Request, status: u16, attempts: &[&Attempt], at: Instant) -> bool {
     let is_served = request.kind == RequestKind::Forwarded && status == 200;
     !is_served || attempts.iter().any(|attempt| attempt.responded.is_some_and(|responded| responded <= at))
@@ -167,7 +167,7 @@
     attempts: &[&Attempt],
     exits: &[Exit],
     at: Instant,
-    crossed_close: bool,
+    sent_during_close: bool,
 ) -> Option<&'static str> {
     // Of the requests ended by a kill, only requests sent long after the signal required a response.
     let killed = exits.iter().find(|e| {
@@ -188,7 +188,7 @@
     if request.is_read {
         return Some("it was read together with a request that was answered");
     }
-    (!crossed_close).then_some("its connection stayed open after the request")
+    (!sent_during_close).then_some("its connection stayed open after the request")
 }
 
 fn audit_attempts(report: &mut Report, request: &Request, attempts: &[&Attempt], test_delays: &TestDelays) {
@@ -208,7 +208,7 @@
         }
         let remaining = (request.sent + request.deadline).saturating_duration_since(attempt.at);
         let by = attempt.timeout.saturating_sub(remaining);
-        // The smallest value of the deadline field is one millisecond.
+        // The remaining time may be 0, but the smallest value of the deadline field is 1 ms.
         if by > ATTEMPT_DEADLINE_EXCESS + allowance {
             report.findings.push(Finding::DeadlineExtended { id, by });
         }
--- a/crates/cli/tests/support/node.rs
+++ b/crates/cli/tests/support/node.rs
@@ -31,7 +31,7 @@
     WriteBody(usize),
     /// Responds after this delay.
     RespondAfter(Duration),
-    /// Responds with a body of this number of bytes, of which the last ones are written one at a time with pauses.
+    /// Responds with a body of this number of bytes, of which the last 1000 are written one at a time with pauses.
     Trickle(usize),
     /// Writes unsolicited bytes on a connection with an earlier exchange, then responds.
     RespondBehind(Unsolicited),
@@ -42,11 +42,11 @@
 /// Bytes that do not belong to an open exchange.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Unsolicited {
-    /// Copy of the last response on this connection.
+    /// Copy of the latest response on this connection.
     Duplicate,
     /// Copy of the second to last response on this connection.
     EarlierDuplicate,
-    /// Copy of the last response without this number of bytes at the end.
+    /// Copy of the latest response without this number of bytes at the end.
     TruncatedDuplicate(usize),
     Garbage,
     /// Interim response, which HTTP permits before a final response.
