--- a/deploy/quickstart.hcl
+++ b/deploy/quickstart.hcl
@@ -1,6 +1,6 @@
-# One host with emulated nodes: nothing else is needed.
+# One host with emulated nodes and endpoint list service; no other process is needed.
 #   cargo run --release -- serve deploy/quickstart.hcl
-# docs/settings.md explains each key, docs/vocabulary.md the words.
+# docs/settings.md describes each key, docs/vocabulary.md defines the terms.
 host {
   listen     = "127.0.0.1:7400"
   hand_offs  = 3
--- a/scenarios/bad-day.hcl
+++ b/scenarios/bad-day.hcl
@@ -1,4 +1,4 @@
-# The bad day: three hosts, eight nodes and their successors, and most kinds of fault that the first users reported.
+# Combined faults: three hosts, eight nodes and their successors, and most kinds of faults that the first users reported.
 #   cargo run --release -- scenario scenarios/bad-day.hcl
 host {
   hosts       = 3
@@ -14,7 +14,7 @@
   ask_within = "4s"
 }
 
-# The hosts gossip about their attempts in flight; some of them are killed or stalled meanwhile.
+# The hosts exchange gossip about their attempts in flight. Some hosts are killed or stalled during the scenario.
 peer "0" {
   address = "127.0.0.1:7610"
 }
--- a/scenarios/extent-moves.hcl
+++ b/scenarios/extent-moves.hcl
@@ -1,4 +1,5 @@
-# Extents are migrated between shards while hosts serve, under a surge, twice in a row, and while coordinators fail.
+# Migration of extents between shards while hosts serve requests: during a surge of traffic, twice in succession, and
+# while coordinators are down.
 #   cargo run --release -- scenario scenarios/extent-moves.hcl
 host {
   hosts       = 3
--- a/scenarios/merge-split.hcl
+++ b/scenarios/merge-split.hcl
@@ -1,5 +1,5 @@
-# Small writes that are coalesced and large reads that are split, while nodes fail partially, become unresponsive and
-# drain, and extents are migrated. Host 1 sends every request by itself, to compare with.
+# Coalescing of small writes and splitting of large reads, while nodes fail partially, become unresponsive and drain, and
+# extents are migrated. Host 1 does not coalesce writes, for comparison.
 #   cargo run --release -- scenario scenarios/merge-split.hcl
 host {
   hosts      = 2
--- a/scenarios/plants.hcl
+++ b/scenarios/plants.hcl
@@ -1,9 +1,10 @@
-# A short scenario in which every rule has cases to check; --defect RULE seeds a defect that the audit must find.
+# A short scenario in which every rule has cases to check; --defect RULE seeds a defect that the audit must detect.
 #   cargo run --release -- scenario scenarios/plants.hcl --defect twice
 host {
   hosts       = 3
   hand_offs   = 3
-  # Attempts that a defect delays would count as unresponsive, and the host would cancel them before they arrive.
+  # With cancellation, the host would treat an attempt delayed by a seeded defect as unresponsive and cancel the attempt
+  # before a node receives it.
   cancels     = false
   order_rest  = "100ms"
   most_units  = 4
--- a/scenarios/retry-storm.hcl
+++ b/scenarios/retry-storm.hcl
@@ -1,5 +1,5 @@
-# A retry storm: a node stops for five seconds and comes back warming up, to clients that retry as real ones do; then a
-# rack of three goes down and comes back together.
+# A retry storm: a node stops for five seconds and restarts warming up, while clients retry in the ways that are usual for
+# real clients. Later, all three nodes of a zone stop and restart together.
 #   cargo run --release -- scenario scenarios/retry-storm.hcl --undamped
 host {
   hosts       = 3
@@ -166,8 +166,8 @@
   drain_within = "250ms"
 }
 
-# The rules let a node that warms up be sent twice its capacity over a second; one that came back is to receive less
-# than that at any moment.
+# Rule 4 allows a warming node to receive twice its capacity over one second (`fall_multiple`, `fall_time`). A restarted
+# node must stay below a lower multiple, `ceiling`, in every 100 ms.
 storm {
   ceiling     = 1.5
   quiet       = "1.5s"
@@ -225,7 +225,7 @@
   from  = "1.5s"
   to    = "6.5s"
 }
-# It stops again at once.
+# The same node stops again soon after its restart.
 trouble "crash" {
   nodes = [0]
   from  = "7s"
