--- a/crates/scenario/src/audit/at_most_once.rs
+++ b/crates/scenario/src/audit/at_most_once.rs
@@ -38,7 +38,7 @@
                 host: Some(host),
                 node: Some(node),
                 request_id: Some(idempotency_key),
-                description: "its effect took place twice".to_string(),
+                description: "the request took effect twice".to_string(),
             });
         }
     }
--- a/crates/scenario/src/audit/data_integrity.rs
+++ b/crates/scenario/src/audit/data_integrity.rs
@@ -24,7 +24,7 @@
     for ((volume, key), write) in last_writes {
         let stored_key = stored.get(&(volume, key));
         if stored_key != Some(&write.idempotency_key) {
-            let description = format!("key {key} of volume {volume} holds {stored_key:?}");
+            let description = format!("key {key} of volume {volume} stores {stored_key:?}");
             verdict.add_request(Rule::DataIntegrity, write.at, write.idempotency_key, description);
         }
     }
@@ -113,8 +113,8 @@
             NodeEvent::AttemptReceived { node, host, volume, key, idempotency_key, version, .. }
                 if version > 0 =>
             {
-                let of_volume = received_versions.get(&(host, volume)).map_or(&[][..], |all| all);
-                let versions_of_extent = of_volume.iter().filter(|update| {
+                let versions_of_volume = received_versions.get(&(host, volume)).map_or(&[][..], |all| all);
+                let versions_of_extent = versions_of_volume.iter().filter(|update| {
                     update.start <= key && key < update.end && at - update.received_at > tolerance
                 });
                 checked += usize::from(versions_of_extent.clone().next().is_some());
@@ -126,7 +126,7 @@
                         node: Some(node),
                         request_id: Some(idempotency_key),
                         description: format!(
-                            "sent under version {version}, after version {} was known",
+                            "sent under version {version} after the host had received version {}",
                             newer.version
                         ),
                     });
--- a/crates/scenario/src/audit/final_answers.rs
+++ b/crates/scenario/src/audit/final_answers.rs
@@ -20,8 +20,10 @@
         }
         let end_tolerated_until = tracked.ended_at() + tolerance;
         for attempt in run.attempts_of(tracked).filter(|attempt| attempt.at > end_tolerated_until) {
-            let description =
-                format!("sent {:.0} ms after its end", attempt.at - end_tolerated_until + tolerance);
+            let description = format!(
+                "sent {:.0} ms after the end of its request",
+                attempt.at - end_tolerated_until + tolerance
+            );
             verdict.add_attempt(Rule::FinalAnswer, attempt.at, attempt, description);
         }
     }
--- a/crates/scenario/src/audit/slow_start.rs
+++ b/crates/scenario/src/audit/slow_start.rs
@@ -19,7 +19,7 @@
             host: None,
             node: Some(node),
             request_id: None,
-            description: "it was overloaded and stopped".to_string(),
+            description: "the node was overloaded and stopped".to_string(),
         });
     }
 }
@@ -42,7 +42,7 @@
         let tolerated = slow_start.overload_factor * window * (units_per_ms(from) + units_per_ms(to)) / 2.0;
         if units > tolerated.max(slow_start.allowance) {
             let description =
-                format!("sent {units} units in {window} ms, in which it tolerates {tolerated:.0}");
+                format!("sent {units} units in {window} ms, in which the node tolerates {tolerated:.0}");
             verdict.add_attempt(Rule::SlowStart, to, attempt, description);
             return;
         }
