--- a/crates/scenario/src/audit/at_most_once.rs
+++ b/crates/scenario/src/audit/at_most_once.rs
@@ -38,7 +38,7 @@
                 host: Some(host),
                 node: Some(node),
                 request_id: Some(idempotency_key),
-                description: "its effect took place twice".to_string(),
+                description: "the request took effect twice".to_string(),
             });
         }
     }
@@ -64,10 +64,10 @@
     attempt: &TrackedAttempt,
 ) -> Option<&'static str> {
     let class = &run.evidence.host.scheduler.classes[usize::from(tracked.request.class)];
-    let remembered_until = earlier.at + class.deduplication_window + run.evidence.scenario.clock_tolerance;
+    let deduplicated_until = earlier.at + class.deduplication_window + run.evidence.scenario.clock_tolerance;
     match class.idempotency {
         Idempotency::NonIdempotent => Some("a non-idempotent request retried that may have been executed"),
-        _ if attempt.at > remembered_until => Some("retried after its deduplication window"),
+        _ if attempt.at > deduplicated_until => Some("retried after its deduplication window"),
         _ if !in_same_scope(run, class.deduplication_scope, earlier.node, attempt.node) => {
             Some("retried outside its deduplication scope")
         }
