--- a/crates/cli/tests/support/host_process.rs
+++ b/crates/cli/tests/support/host_process.rs
@@ -150,8 +150,8 @@
     NUMBER.fetch_add(1, Ordering::SeqCst)
 }
 
-/// Returns an address that no other host of this run or of a concurrent run uses. A port chosen because it is free on
-/// the common loopback address could be taken by another listener before the host binds it.
+/// Returns an address that no other host of this run or of a concurrent run uses. A free port of the
+/// common loopback address could be taken by another listener before the host binds it.
 pub(crate) fn unique_host_address() -> SocketAddr {
     static HOSTS: AtomicU64 = AtomicU64::new(0);
     let host = HOSTS.fetch_add(1, Ordering::SeqCst);
--- a/crates/emulator/src/data_store.rs
+++ b/crates/emulator/src/data_store.rs
@@ -11,7 +11,7 @@
     pub volume: u64,
     /// Key within the volume.
     pub key: u64,
-    /// Payload that was written last.
+    /// Most recently written payload.
     pub payload: Vec<u8>,
 }
 
--- a/crates/emulator/src/extent_migration.rs
+++ b/crates/emulator/src/extent_migration.rs
@@ -21,7 +21,7 @@
 }
 
 impl ExtentMigration {
-    /// Returns whether the migration counts as running: the target has received a copy, or the migration is past
+    /// Returns whether the migration has begun: the target has received a copy, or the migration is past
     /// the copying stage.
     pub(crate) fn has_begun(&self) -> bool {
         self.target.copy_of.is_some() || self.record.stage != Stage::Copying
--- a/crates/node-protocol/src/message/mod.rs
+++ b/crates/node-protocol/src/message/mod.rs
@@ -48,7 +48,7 @@
     Hello(Hello),
     /// Host to node: one attempt of a request.
     Attempt(Attempt<'a>),
-    /// Host to node: attempts that are sent as one request of the node; each gets its own outcome.
+    /// Host to node: attempts that are sent as one request of the node; each gets a separate outcome.
     Batch(Vec<Attempt<'a>>),
     /// Node to host: the outcome of an attempt.
     Outcome(Outcome<'a>),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -105,7 +105,7 @@
     /// Settings that are applied only at a start: all except discovery's address, the cached endpoint list and the
     /// seed.
     pub startup_settings: Value,
-    /// Endpoint list that the host last received.
+    /// Endpoint list that the host most recently received.
     pub cached_list: Option<EndpointList>,
     /// Settings of the scheduler.
     pub scheduler: SchedulerConfig,
--- a/crates/scenario/src/audit/statistics.rs
+++ b/crates/scenario/src/audit/statistics.rs
@@ -7,7 +7,7 @@
 use magpiewick_node_protocol::FinalCode;
 use std::collections::HashSet;
 
-/// Number of blocks above which a read counts as long.
+/// Number of blocks above which a read is classified as long.
 const LONG_READ_BLOCKS: u32 = 16;
 
 /// Counts attempts received by a node that did not serve the extent, and the final answers to their requests.
--- a/crates/scenario/src/benchmark.rs
+++ b/crates/scenario/src/benchmark.rs
@@ -39,7 +39,7 @@
     /// Requests per second at the highest load.
     #[serde(rename = "most_a_second")]
     pub max_a_second: [f64; 3],
-    /// Requests per second at which the following figures are measured.
+    /// Offered load for the following figures, in requests per second.
     #[serde(rename = "at")]
     pub rate: f64,
     /// Median latency.
@@ -309,7 +309,7 @@
     let paths = start_paths(program, file, &emulator)?;
     let memory = || paths.iter().map(RequestPath::memory_mb).collect::<Result<Vec<f64>, ScenarioError>>();
     let memory_idle = memory()?;
-    // The paths are measured in alternation, so that a change of the machine's speed affects all paths equally.
+    // Load is offered to the paths in alternation, so that a change of the machine's speed affects all paths equally.
     let mut max_rates: Vec<Vec<f64>> = paths.iter().map(|_| Vec::new()).collect();
     for seed in 0..REPEATS {
         for (path, rates) in paths.iter().zip(&mut max_rates) {
--- a/crates/scenario/src/client_event.rs
+++ b/crates/scenario/src/client_event.rs
@@ -3,7 +3,7 @@
 use crate::Ms;
 use magpiewick_node_protocol::FinalCode;
 
-/// A request as sent by its client. A retry has the idempotency key of the first request and a number of its own.
+/// A request as sent by its client. A retry has the idempotency key of the first request and a different number.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
     /// Sequence number over all requests of a run.
--- a/crates/scenario/src/config.rs
+++ b/crates/scenario/src/config.rs
@@ -70,7 +70,7 @@
     pub max_load: f64,
     /// Duration of the quiet period at the beginning.
     pub quiet_duration: Ms,
-    /// Fraction of the earned weight of the quiet period at which the traffic counts as recovered.
+    /// Fraction of the earned weight of the quiet period at which the traffic is considered recovered.
     pub recovery_share: f64,
     /// Longest time until the traffic has recovered.
     pub max_recovery_time: Ms,
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -19,7 +19,7 @@
 /// Number of requests that must have arrived while few ended unserved before their statistics are
 /// representative.
 const MIN_REPRESENTATIVE_REQUESTS: f64 = 50.0;
-/// Largest difference between timeouts that count as equal.
+/// Largest difference between timeouts that are treated as equal.
 const TIMEOUT_TOLERANCE: Ms = 1.0;
 /// Fraction of the longest retry-after over which rejected clients are spread.
 const RETRY_AFTER_SPREAD: f64 = 0.25;
--- a/src/scheduler/endpoint_health.rs
+++ b/src/scheduler/endpoint_health.rs
@@ -48,7 +48,7 @@
         self.backoff_until = now;
     }
 
-    /// Returns whether the last attempts at the node failed.
+    /// Returns whether the most recent attempts at the node failed.
     pub(super) fn is_failing(&self) -> bool {
         self.backoff > FIRST_BACKOFF
     }
--- a/src/scheduler/in_flight.rs
+++ b/src/scheduler/in_flight.rs
@@ -8,7 +8,7 @@
     /// Number of the attempt, counted from 0.
     pub attempt: u32,
     pub sent_at: Ms,
-    /// Least time without any answer after which the node may count as unresponsive.
+    /// Least time without any answer after which the node may be considered unresponsive.
     pub response_timeout: Ms,
     /// Expected latency of the attempt at a node without load.
     pub unloaded_latency: Ms,
@@ -60,7 +60,7 @@
         self.attempts.first()
     }
 
-    /// Returns the attempt that was sent last.
+    /// Returns the most recently sent attempt.
     pub(super) fn newest(&self) -> Option<&InFlightAttempt> {
         self.attempts.last()
     }
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -17,7 +17,7 @@
 const BUCKET_LENGTH: Ms = 1000.0;
 const BUCKETS: usize = 12;
 
-/// Creates the window over which a node's throughput is measured.
+/// Creates the window for a node's throughput.
 pub(super) fn new_throughput_window() -> RollingWindow {
     RollingWindow::new(BUCKET_LENGTH, BUCKETS)
 }
@@ -72,8 +72,8 @@
     }
 }
 
-/// Returns the fraction of a warm node's capacity that a node of this age has at the start of the window
-/// over which overload is measured.
+/// Returns the fraction of a warm node's capacity that a node of this age has at the start of the
+/// overload window.
 fn recovered_fraction(config: &SchedulerConfig, age: Ms) -> f64 {
     let progress = ((age - config.overload_window) / config.slow_start_duration).clamp(0.0, 1.0);
     config.slow_start_share + (1.0 - config.slow_start_share) * progress
--- a/tests/scheduler/simulation.rs
+++ b/tests/scheduler/simulation.rs
@@ -442,7 +442,7 @@
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// Returns the shortest of several processor times of a step, each measured on its own simulation.
+/// Runs a step once on each of several new simulations and returns the shortest processor time of the step.
 pub(crate) fn shortest_time(simulation: impl Fn() -> Simulation, step: impl Fn(&mut Simulation)) -> Duration {
     let time_once = |_| {
         let mut simulation = simulation();
